--- a/Makefile
+++ b/Makefile
@@ -12,7 +12,7 @@
 		($(BIN)/pip install -q --disable-pip-version-check -e '.[dev]' && cp pyproject.toml .venv/developing.toml)
 
 demo: setup
-	$(BIN)/python -m standins.demo
+	$(BIN)/python -m testbed.demo
 
 bench: setup
 	$(BIN)/python -m benchmarks.forward_cost
--- a/benchmarks/tier_cost.py
+++ b/benchmarks/cluster_cost.py
@@ -1,8 +1,8 @@
 """What membership costs one sidecar: CPU and memory at rest, and a request's CPU, with it on against off, in one run.
 
-    python -m benchmarks.tier_cost [--sizes 5 200 5000] [--rest 10] [--seconds 5] [--rounds 3]
+    python -m benchmarks.cluster_cost [--sizes 5 200 5000] [--rest 10] [--seconds 5] [--rounds 3]
 
-The sidecar is a process as it is deployed; the other members are stand-ins that answer (standins/tier/crowd.py).  Each
+The sidecar is a process as it is deployed; the other members are stand-ins that answer (testbed/tier/crowd.py).  Each
 round plays on and off after one another, in an order that changes, so that a slow spell falls on both.
 """
 
@@ -24,11 +24,11 @@
 
 from benchmarks.forward_cost import OUT, ROOT, SETTINGS, WARM_S, process, until_up
 from benchmarks.load import Load, cpu_s
-from standins.ports import free, own_host
-from standins.registry import Registry
-from standins.tier.crowd import Crowd
-from standins.wire import HTTP, Address, place
-from topazbank.tier.__main__ import ask_tier
+from testbed.cluster.synthetic_peers import Crowd
+from testbed.ports import free, own_host
+from testbed.registry import Registry
+from testbed.wire import HTTP, Address, place
+from topazbank.cluster.__main__ import ask_tier
 
 SETTLE_S = 3.0
 HEAD = f"{'members':>8}{'tier':>6}{'CPU at rest, ms/s':>19}{'resident MB':>13}{'CPU us a request':>18}{'seen':>7}"
@@ -142,7 +142,9 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(prog="benchmarks.tier_cost", description=(__doc__ or "").split("\n")[0])
+    parser = argparse.ArgumentParser(
+        prog="benchmarks.cluster_cost", description=(__doc__ or "").split("\n")[0]
+    )
     parser.add_argument("--sizes", type=int, nargs="*", default=[5, 200, 5000])
     parser.add_argument("--rest", type=float, default=10.0, help="seconds at rest that are measured")
     parser.add_argument("--seconds", type=float, default=5.0, help="under load")
--- a/benchmarks/tier_ways.py
+++ b/benchmarks/cluster_detectors.py
@@ -1,6 +1,7 @@
 """Which way of finding out who of a tier is here: what each costs and how often it is wrong, in one run.
 
-    python -m benchmarks.tier_ways [--sizes 8 24 64] [--large 1000 5000] [--seeds 3] [--seconds 120] [--plot FILE]
+    python -m benchmarks.cluster_detectors [--sizes 8 24 64] [--large 1000 5000] [--seeds 3] [--seconds 120]
+                                           [--plot FILE]
 
 For each way and size: from a kill until the first knows and until all know; false "gone" a member-hour under a fifth of
 loss with pauses below 1 s; messages and bytes a member and second in calm.  Ways that send to all are left out of the
@@ -18,12 +19,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from standins.tier.played import Played
-from standins.tier.scenes import Step
-from standins.tier.ways import Ephemeral, Heartbeats, PhiAccrual, Rapid
+from testbed.cluster.detectors import Ephemeral, Heartbeats, PhiAccrual, Rapid
+from testbed.cluster.scenarios import Step
+from testbed.cluster.virtual_time import Played
+from topazbank.cluster.failure_detector import FailureDetector
+from topazbank.cluster.rules import Rules
 from topazbank.core.bounds import tier_messages_a_second
-from topazbank.tier.detector import Detector
-from topazbank.tier.rules import Rules
 
 PLAIN = Rules(lifeguard=False, vouching=False, doubting=False)
 LIFEGUARD = Rules(vouching=False)
@@ -32,9 +33,9 @@
     "phi accrual": (PhiAccrual, Rules()),
     "ephemeral nodes": (Ephemeral, Rules()),
     "Rapid": (Rapid, Rules()),
-    "plain SWIM": (Detector, PLAIN),
-    "SWIM, Lifeguard": (Detector, LIFEGUARD),
-    "the program's": (Detector, Rules()),
+    "plain SWIM": (FailureDetector, PLAIN),
+    "SWIM, Lifeguard": (FailureDetector, LIFEGUARD),
+    "the program's": (FailureDetector, Rules()),
 }
 SMALL_ONLY = ("heartbeats", "phi accrual", "Rapid")  # their plays grow with the square of the size
 HEAD = (
@@ -102,7 +103,9 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="benchmarks.tier_ways", description=(__doc__ or "").split("\n")[0])
+    parser = argparse.ArgumentParser(
+        prog="benchmarks.cluster_detectors", description=(__doc__ or "").split("\n")[0]
+    )
     parser.add_argument("--sizes", type=int, nargs="*", default=[8, 24, 64])
     parser.add_argument("--large", type=int, nargs="*", default=[])
     parser.add_argument("--seeds", type=int, default=3)
--- a/benchmarks/ensemble_scale.py
+++ b/benchmarks/ensemble_scale.py
@@ -5,7 +5,7 @@
 The stand-in ensemble of three members, the nodes' sessions, the clients (the sidecars' membership source and nothing
 else) and one whole sidecar run as processes of their own.  At rest, through an outage, and after all clients' sessions
 were ended, each second's requests to the ensemble are counted.  kazoo follows the same nodes in a process of its own,
-beside one of ours.  Bounds are stated in docs/measurements/membership.md; exit 1 where one is broken.
+beside one of ours.  Bounds are stated in docs/measurements/discovery.md; exit 1 where one is broken.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 from typing import Any
 
 from benchmarks.forward_cost import free_port
-from standins.zookeeper import Ensemble, jute
-from topazbank.core.members import Told
+from testbed.zookeeper import Ensemble, jute
+from topazbank.core.endpoint_source import EndpointList
 from topazbank.core.net import Address, parse_address
-from topazbank.membership.registrar import Registrar, Standing
-from topazbank.membership.roster import Registration
-from topazbank.membership.zkclient import Ensemble as Where
-from topazbank.membership.zookeeper import ZooKeeperSource
+from topazbank.discovery.registrar import Registrar, Standing
+from topazbank.discovery.roster import Registration
+from topazbank.discovery.zkclient import Ensemble as Where
+from topazbank.discovery.zookeeper import ZooKeeperSource
 
 PATH = "/lodge/nodes"
 SESSION_S = 6.0
@@ -113,7 +113,7 @@
 async def clients_part(members: tuple[Address, ...], first: int, count: int) -> None:
     heard = [0.0]
 
-    def told(what: Told | None) -> None:
+    def told(what: EndpointList | None) -> None:
         heard[0] = time.monotonic()
 
     made = []
--- a/benchmarks/forward_cost.py
+++ b/benchmarks/forward_cost.py
@@ -27,8 +27,8 @@
 from typing import Any
 
 from benchmarks.load import Bare, HttpNode, Load, RpcNode, cpu_s
-from standins.registry import Registry
-from standins.wire import HTTP, MSGPACK_RPC, Address, place
+from testbed.registry import Registry
+from testbed.wire import HTTP, MSGPACK_RPC, Address, place
 
 ROOT = Path(__file__).parent.parent
 NODES = 6
--- a/benchmarks/list_hold.py
+++ b/benchmarks/list_hold.py
@@ -20,26 +20,26 @@
 from typing import Any
 
 from benchmarks.forward_cost import SETTINGS
-from topazbank import balancer
-from topazbank.core.driver import Config, Sidecar
-from topazbank.core.listing import STEP
-from topazbank.core.members import Listed, Told
-from topazbank.interface import ListedServer, ListKind, ServersListed, ServerState
-from topazbank.membership import zkclient, zkwire
-from topazbank.membership.merge import Merge
-from topazbank.membership.roster import Registration, Roster
-from topazbank.operator import Operator
-from topazbank.wirenames import settings_from_wire
+from topazbank.balancing import balancer
+from topazbank.balancing.events import EndpointsUpdated, ServerDescription, ServerState, UpdateKind
+from topazbank.core.driver import Sidecar, SidecarConfig
+from topazbank.core.endpoint_list import STEP
+from topazbank.core.endpoint_source import DiscoveredServer, EndpointList
+from topazbank.discovery import zkclient, zkwire
+from topazbank.discovery.merge import Merge
+from topazbank.discovery.roster import Registration, Roster
+from topazbank.operator_config import OperatorConfig
+from topazbank.platform_names import settings_from_wire
 from topazbank.wiring import wire
 
 ROUNDS = 40  # of one change; the median is given
 WHOLE_ROUNDS = 5
 
 
-def lines(size: int, state: ServerState = ServerState.READY) -> list[Listed]:
+def lines(size: int, state: ServerState = ServerState.READY) -> list[DiscoveredServer]:
     return [
-        Listed(
-            ListedServer(f"n-{number:05}", "a", "m", number % 7, state, 1.0, 1_000_000 + number),
+        DiscoveredServer(
+            ServerDescription(f"n-{number:05}", "a", "m", number % 7, state, 1.0, 1_000_000 + number),
             (f"127.{number >> 16}.{number >> 8 & 255}.{number & 255}", 80),
         )
         for number in range(size)
@@ -61,26 +61,29 @@
     whole = [line.server for line in lines(size)]
     made = [module.Balancer(settings, number) for number in range(WHOLE_ROUNDS)]
     all_at_once = median_ms(
-        lambda number: made[number].handle(1, ServersListed(ListKind.COMPLETE, whole, 1)), WHOLE_ROUNDS
+        lambda number: made[number].handle(1, EndpointsUpdated(UpdateKind.SNAPSHOT, whole, 1)), WHOLE_ROUNDS
     )
     states = (ServerState.DRAINING, ServerState.READY)
 
     def change(number: int) -> None:
         line = lines_of_one(whole[size // 2], states[number % 2])
-        made[0].handle(2 + number, ServersListed(ListKind.CHANGES, [line], 2))
+        made[0].handle(2 + number, EndpointsUpdated(UpdateKind.DELTA, [line], 2))
 
     return median_ms(change, ROUNDS), all_at_once
 
 
-def lines_of_one(server: ListedServer, state: ServerState) -> ListedServer:
-    return ListedServer(
-        server.server, server.zone, server.kind, server.cell, state, server.nominal, server.started_at
+def lines_of_one(server: ServerDescription, state: ServerState) -> ServerDescription:
+    return ServerDescription(
+        server.name, server.zone, server.kind, server.cell, state, server.nominal_capacity, server.started_at
     )
 
 
 def former_module(revision: str) -> types.ModuleType:
     source = subprocess.run(
-        ["git", "show", f"{revision}:topazbank/balancer.py"], capture_output=True, check=True, text=True
+        ["git", "show", f"{revision}:topazbank/balancing/balancer.py"],
+        capture_output=True,
+        check=True,
+        text=True,
     ).stdout
     module = types.ModuleType("former_balancer")
     sys.modules[module.__name__] = module  # dataclasses look their module up
@@ -113,17 +116,17 @@
 
 async def sidecar(size: int) -> tuple[float, float, int]:
     """One change and a whole list of new nodes as the sidecar takes them: the longest hold, and its steps."""
-    config = Config(
-        ("127.0.0.1", 0), ("127.0.0.1", 9), 1, 512, settings_from_wire(SETTINGS), Told(0, True, [])
+    config = SidecarConfig(
+        ("127.0.0.1", 0), ("127.0.0.1", 9), 1, 512, settings_from_wire(SETTINGS), EndpointList(0, True, [])
     )
     whole = lines(size)
     holds, steps = [], 0
     for _ in range(WHOLE_ROUNDS):
-        made = Sidecar(config, wire(Operator()))
+        made = Sidecar(config, wire(OperatorConfig()))
         made.server_list.source.stop()  # nobody answers there
         turns = Turns()
         began = time.perf_counter()
-        made.server_list.told(Told(1, True, whole))
+        made.server_list.told(EndpointList(1, True, whole))
         turns.longest_s = time.perf_counter() - began
         await turns.until(partial(settled, made))
         holds.append(turns.longest_s)
@@ -133,7 +136,11 @@
     def change(number: int) -> None:
         line = whole[size // 2]
         made.server_list.told(
-            Told(2, False, [Listed(lines_of_one(line.server, states[number % 2]), line.address, "http")])
+            EndpointList(
+                2,
+                False,
+                [DiscoveredServer(lines_of_one(line.server, states[number % 2]), line.address, "http")],
+            )
         )
 
     for task in asyncio.all_tasks() - {asyncio.current_task()}:
@@ -170,17 +177,17 @@
     both = Merge(["zookeeper", "registry"])
     whole = lines(size)
     some = lines(min(size, STEP), ServerState.DRAINING)
-    both.told("zookeeper", Told(1, True, whole))
-    both.told("registry", Told(1, True, lines(size)))
+    both.told("zookeeper", EndpointList(1, True, whole))
+    both.told("registry", EndpointList(1, True, lines(size)))
     states = (ServerState.DRAINING, ServerState.READY)
 
     def change(number: int) -> None:
         line = whole[size // 2]
         server = lines_of_one(line.server, states[number % 2])
-        both.told("zookeeper", Told(2, False, [Listed(server, line.address)]))
+        both.told("zookeeper", EndpointList(2, False, [DiscoveredServer(server, line.address)]))
 
     def again(number: int) -> None:
-        both.told("zookeeper", Told(2, False, whole[:STEP] if number % 2 else some))
+        both.told("zookeeper", EndpointList(2, False, whole[:STEP] if number % 2 else some))
 
     return median_ms(change, ROUNDS), median_ms(again, WHOLE_ROUNDS)
 
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -15,7 +15,7 @@
 
 import msgpack
 
-from standins.wire import HTTP, Address
+from testbed.wire import HTTP, Address
 
 BODY = b"x" * 200
 _PACK = msgpack.Packer(use_bin_type=True, autoreset=True).pack
--- a/benchmarks/told_to_acted.py
+++ b/benchmarks/notification_delay.py
@@ -1,6 +1,6 @@
 """From a node deleted or leaving in the ensemble to nothing new sent there, over many changes under load.
 
-    .venv/bin/python -m benchmarks.told_to_acted [--changes 200]
+    .venv/bin/python -m benchmarks.notification_delay [--changes 200]
 
 One sidecar in this process, over the stand-in ensemble and nodes that answer at once. A change counts from when the
 ensemble committed it to the last request that reached that node after it.
@@ -16,18 +16,18 @@
 from typing import Any
 
 from benchmarks.forward_cost import SETTINGS
-from standins.clients import HttpCaller, Wish
-from standins.lodge import Lodge, LodgeServer, RunLog
-from standins.wire import HTTP, Asked, Reply
-from standins.zookeeper import Ensemble
-from topazbank.core.driver import Config, Sidecar
-from topazbank.core.members import Told
-from topazbank.interface import ServerState
-from topazbank.membership.registrar import Registrar, Standing
-from topazbank.membership.roster import Registration
-from topazbank.membership.zkclient import Ensemble as Where
-from topazbank.operator import ZOOKEEPER, Membership, Operator, ZooKeeper
-from topazbank.wirenames import settings_from_wire
+from testbed.backend import Lodge, LodgeServer, RunLog
+from testbed.clients import HttpCaller, Wish
+from testbed.wire import HTTP, Asked, Reply
+from testbed.zookeeper import Ensemble
+from topazbank.balancing.events import ServerState
+from topazbank.core.driver import Sidecar, SidecarConfig
+from topazbank.core.endpoint_source import EndpointList
+from topazbank.discovery.registrar import Registrar, Standing
+from topazbank.discovery.roster import Registration
+from topazbank.discovery.zkclient import Ensemble as Where
+from topazbank.operator_config import ZOOKEEPER, Membership, OperatorConfig, ZooKeeper
+from topazbank.platform_names import settings_from_wire
 from topazbank.wiring import wire
 
 NODES, CALLERS = 30, 48  # so many that none comes back often enough to be held out as one that flaps
@@ -83,9 +83,9 @@
     where = Where(members, 20.0)
     nodes = [await node(number) for number in range(NODES)]
     registrars = [registrar(where, server) for _, server in nodes]
-    operator = Operator(membership=Membership((ZOOKEEPER,), ZooKeeper(members, PATH, "", 20.0)))
-    config = Config(
-        ("127.0.0.1", 0), ("127.0.0.1", 9), 1, 512, settings_from_wire(SETTINGS), Told(0, True, [])
+    operator = OperatorConfig(membership=Membership((ZOOKEEPER,), ZooKeeper(members, PATH, "", 20.0)))
+    config = SidecarConfig(
+        ("127.0.0.1", 0), ("127.0.0.1", 9), 1, 512, settings_from_wire(SETTINGS), EndpointList(0, True, [])
     )
     sidecar = Sidecar(config, wire(operator))
     tasks = [asyncio.create_task(sidecar.run(asyncio.Event()))]
@@ -141,7 +141,7 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="benchmarks.told_to_acted", description=__doc__)
+    parser = argparse.ArgumentParser(prog="benchmarks.notification_delay", description=__doc__)
     parser.add_argument("--changes", type=int, default=200)
     return asyncio.run(run(parser.parse_args().changes))
 
--- a/benchmarks/planners.py
+++ b/benchmarks/planners.py
@@ -23,10 +23,10 @@
 from pathlib import Path
 from typing import Any
 
-from standins.fleet.rig import Rig, until
-from topazbank.core.members import Listed, Standing, Told
+from testbed.fleet.harness import Rig, until
+from topazbank.balancing.events import ServerDescription, ServerState
+from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, SourceStatus
 from topazbank.core.net import Address, parse_address
-from topazbank.interface import ListedServer, ServerState
 from topazbank.planning.forwarder import Forwarding
 from topazbank.planning.server import PlannerServer
 
@@ -80,13 +80,13 @@
 
     def follow(self, wanted: bool) -> None:
         lines = [
-            Listed(
-                ListedServer(f"n-{each:02}", "a", "std", each % 3, ServerState.READY, 1.0),
+            DiscoveredServer(
+                ServerDescription(f"n-{each:02}", "a", "std", each % 3, ServerState.READY, 1.0),
                 ("127.0.0.1", 9000 + each),
             )
             for each in range(NODES)
         ]
-        self._told(Told(1, True, lines))
+        self._told(EndpointList(1, True, lines))
 
     def fetch(self) -> None: ...
 
@@ -94,7 +94,7 @@
 
     def stop(self) -> None: ...
 
-    def standing(self) -> tuple[Standing, ...]:
+    def standing(self) -> tuple[SourceStatus, ...]:
         return ()
 
     def source_of(self, name: str) -> str:
@@ -129,7 +129,7 @@
     def now() -> int:
         return time.monotonic_ns() // 1000
 
-    servers = [ListedServer(f"n-{each:02}") for each in range(NODES)]
+    servers = [ServerDescription(f"n-{each:02}") for each in range(NODES)]
     made = []
     for number in range(first, first + count):
         each = Forwarding(f"f-{number}", [planner], now, number)
@@ -143,8 +143,8 @@
         await asyncio.sleep(0.1)
         for each in made[chance::10]:
             each.arrived("check")
-            each.sent(servers[chance].server)
-            each.ended(servers[chance].server, True, 50_000, {"inflight": 2.0, "queue": 0.0, "util": 0.5})
+            each.sent(servers[chance].name)
+            each.ended(servers[chance].name, True, 50_000, {"inflight": 2.0, "queue": 0.0, "util": 0.5})
             each.answered("check", True)
         chance = (chance + 1) % 10
         followed = sum(each.follower.trust(now()) > 0.0 for each in made)
--- a/benchmarks/quiet_forwarders.py
+++ b/benchmarks/quiet_forwarders.py
@@ -2,7 +2,7 @@
 
     .venv/bin/python -m benchmarks.quiet_forwarders [--forwarders 200] [--seeds 10] [--loads 0.6 0.7 0.8]
 
-In played time (standins.fleet.simulated): the real decision module, followers and planner; 15 nodes of three speeds,
+In played time (testbed.fleet.simulated): the real decision module, followers and planner; 15 nodes of three speeds,
 about one request a second a forwarder.  Error bars are two standard errors of the difference, seed by seed.
 """
 
@@ -16,8 +16,8 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from standins.fleet.simulated import START, Fleet, S, Service, service
-from topazbank.wirenames import settings_from_wire
+from testbed.fleet.simulated import START, Fleet, S, Service, service
+from topazbank.platform_names import settings_from_wire
 
 SPEEDS = (0.5, 1.0, 2.0)
 NODES, SLOTS = 15, 2
--- a/benchmarks/budget_use.py
+++ b/benchmarks/quota_use.py
@@ -1,6 +1,6 @@
 """How much of a fleet-wide budget is in use where demand moves: leases from keepers, one allocator, fixed parts.
 
-    python -m benchmarks.budget_use [--sizes 40 1000 5000] [--seconds 60] [--seeds 3] [--losses 0 0.2 0.4]
+    python -m benchmarks.quota_use [--sizes 40 1000 5000] [--seconds 60] [--seeds 3] [--losses 0 0.2 0.4]
 
 In one run, in played time: the part of the possible (by who knew all demand at once) that was spent, messages and bytes
 a member and second, and how far spending ran ahead of the whole's rate.
@@ -14,18 +14,18 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from standins.budget.played import Fleet, Result
-from topazbank.budget.rules import THOUSANDTHS, Budget
+from testbed.quota.virtual_time import Fleet, Result
+from topazbank.quota.rules import THOUSANDTHS, Quota
 
 SHIFT_S = 10.0  # demand stays with the same members for so long
 BUSY = 0.05  # of all members
 HEAD = f"{'way':<16}{'size':>6}{'loss':>6}{'in use':>8}{'msgs/s':>8}{'bytes/s':>9}{'ahead':>8}{'burst':>7}{'took s':>8}"
 
 
-def budget_of(members: int, way: str) -> Budget:
+def budget_of(members: int, way: str) -> Quota:
     """A whole of one a second for each member; a tenth of it floors, but where all is."""
     floor = THOUSANDTHS // 10
-    made = Budget("b", whole=members, burst=2 * members, floor=floor, members=members)
+    made = Quota("b", whole=members, burst=2 * members, floor=floor, members=members)
     if way == "fixed parts":
         return replace(made, floor=THOUSANDTHS)
     count = 1 if way == "one allocator" else max(3, min(16, members // 60))
@@ -50,7 +50,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="benchmarks.budget_use", description=(__doc__ or "").split("\n")[0])
+    parser = argparse.ArgumentParser(prog="benchmarks.quota_use", description=(__doc__ or "").split("\n")[0])
     parser.add_argument("--sizes", type=int, nargs="*", default=[40, 1000])
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--seeds", type=int, default=3)
--- a/standins/lodge/__main__.py
+++ b/testbed/backend/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one lodge node: `python -m standins.lodge --listen 127.0.0.1:9001 --protocol msgpack-rpc --log runs.jsonl`.
+"""Runs one lodge node: `python -m testbed.backend --listen 127.0.0.1:9001 --protocol msgpack-rpc --log runs.jsonl`.
 
 SIGTERM drains it: it takes nothing new, finishes what it holds and ends.
 """
@@ -11,9 +11,9 @@
 import signal
 import time
 
-from standins.lodge import SPEEDS, Lodge, LodgeServer, RunLog
-from standins.lodge.model import COLD_S
-from standins.wire import HTTP, MSGPACK_RPC, place
+from testbed.backend import SPEEDS, Lodge, LodgeServer, RunLog
+from testbed.backend.model import COLD_S
+from testbed.wire import HTTP, MSGPACK_RPC, place
 
 
 async def run(given: argparse.Namespace) -> None:
@@ -45,7 +45,7 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(prog="standins.lodge", description=__doc__)
+    parser = argparse.ArgumentParser(prog="testbed.backend", description=__doc__)
     parser.add_argument("--listen", default="127.0.0.1:0", metavar="HOST:PORT")
     parser.add_argument("--name", default="lodge-1")
     parser.add_argument("--protocol", choices=(HTTP, MSGPACK_RPC), default=HTTP)
--- a/standins/lodge/model.py
+++ b/testbed/backend/model.py
@@ -9,7 +9,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import IO
 
-from standins.wire import Asked, Reply
+from testbed.wire import Asked, Reply
 
 SPEEDS = {"slow": 0.5, "std": 1.0, "fast": 2.0}  # work done in a second, by kind of machine
 COLD_FROM, COLD_S = 0.14, 22.0  # a node that starts can do this part of its work, and all of it so much later
--- a/standins/lodge/server.py
+++ b/testbed/backend/server.py
@@ -7,8 +7,8 @@
 
 import msgpack
 
-from standins.lodge.model import Lodge
-from standins.wire import HTTP, Listening, Reply, pack, place, read_http, read_rpc, reset
+from testbed.backend.model import Lodge
+from testbed.wire import HTTP, Listening, Reply, pack, place, read_http, read_rpc, reset
 
 
 class LodgeServer(Listening):
--- a/standins/clients/__init__.py
+++ b/testbed/clients/__init__.py
@@ -10,7 +10,7 @@
 
 import msgpack
 
-from standins.wire import HTTP, Address, pack, read_http
+from testbed.wire import HTTP, Address, pack, read_http
 
 _GRACE_S = 1.0  # beyond its budget, how long a client waits before it takes the answer for lost
 
--- a/standins/tier/__init__.py
+++ b/testbed/cluster/__init__.py
@@ -1,4 +1,4 @@
 """Many processes of the program as one tier, with faults between any two: on sockets and in played time.
 
-python -m standins.tier [SCENE ...] --sidecars N --seed S [--played]
+python -m testbed.cluster [SCENE ...] --sidecars N --seed S [--played]
 """
--- a/standins/tier/__main__.py
+++ b/testbed/cluster/__main__.py
@@ -1,6 +1,6 @@
 """Plays the failure scenes of a tier over real processes, or in played time, and judges them.
 
-    python -m standins.tier [SCENE ...] [--sidecars 5] [--seed 1] [--seeds 1] [--pace 1.0] [--played] [--off]
+    python -m testbed.cluster [SCENE ...] [--sidecars 5] [--seed 1] [--seeds 1] [--pace 1.0] [--played] [--off]
 
 Without a scene all are played.  One line a scene; what was done to whom and when goes to --notes FILE as JSON lines.
 The last line is PASSED, or FAILED with the scene, what was wrong and the seed; exit code 0 or 1.
@@ -16,11 +16,11 @@
 from collections.abc import Sequence
 from dataclasses import asdict
 
-from standins.fleet.judge import Verdicts
-from standins.tier.judge import Found
-from standins.tier.played import Played
-from standins.tier.rig import Rig
-from standins.tier.scenes import SCENES
+from testbed.cluster.harness import Rig
+from testbed.cluster.invariants import Found
+from testbed.cluster.scenarios import SCENES
+from testbed.cluster.virtual_time import Played
+from testbed.fleet.invariants import Verdicts
 
 HEAD = f"{'scene':<22}{'seed':>5}{'false gone':>11}{'known s':>9}{'equal s':>9}{'doubted':>9}{'back':>6}"
 CALLS = f"{'calls':>8}{'served':>9}{'lost':>6}{'rules':>7}"
@@ -81,7 +81,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="standins.tier", description=(__doc__ or "").split("\n")[0])
+    parser = argparse.ArgumentParser(prog="testbed.cluster", description=(__doc__ or "").split("\n")[0])
     parser.add_argument("scenes", nargs="*", metavar="SCENE", help=", ".join(SCENES))
     parser.add_argument("--sidecars", type=int, default=5)
     parser.add_argument("--seed", type=int, default=1)
--- a/standins/tier/ways.py
+++ b/testbed/cluster/detectors.py
@@ -14,12 +14,12 @@
 from statistics import NormalDist
 from typing import Any
 
+from topazbank.cluster.failure_detector import Change, Out
+from topazbank.cluster.member import MemberRecord, MemberState, ident_of
+from topazbank.cluster.member_table import Table
+from topazbank.cluster.rules import Rules
+from topazbank.cluster.wire import Kind, Message
 from topazbank.core.net import Address
-from topazbank.tier.detector import Change, Out
-from topazbank.tier.member import Record, State, ident_of
-from topazbank.tier.rules import Rules
-from topazbank.tier.table import Table
-from topazbank.tier.wire import Kind, Message
 
 GAPS_KEPT = 100  # between heartbeats of one member, for its distribution
 PHI_GONE = 8.0  # the level of doubt at which a member is gone: one wrong in 10^8 by the fitted distribution
@@ -54,7 +54,7 @@
         self.heard_from(now, message.sender)
         old = self.table.records.get(message.sender)
         if old is None or not old.counts or old.life < message.life:
-            self._hold(now, Record(message.sender, message.life, 0, State.HERE, source))
+            self._hold(now, MemberRecord(message.sender, message.life, 0, MemberState.HERE, source))
         return []
 
     def heard_from(self, now: int, ident: int) -> None:
@@ -67,9 +67,9 @@
     def _judge(self, now: int) -> None:
         for ident, record in list(self.table.records.items()):
             if record.counts and self.is_over(now, ident):
-                self._hold(now, replace(record, state=State.GONE))
+                self._hold(now, replace(record, state=MemberState.GONE))
 
-    def _hold(self, now: int, record: Record) -> None:
+    def _hold(self, now: int, record: MemberRecord) -> None:
         old = self.table.records.get(record.ident)
         self.table.put(now, record)
         self.changes.append(Change(now, record.ident, old.state if old else None, record.state, record, ""))
@@ -124,7 +124,7 @@
         before = len(self._gone)
         for ident, record in list(self.table.records.items()):
             if record.counts and self.is_over(now, ident):
-                self._hold(now, replace(record, state=State.GONE))
+                self._hold(now, replace(record, state=MemberState.GONE))
                 self._gone[ident] = now
         if len(self._gone) == before:
             return []
@@ -145,12 +145,14 @@
             self._gone.pop(message.sender, None)
             old = self.table.records[message.sender]
             if not old.counts:
-                self._hold(now, replace(old, state=State.HERE))
+                self._hold(now, replace(old, state=MemberState.HERE))
             return [Out(source, self._told(now))]
         gone = {each.ident for each in message.news}
         for ident, record in list(self.table.records.items()):
             if (ident in gone) is record.counts:
-                self._hold(now, replace(record, state=State.GONE if ident in gone else State.HERE))
+                self._hold(
+                    now, replace(record, state=MemberState.GONE if ident in gone else MemberState.HERE)
+                )
         return []
 
 
@@ -186,9 +188,9 @@
         mine = [each for each in self._subjects if now - self._answered.get(each, self._began) > late]
         mine = [each for each in mine if self.table.records[each].counts]
         if mine:  # told again until it is settled, since any may be lost
-            out += self._to_all(now, State.SUSPECTED, mine)
+            out += self._to_all(now, MemberState.SUSPECTED, mine)
         if self._vote:
-            out += self._to_all(now, State.GONE, self._vote)
+            out += self._to_all(now, MemberState.GONE, self._vote)
         return out
 
     def _watched(self) -> list[int]:
@@ -200,17 +202,17 @@
                 self._observers.setdefault(each, []).append(before)
         return [each for each in self.table.records if self.me in self._observers[each]]
 
-    def _to(self, ident: int, kind: Kind, news: tuple[Record, ...] = ()) -> Out:
+    def _to(self, ident: int, kind: Kind, news: tuple[MemberRecord, ...] = ()) -> Out:
         self._count += 1
         address = self.table.records[ident].address
         assert address is not None
         return Out(address, Message(kind, self.me, self.life, 0, self._count, news=news))
 
-    def _to_all(self, now: int, state: State, idents: Any) -> list[Out]:
+    def _to_all(self, now: int, state: MemberState, idents: Any) -> list[Out]:
         news = tuple(replace(self.table.records[each], state=state) for each in sorted(idents))
         for each in idents:
             self._hear(now, state, self.me, each)
-        if state is State.GONE:
+        if state is MemberState.GONE:
             self._voted(now, self.me, frozenset(idents))
         return [self._to(each, Kind.TELL, news) for each, known in self.table.records.items() if known.counts]
 
@@ -220,13 +222,17 @@
         self._answered[message.sender] = now
         for each in message.news:
             self._hear(now, each.state, message.sender, each.ident)
-        voted = frozenset(each.ident for each in message.news if each.state is State.GONE)
+        voted = frozenset(each.ident for each in message.news if each.state is MemberState.GONE)
         if voted:
             self._voted(now, message.sender, voted)
         return []
 
-    def _hear(self, now: int, state: State, by: int, ident: int) -> None:
-        if state is State.SUSPECTED and ident in self.table.records and self.table.records[ident].counts:
+    def _hear(self, now: int, state: MemberState, by: int, ident: int) -> None:
+        if (
+            state is MemberState.SUSPECTED
+            and ident in self.table.records
+            and self.table.records[ident].counts
+        ):
             self._alerts.setdefault(ident, set()).add(by)
             counts = {
                 i: sum(one in by for one in self._observers.get(i, ())) for i, by in self._alerts.items()
@@ -243,8 +249,8 @@
             return
         for ident in vote & self.table.records.keys():
             old = self.table.records[ident]
-            self.table.put(now, replace(old, state=State.GONE))
-            self.changes.append(Change(now, ident, old.state, State.GONE, old, "agreed"))
+            self.table.put(now, replace(old, state=MemberState.GONE))
+            self.changes.append(Change(now, ident, old.state, MemberState.GONE, old, "agreed"))
             self._alerts.pop(ident, None)
         self._vote = frozenset()
         self._votes.clear()
--- a/standins/tier/rig.py
+++ b/testbed/cluster/harness.py
@@ -17,18 +17,18 @@
 from pathlib import Path
 from typing import Any
 
-from standins.fleet.calling import Clients
-from standins.fleet.judge import Reached, Verdicts, Word
-from standins.fleet.judge import judge as judge_rules
-from standins.fleet.proxy import Proxy
-from standins.lodge import Lodge, LodgeServer, Memory, RunLog
-from standins.ports import free, own_host
-from standins.registry import Registry
-from standins.tier.judge import Done, Found, Looked, Noted, judge
-from standins.tier.relay import Relay
-from standins.tier.scenes import NODES, PAUSE_BORNE_S, REGISTRY, Script, Step
-from standins.wire import HTTP, MSGPACK_RPC, Address, Asked, place
-from topazbank.tier.__main__ import ask_tier
+from testbed.backend import Lodge, LodgeServer, Memory, RunLog
+from testbed.cluster.invariants import Done, Found, Looked, Noted, judge
+from testbed.cluster.relay import Relay
+from testbed.cluster.scenarios import NODES, PAUSE_BORNE_S, REGISTRY, Script, Step
+from testbed.fleet.calling import Clients
+from testbed.fleet.invariants import Reached, Verdicts, Word
+from testbed.fleet.invariants import judge as judge_rules
+from testbed.fleet.proxy import Proxy
+from testbed.ports import free, own_host
+from testbed.registry import Registry
+from testbed.wire import HTTP, MSGPACK_RPC, Address, Asked, place
+from topazbank.cluster.__main__ import ask_tier
 
 ROOT = Path(__file__).parent.parent.parent
 EXAMPLE = ROOT / "deploy" / "example.json"
@@ -105,7 +105,7 @@
         """
         self._more, self._hammer = more, hammer
         self.count, self.seed, self.on, self._rate = members, seed, on, rate
-        self.group_size = members  # as the settings tell it
+        self.fleet_size = members  # as the settings tell it
         self._folder = tempfile.TemporaryDirectory(prefix="tier-")
         root, host = Path(self._folder.name), own_host()
         listens = free(host, 3 * members)  # for clients, and for operators of two processes
@@ -193,7 +193,7 @@
         peers = [place(each) for each in self.relay.doors]
         peers[member.number] = place(member.hears)
         given = json.loads(EXAMPLE.read_text(encoding="utf-8"))
-        given["settings"] |= {"groupSize": self.group_size, "me": member.number}
+        given["settings"] |= {"groupSize": self.fleet_size, "me": member.number}
         given["settings"]["bounds"] |= {"mayTell": True}
         given |= {"listen": place(member.listen), "discovery": place(self.ways[REGISTRY].address)}
         given |= {"peer_listen": place(member.hears), "peers": peers, "seed": f"{member.number + 1:016x}"}
--- a/standins/tier/judge.py
+++ b/testbed/cluster/invariants.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from standins.tier.scenes import Script
+from testbed.cluster.scenarios import Script
 
 REFOUND_S = 2.0  # a process that wakes or is reached again is back by then
 KNOWN_S = 4.0  # a killed one is known to all by then
--- a/standins/tier/relay.py
+++ b/testbed/cluster/relay.py
@@ -7,8 +7,8 @@
 from collections import Counter
 from typing import Any
 
-from standins.ports import own_host
-from standins.wire import Address
+from testbed.ports import own_host
+from testbed.wire import Address
 
 
 class _Door(asyncio.DatagramProtocol):
--- a/standins/tier/crowd.py
+++ b/testbed/cluster/synthetic_peers.py
@@ -12,10 +12,10 @@
 import random
 from typing import Any
 
-from standins.wire import Address
-from topazbank.tier.member import Record, ident_of
-from topazbank.tier.rules import Rules
-from topazbank.tier.wire import BadMessage, Kind, Message, decode, encode, records_in
+from testbed.wire import Address
+from topazbank.cluster.member import MemberRecord, ident_of
+from topazbank.cluster.rules import Rules
+from topazbank.cluster.wire import BadMessage, Kind, Message, decode, encode, records_in
 
 LIFE = 1_800_000_000_000
 PORT = 7946
@@ -48,7 +48,7 @@
     async def introduce(self) -> None:
         """Tell the sidecar of all, no faster than it reads."""
         records = [
-            Record(ident_of(str(number)), LIFE, 0, address=address)
+            MemberRecord(ident_of(str(number)), LIFE, 0, address=address)
             for number, address in enumerate(self.addresses, start=1)
         ]
         room = records_in(Rules().datagram)
--- a/standins/tier/played.py
+++ b/testbed/cluster/virtual_time.py
@@ -10,15 +10,15 @@
 from functools import partial
 from typing import Any
 
-from standins.played import PlayedTime
-from standins.tier.judge import Done, Found, Looked, Noted, judge
-from standins.tier.scenes import Script, Step
+from testbed.cluster.invariants import Done, Found, Looked, Noted, judge
+from testbed.cluster.scenarios import Script, Step
+from testbed.virtual_time import PlayedTime
+from topazbank.cluster.failure_detector import FailureDetector, Out
+from topazbank.cluster.member import MemberRecord, MemberState, ident_of, mark_of
+from topazbank.cluster.rules import Rules
+from topazbank.cluster.view import View
+from topazbank.cluster.wire import Message, encode
 from topazbank.core.net import Address
-from topazbank.tier.detector import Detector, Out
-from topazbank.tier.member import Record, State, ident_of, mark_of
-from topazbank.tier.rules import Rules
-from topazbank.tier.view import View
-from topazbank.tier.wire import Message, encode
 
 LOOK_EVERY_S = 0.25
 STOPPED_KEPT = 300  # datagrams that wait for a process that stands still, as its socket's buffer would hold
@@ -34,7 +34,7 @@
     """One process."""
 
     number: int
-    detector: Detector
+    detector: FailureDetector
     view: View
     began: float
     stopped_until: float = 0.0
@@ -43,7 +43,7 @@
     late_s: float = 0.0  # how late each of its steps is, while the machine is busy
 
 
-Maker = Callable[..., Detector]
+Maker = Callable[..., FailureDetector]
 
 
 class Played(PlayedTime):
@@ -54,7 +54,7 @@
         members: int,
         seed: int,
         rules: Rules | None = None,
-        make: Maker = Detector,
+        make: Maker = FailureDetector,
         measured: bool = False,
         settled: bool = False,
     ) -> None:
@@ -77,9 +77,9 @@
         for number in range(members):
             self.start(number, base)
 
-    def _settled(self) -> dict[int, Record]:
+    def _settled(self) -> dict[int, MemberRecord]:
         return {
-            ident: Record(ident, EPOCH, 0, State.HERE, address_of(number))
+            ident: MemberRecord(ident, EPOCH, 0, MemberState.HERE, address_of(number))
             for ident, number in self.idents.items()
         }
 
@@ -90,7 +90,7 @@
 
     # -- Processes -------------------------------------------------------------------------------------
 
-    def start(self, number: int, known: Mapping[int, Record] | None = None) -> None:
+    def start(self, number: int, known: Mapping[int, MemberRecord] | None = None) -> None:
         self._lives += 1
         life = EPOCH if known is not None else EPOCH + int(self.now * 1000) + self._lives
         seeds = [address_of(each) for each in range(min(self.members, 64)) if each != number]
@@ -111,7 +111,7 @@
         self._arm(process, self.now + self.random.random() * self.rules.period_us / 1e6)
 
     @staticmethod
-    def _know(detector: Detector, known: Mapping[int, Record], digest: int) -> None:
+    def _know(detector: FailureDetector, known: Mapping[int, MemberRecord], digest: int) -> None:
         """Let it know all others, as after a long time together."""
         detector.table.settle(known, digest, detector.me)
 
--- a/standins/demo/__main__.py
+++ b/testbed/demo/__main__.py
@@ -22,15 +22,15 @@
 from pathlib import Path
 from typing import Any
 
-from standins.clients import Caller, Wish, caller
-from standins.lodge import SPEEDS, Lodge, LodgeServer, Memory, RunLog
-from standins.ports import free, own_host
-from standins.registry import Registry
-from standins.wire import HTTP, MSGPACK_RPC, Address, Asked, place
-from standins.zookeeper import Ensemble
-from topazbank.membership.registrar import Registrar
-from topazbank.membership.roster import Registration
-from topazbank.membership.zkclient import Ensemble as Where
+from testbed.backend import SPEEDS, Lodge, LodgeServer, Memory, RunLog
+from testbed.clients import Caller, Wish, caller
+from testbed.ports import free, own_host
+from testbed.registry import Registry
+from testbed.wire import HTTP, MSGPACK_RPC, Address, Asked, place
+from testbed.zookeeper import Ensemble
+from topazbank.discovery.registrar import Registrar
+from topazbank.discovery.roster import Registration
+from topazbank.discovery.zkclient import Ensemble as Where
 
 ROOT = Path(__file__).parent.parent.parent
 EXAMPLE = ROOT / "deploy" / "example.json"
@@ -314,7 +314,7 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="standins.demo", description=__doc__)
+    parser = argparse.ArgumentParser(prog="testbed.demo", description=__doc__)
     parser.add_argument("--seconds", type=float, default=12.0)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--membership", choices=("registry", "zookeeper"), default="registry")
--- a/standins/fleet/__main__.py
+++ b/testbed/fleet/__main__.py
@@ -1,7 +1,7 @@
 """Replays failure cases over a fleet and judges them by the four rules.
 
-    python -m standins.fleet [SCENE ...] [--pace 1.0] [--rate 150] [--seeds 3]
-    python -m standins.fleet --outage 300
+    python -m testbed.fleet [SCENE ...] [--pace 1.0] [--rate 150] [--seeds 3]
+    python -m testbed.fleet --outage 300
 
 Without a scene all are played, one after the other.  The last line of each is what broke a rule, if anything did.
 """
@@ -12,8 +12,8 @@
 import asyncio
 import sys
 
-from standins.fleet.judge import Verdicts
-from standins.fleet.scenes import PLANNED, SCENES, outage_beside_fixed_list, play
+from testbed.fleet.invariants import Verdicts
+from testbed.fleet.scenarios import PLANNED, SCENES, outage_beside_fixed_list, play
 
 HEAD = (
     f"{'':<32}{'seed':>5}{'calls':>8}{'served':>9}{'in aim':>9}{'refused':>9}{'failed':>8}{'lost':>6}  rules"
@@ -34,7 +34,7 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="standins.fleet", description=__doc__)
+    parser = argparse.ArgumentParser(prog="testbed.fleet", description=__doc__)
     parser.add_argument("scenes", nargs="*", choices=[*SCENES, *PLANNED, []], default=[])
     parser.add_argument("--pace", type=float, default=1.0, help="seconds that a step lasts")
     parser.add_argument("--rate", type=float, default=150.0, help="calls a second")
--- a/standins/fleet/calling.py
+++ b/testbed/fleet/calling.py
@@ -10,12 +10,12 @@
 from dataclasses import replace
 from typing import Any
 
-from standins.clients import Caller, Wish, caller
-from standins.fleet.judge import Called, Word
-from standins.wire import HTTP, Address
-from topazbank.core.driver import Config, Wiring
-from topazbank.core.members import Told
-from topazbank.interface import ServerState
+from testbed.clients import Caller, Wish, caller
+from testbed.fleet.invariants import Called, Word
+from testbed.wire import HTTP, Address
+from topazbank.balancing.events import ServerState
+from topazbank.core.driver import Components, SidecarConfig
+from topazbank.core.endpoint_source import EndpointList
 
 KINDS, MIX = ("check", "amend", "lodge"), (6, 1, 3)
 BUDGETS_S = {"check": 2.0, "amend": 2.0, "lodge": 2.5}
@@ -100,11 +100,11 @@
         self.words: list[Word] = []
         self._everyone = everyone
 
-    def overhear(self, wiring: Wiring, number: int) -> Wiring:
+    def overhear(self, wiring: Components, number: int) -> Components:
         """The same wiring, with its source's words noted as the sidecar's of this number."""
 
-        def source(config: Config, told: Callable[[Told | None], None]) -> Any:
-            def hear(what: Told | None) -> None:
+        def source(config: SidecarConfig, told: Callable[[EndpointList | None], None]) -> Any:
+            def hear(what: EndpointList | None) -> None:
                 if what is not None:
                     self.hear(number, what)
                 told(what)
@@ -114,10 +114,10 @@
         made = wiring.source
         return replace(wiring, source=source)
 
-    def hear(self, number: int, told: Told) -> None:
+    def hear(self, number: int, told: EndpointList) -> None:
         at, said = now(), set()
         for line in told.lines:
-            said.add(line.server.server)
-            self.words.append(Word(at, number, line.server.server, line.server.state is ServerState.READY))
+            said.add(line.server.name)
+            self.words.append(Word(at, number, line.server.name, line.server.state is ServerState.READY))
         if told.complete:
             self.words += [Word(at, number, name, False) for name in self._everyone() - said]
--- a/standins/fleet/rig.py
+++ b/testbed/fleet/harness.py
@@ -12,25 +12,25 @@
 from pathlib import Path
 from typing import Any
 
-from standins.fleet.calling import Clients, Ears, now
-from standins.fleet.judge import Reached, Verdicts, judge
-from standins.fleet.proxy import Proxy
-from standins.lodge import SPEEDS, Lodge, LodgeServer, Memory, RunLog
-from standins.wire import HTTP, MSGPACK_RPC, Address, Asked
-from standins.zookeeper import Ensemble
-from topazbank.core.driver import Config, Sidecar
-from topazbank.core.members import Listed, Standing, Told
-from topazbank.interface import ListedServer, ServerState
-from topazbank.membership.registrar import Registrar
-from topazbank.membership.registrar import Standing as NodeStanding
-from topazbank.membership.roster import Registration
-from topazbank.membership.zkclient import Ensemble as Where
-from topazbank.operator import ZOOKEEPER, Membership, MsgpackRpc, Operator, Planning, ZooKeeper
+from testbed.backend import SPEEDS, Lodge, LodgeServer, Memory, RunLog
+from testbed.fleet.calling import Clients, Ears, now
+from testbed.fleet.invariants import Reached, Verdicts, judge
+from testbed.fleet.proxy import Proxy
+from testbed.wire import HTTP, MSGPACK_RPC, Address, Asked
+from testbed.zookeeper import Ensemble
+from topazbank.balancing.events import ServerDescription, ServerState
+from topazbank.core.driver import Sidecar, SidecarConfig
+from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, SourceStatus
+from topazbank.discovery.registrar import Registrar
+from topazbank.discovery.registrar import Standing as NodeStanding
+from topazbank.discovery.roster import Registration
+from topazbank.discovery.zkclient import Ensemble as Where
+from topazbank.operator_config import ZOOKEEPER, Membership, MsgpackRpc, OperatorConfig, Planning, ZooKeeper
 from topazbank.planning.election import Election
 from topazbank.planning.forwarder import Forwarding
 from topazbank.planning.plan import Following
 from topazbank.planning.server import PlannerServer
-from topazbank.wirenames import settings_from_wire
+from topazbank.platform_names import settings_from_wire
 from topazbank.wiring import membership_source, wire
 
 EXAMPLE = Path(__file__).parent.parent.parent / "deploy" / "example.json"
@@ -54,8 +54,8 @@
 
     def stop(self) -> None: ...
 
-    def standing(self) -> tuple[Standing, ...]:
-        return (Standing("fixed", False, None),)
+    def standing(self) -> tuple[SourceStatus, ...]:
+        return (SourceStatus("fixed", False, None),)
 
     def source_of(self, name: str) -> str:
         return "fixed"
@@ -200,11 +200,11 @@
     def session_of(self, name: str) -> int:
         return self.registrars[name]._session.ident
 
-    def _list(self) -> list[Listed]:
+    def _list(self) -> list[DiscoveredServer]:
         """The nodes as a list from before a start."""
         return [
-            Listed(
-                ListedServer(
+            DiscoveredServer(
+                ServerDescription(
                     name,
                     "a",
                     server.kind,
@@ -221,9 +221,9 @@
 
     # -- Sidecars --------------------------------------------------------------------------------------
 
-    async def start_sidecar(self, number: int, known: list[Listed]) -> None:
+    async def start_sidecar(self, number: int, known: list[DiscoveredServer]) -> None:
         ways = [await self._way(number, planner) for planner in range(len(self.planners))]
-        operator = Operator(
+        operator = OperatorConfig(
             MsgpackRpc(clients=True, nodes=True),
             membership=self._membership(),
             planning=Planning(tuple(ways), f"f-{number}"),
@@ -233,13 +233,13 @@
         if self.fixed:
             wiring = replace(wiring, source=lambda config, told: Silent())
         wiring = self.ears.overhear(wiring, number)
-        config = Config(
+        config = SidecarConfig(
             self._addresses[number],
             ("127.0.0.1", 9),
             self.random.randrange(2**32),
             512,
             self._settings,
-            Told(0, True, known),
+            EndpointList(0, True, known),
         )
         self.ears.hear(number, config.known)
         sidecar, stop = Sidecar(config, wiring), asyncio.Event()
@@ -254,8 +254,8 @@
         assert process is not None
         self.processes[number] = None  # its clients wait for the next life
         known = [
-            Listed(
-                ListedServer(
+            DiscoveredServer(
+                ServerDescription(
                     each.name,
                     server.zone,
                     "",
--- a/standins/fleet/judge.py
+++ b/testbed/fleet/invariants.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from standins.lodge import Run
+from testbed.backend import Run
 
 ATTEMPTS_MOST = 3
 GRACE_S = 0.5  # after being told that a node drains or is gone
--- a/standins/fleet/proxy.py
+++ b/testbed/fleet/proxy.py
@@ -5,7 +5,7 @@
 import asyncio
 import contextlib
 
-from standins.wire import Address, Listening
+from testbed.wire import Address, Listening
 
 _CHUNK = 64 * 1024
 _QUEUE_MOST = 1_000  # chunks held back each way; what comes then waits in the kernel
--- a/standins/fleet/scenes.py
+++ b/testbed/fleet/scenarios.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from standins.fleet.rig import Rig, until
+from testbed.fleet.harness import Rig, until
 
 COLD_S = 22.0  # a node that starts is at 14% of its work, and warm so much later
 Scene = Callable[[Rig, float], Awaitable[None]]
--- a/standins/fleet/simulated.py
+++ b/testbed/fleet/simulated.py
@@ -14,24 +14,19 @@
 from dataclasses import dataclass, field
 
 from topazbank import Balancer
-from topazbank.interface import (
-    Action,
+from topazbank.balancing.actions import Action, CancelAttempt, Fail, Reject, SendAttempt, SetTimer
+from topazbank.balancing.events import (
     AttemptEnded,
-    Cancel,
+    EndpointsUpdated,
     Event,
-    Fail,
-    ListedServer,
-    ListKind,
     Outcome,
-    Refuse,
     RequestArrived,
-    Send,
-    ServersListed,
+    ServerDescription,
     ServerState,
-    SetTimer,
-    Settings,
     TimerFired,
+    UpdateKind,
 )
+from topazbank.balancing.settings import Settings
 from topazbank.planning.plan import Follower, Plan
 from topazbank.planning.planner import Member, Planner
 from topazbank.planning.summary import Collector, Summary
@@ -84,11 +79,11 @@
     def take(self, job: Job) -> None:
         if not self.up or self.fallen:
             if not self.up:
-                job.done(Outcome.DIAL_FAILED, None)
+                job.done(Outcome.CONNECT_FAILED, None)
             return  # a node that fell says nothing
         self._offer(job.work)
         if len(self._waiting) >= 20 * self.slots:
-            job.done(Outcome.FULL, self._report())
+            job.done(Outcome.REJECTED, self._report())
         elif self.busy < self.slots:
             self._begin(job)
         else:
@@ -112,7 +107,7 @@
 
     def _end(self, job: Job, life: int | None) -> None:
         if life != self.began or not self.up:
-            job.done(Outcome.DROPPED, None)
+            job.done(Outcome.CONNECTION_LOST, None)
             return
         self.busy -= 1
         self.served += 1
@@ -158,12 +153,12 @@
         self.ready: set[str] = set()
         self._idents = itertools.count(1)
 
-    def listed(self, lines: list[ListedServer], kind: ListKind = ListKind.CHANGES) -> None:
+    def listed(self, lines: list[ServerDescription], kind: UpdateKind = UpdateKind.DELTA) -> None:
         for line in lines:
-            (self.ready.add if line.state is ServerState.READY else self.ready.discard)(line.server)
+            (self.ready.add if line.state is ServerState.READY else self.ready.discard)(line.name)
         if self.follower is not None:
             self.follower.listed(self.ready)
-        self.play(ServersListed(kind, lines, 1))
+        self.play(EndpointsUpdated(kind, lines, 1))
 
     def ask(self, asked: Asked) -> None:
         ident = next(self._idents)
@@ -186,15 +181,15 @@
                     waiting.append(caused)
 
     def _carry(self, action: Action) -> Event | None:
-        if isinstance(action, Send):
+        if isinstance(action, SendAttempt):
             self._send(action)
         elif isinstance(action, SetTimer):
             self.fleet.at(self.fleet.now + max(action.in_us, 1), self.play, TimerFired(action.token))
-        elif isinstance(action, Refuse | Fail):
+        elif isinstance(action, Reject | Fail):
             asked = self.asked.get(action.request)
             if asked is not None and not asked.verdict:
-                self._answer(asked, "refused" if isinstance(action, Refuse) else "failed")
-        elif isinstance(action, Cancel):
+                self._answer(asked, "refused" if isinstance(action, Reject) else "failed")
+        elif isinstance(action, CancelAttempt):
             asked = self.asked.get(action.request)
             if asked is not None and action.attempt in asked.out:
                 asked.out.discard(action.attempt)
@@ -207,7 +202,7 @@
         asked.verdict, asked.ended_at = verdict, self.fleet.now
         (self.collector.served if verdict == "served" else self.collector.turned_away)(asked.kind)
 
-    def _send(self, action: Send) -> None:
+    def _send(self, action: SendAttempt) -> None:
         asked = self.asked[action.request]
         index, asked.attempts = asked.attempts, asked.attempts + 1
         asked.out.add(index)
@@ -215,7 +210,7 @@
         sent_at = self.fleet.now
 
         def ended(outcome: Outcome, report: dict[str, float] | None) -> None:
-            if outcome is not Outcome.EXPIRED:
+            if outcome is not Outcome.TIMED_OUT:
                 self.fleet.at(self.fleet.now + NET, over, outcome, report)
             else:
                 over(outcome, report)
@@ -239,9 +234,9 @@
         node = self.fleet.nodes[action.server]
         self.fleet.at(self.fleet.now + NET, node.take, Job(asked.work, ended))
         self.fleet.at(
-            max(action.until or 0, self.fleet.now) or asked.sent_at + asked.budget,
+            max(action.give_up_at or 0, self.fleet.now) or asked.sent_at + asked.budget,
             ended,
-            Outcome.EXPIRED,
+            Outcome.TIMED_OUT,
             None,
         )
 
@@ -294,7 +289,7 @@
         ]
         lines = [self._line(each) for each in self.nodes.values()]
         for forwarder in self.forwarders:
-            forwarder.listed(lines, ListKind.REMEMBERED)
+            forwarder.listed(lines, UpdateKind.CACHED)
             if planners:
                 self.at(self.now + self.random.randrange(S // 4), forwarder.tell)
         for planner in self.planners:
@@ -302,9 +297,9 @@
         if self.planners:
             self.planners[0].lead(1)
 
-    def _line(self, node: Node) -> ListedServer:
-        state = ServerState.READY if node.up else ServerState.GONE
-        return ListedServer(node.name, "a", "std", node.pod, state, node.speed, node.began)
+    def _line(self, node: Node) -> ServerDescription:
+        state = ServerState.READY if node.up else ServerState.REMOVED
+        return ServerDescription(node.name, "a", "std", node.pod, state, node.speed, node.began)
 
     def _members(self) -> dict[str, Member]:
         return {
@@ -392,7 +387,7 @@
 
 
 def service(fleet: Fleet, since: int, until: int) -> Service:
-    aims = {each.name: each.aim_us for each in fleet.settings.classes}
+    aims = {each.name: each.latency_objective_us for each in fleet.settings.classes}
     calls = [each for each in fleet.done if since <= each.sent_at < until]
     verdicts = Counter(each.verdict for each in calls)
     times = sorted(each.ended_at - each.sent_at for each in calls if each.verdict == "served")
--- a/standins/fleet/crowd.py
+++ b/testbed/fleet/synthetic_peers.py
@@ -1,11 +1,12 @@
 """Thousands of quiet sidecars on one machine: what all of them together open, probe, ask and tell.
 
-    python -m standins.fleet.crowd [SCENE ...] [--sidecars 1000] [--workers 6] [--nodes 60] [--rate 0.3]
+    python -m testbed.fleet.synthetic_peers [SCENE ...] [--sidecars 1000] [--workers 6] [--nodes 60] [--rate 0.3]
 
 Scenes: `calm`; `restart`, in which all sidecars end and come back at once with their last list, two fifths of it dead;
 `outage`, in which the registry answers nothing but 503 for a while.  Each ends with the counts beside what
 `topazbank.core.bounds` allows, and the program with 1 where a count is beyond its bound.  Sidecars and their clients
-live in worker processes, nodes in others (`python -m standins.fleet.crowd worker|nodes SPEC`, each told a word a line).
+live in worker processes, nodes in others (`python -m testbed.fleet.synthetic_peers worker|nodes SPEC`,
+each given one word a line).
 """
 
 from __future__ import annotations
@@ -24,20 +25,22 @@
 from dataclasses import asdict, dataclass, field, replace
 from typing import Any
 
-from standins.clients import HttpCaller, Wish
-from standins.fleet.child import LINE_MOST, Child
-from standins.fleet.rig import EXAMPLE
-from standins.lodge import Lodge, LodgeServer, RunLog
-from standins.registry import Registry
-from standins.wire import Address, Asked
-from topazbank.balancer import Balancer
+from testbed.backend import Lodge, LodgeServer, RunLog
+from testbed.clients import HttpCaller, Wish
+from testbed.fleet.child import LINE_MOST, Child
+from testbed.fleet.harness import EXAMPLE
+from testbed.registry import Registry
+from testbed.wire import Address, Asked
+from topazbank.balancing.actions import Action, CheckHealth, Fail, Reject, SendAttempt, SendGossip
+from topazbank.balancing.balancer import Balancer
+from topazbank.balancing.events import EndpointsUpdated, Event
+from topazbank.balancing.settings import Settings
 from topazbank.core.bounds import Fleet, bounds
-from topazbank.core.driver import Config, Sidecar
+from topazbank.core.driver import Sidecar, SidecarConfig
 from topazbank.core.trace import Trace
-from topazbank.interface import Action, Event, Fail, Probe, Refuse, Send, ServersListed, Settings, Tell
-from topazbank.membership.list_format import parse_list
-from topazbank.operator import Operator
-from topazbank.wirenames import settings_from_wire
+from topazbank.discovery.list_format import parse_list
+from topazbank.operator_config import OperatorConfig
+from topazbank.platform_names import settings_from_wire
 from topazbank.wiring import wire
 
 SOCKETS = 256  # of each sidecar
@@ -73,16 +76,16 @@
         self._counts = counts
 
     def noted(self, now: int, event: Event, actions: Sequence[Action]) -> None:
-        if isinstance(event, ServersListed):
+        if isinstance(event, EndpointsUpdated):
             self._counts["lines"] += len(event.servers)
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendAttempt):
                 self._counts["sends"] += 1
-            elif isinstance(action, Probe):
+            elif isinstance(action, CheckHealth):
                 self._counts["probes"] += 1
-            elif isinstance(action, Refuse | Fail):
+            elif isinstance(action, Reject | Fail):
                 self._counts["turned away"] += 1
-            elif isinstance(action, Tell):
+            elif isinstance(action, SendGossip):
                 self._counts["tells"] += 1
 
 
@@ -102,10 +105,10 @@
 
     async def start(self, known: dict[str, Any]) -> None:
         """All at once, each with this list."""
-        counted = replace(wire(Operator()), trace=lambda balancer: Counting(balancer, self.counts))
+        counted = replace(wire(OperatorConfig()), trace=lambda balancer: Counting(balancer, self.counts))
         told = parse_list(known)
         for number in range(self.given.first, self.given.first + self.given.count):
-            config = Config(
+            config = SidecarConfig(
                 ("127.0.0.1", 0), self.given.registry, self.given.seed * 1_000_003 + number, SOCKETS,
                 self._settings, told,
             )  # fmt: skip
@@ -258,7 +261,7 @@
     """A process of this rig, by its role."""
 
     def __init__(self, role: str, given: Crowd | Some) -> None:
-        super().__init__("standins.fleet.crowd", role, json.dumps(asdict(given)))
+        super().__init__("testbed.fleet.synthetic_peers", role, json.dumps(asdict(given)))
 
     async def tell(self, word: str, *given: Any) -> Any:
         return await self.say(json.dumps([word, *given]))
@@ -439,7 +442,7 @@
         role, given = sys.argv[1], json.loads(sys.argv[2])
         asyncio.run(serve_worker(given) if role == "worker" else serve_nodes(given))
         return 0
-    parser = argparse.ArgumentParser(prog="standins.fleet.crowd", description=__doc__)
+    parser = argparse.ArgumentParser(prog="testbed.fleet.synthetic_peers", description=__doc__)
     parser.add_argument("scenes", nargs="*", default=[])
     parser.add_argument("--sidecars", type=int, default=1000)
     parser.add_argument("--workers", type=int, default=max((os.cpu_count() or 2) - 2, 2))
--- a/standins/fleet/wide.py
+++ b/testbed/fleet/wide.py
@@ -1,6 +1,6 @@
 """A fleet of processes: planners as they are run, hundreds of forwarders in a few workers, nodes and the registry here.
 
-    python -m standins.fleet.wide [SCENE ...] [--forwarders 200] [--workers 4] [--load 0.6] [--record run.jsonl]
+    python -m testbed.fleet.wide [SCENE ...] [--forwarders 200] [--workers 4] [--load 0.6] [--record run.jsonl]
 
 Planners are killed (SIGKILL) and stopped in the middle of whatever they do (SIGSTOP, SIGCONT).  Each scene is played
 with planners and, with the same seeds and rate, without: the last column is the four rules by the nodes' own logs, and
@@ -25,16 +25,16 @@
 from pathlib import Path
 from typing import Any
 
-from standins.fleet.__main__ import HEAD, row
-from standins.fleet.calling import KINDS, MIX, now
-from standins.fleet.child import ROOT, Child
-from standins.fleet.judge import Called, Reached, Verdicts, Word, judge
-from standins.fleet.rig import EXAMPLE, SPEED_NAMES, Noting
-from standins.fleet.worker import Spec
-from standins.lodge import SPEEDS, LodgeServer, Memory, RunLog
-from standins.ports import free, own_host
-from standins.registry import Registry
-from standins.wire import Address, Asked, place
+from testbed.backend import SPEEDS, LodgeServer, Memory, RunLog
+from testbed.fleet.__main__ import HEAD, row
+from testbed.fleet.calling import KINDS, MIX, now
+from testbed.fleet.child import ROOT, Child
+from testbed.fleet.harness import EXAMPLE, SPEED_NAMES, Noting
+from testbed.fleet.invariants import Called, Reached, Verdicts, Word, judge
+from testbed.fleet.worker import Spec
+from testbed.ports import free, own_host
+from testbed.registry import Registry
+from testbed.wire import Address, Asked, place
 from topazbank.plan import ask_planner
 
 SLOTS, QUEUE = 2, 30  # of a node
@@ -96,7 +96,7 @@
     """One process of forwarders; it is told a word and answers with a line."""
 
     def __init__(self, spec: Spec) -> None:
-        super().__init__("standins.fleet.worker", json.dumps(asdict(spec)))
+        super().__init__("testbed.fleet.worker", json.dumps(asdict(spec)))
         self.spec = spec
 
 
@@ -336,7 +336,7 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="standins.fleet.wide", description=__doc__)
+    parser = argparse.ArgumentParser(prog="testbed.fleet.wide", description=__doc__)
     parser.add_argument("scenes", nargs="*", choices=[*SCENES, []], default=[])
     parser.add_argument("--forwarders", type=int, default=200)
     parser.add_argument("--workers", type=int, default=max((os.cpu_count() or 2) - 4, 2))
--- a/standins/fleet/worker.py
+++ b/testbed/fleet/worker.py
@@ -1,4 +1,4 @@
-"""Some forwarders of a fleet, with their clients, in one process: `python -m standins.fleet.worker SPEC`.
+"""Some forwarders of a fleet, with their clients, in one process: `python -m testbed.fleet.worker SPEC`.
 
 SPEC is JSON (`Spec`).  It prints a line of JSON when all forwarders are up, and one for each line that it reads:
 `load` begins the calls, `trusts` gives how far each forwarder follows a plan, `finish` ends the calls and gives all
@@ -14,13 +14,13 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from standins.fleet.calling import Clients, Ears, now
-from standins.wire import Address
-from topazbank.core.driver import Config, Sidecar
-from topazbank.membership.list_format import parse_list
-from topazbank.operator import MsgpackRpc, Operator, Planning
+from testbed.fleet.calling import Clients, Ears, now
+from testbed.wire import Address
+from topazbank.core.driver import Sidecar, SidecarConfig
+from topazbank.discovery.list_format import parse_list
+from topazbank.operator_config import MsgpackRpc, OperatorConfig, Planning
 from topazbank.planning.forwarder import Forwarding
-from topazbank.wirenames import settings_from_wire
+from topazbank.platform_names import settings_from_wire
 from topazbank.wiring import wire
 
 SOCKETS = 256  # of each forwarder
@@ -58,9 +58,11 @@
         settings, known = settings_from_wire(self.spec.settings), parse_list(self.spec.known)
         for number in range(self.spec.first, self.spec.first + self.spec.count):
             planning = Planning(tuple(self.spec.planners), f"f-{number}")
-            wiring = self.ears.overhear(wire(Operator(MsgpackRpc(True, True), planning=planning)), number)
+            wiring = self.ears.overhear(
+                wire(OperatorConfig(MsgpackRpc(True, True), planning=planning)), number
+            )
             seed = self.spec.seed * 1_000_003 + number
-            config = Config(("127.0.0.1", 0), self.spec.registry, seed, SOCKETS, settings, known)
+            config = SidecarConfig(("127.0.0.1", 0), self.spec.registry, seed, SOCKETS, settings, known)
             self.ears.hear(number, known)
             sidecar = Sidecar(config, wiring)
             self.sidecars.append(sidecar)
--- a/standins/ports.py
+++ b/testbed/ports.py
@@ -11,7 +11,7 @@
 import os
 import socket
 
-from standins.wire import Address
+from testbed.wire import Address
 
 _hosts = itertools.count()
 
--- a/standins/budget/model.py
+++ b/testbed/quota/model.py
@@ -1,6 +1,6 @@
 """Every order of events of a small world, on the deciding modules themselves: is more ever held than there is?
 
-    python -m standins.budget.model [--holders 3] [--depth 8] [--fault NAME]
+    python -m testbed.quota.model [--holders 3] [--depth 8] [--fault NAME]
 
 Holders ask and give back, words are delivered in any order, twice or never, time passes, the keeper and holders restart
 with and without memory.  A holder that stands still is one to whom nothing happens.  The holders' clocks run slow by
@@ -21,13 +21,13 @@
 from dataclasses import dataclass, field, replace
 from functools import partial
 
-from topazbank.budget.keeper import Answer, Holder, Keeper, Who
-from topazbank.budget.lease import Ask, Given, Lease
-from topazbank.budget.rules import STOCK, Budget, Part
+from topazbank.quota.lease import Ask, Given, Lease
+from topazbank.quota.lease_server import Answer, Holder, Keeper, Who
+from topazbank.quota.rules import STOCK, Part, Quota
 
 WHOLE = 3
 LEASE = 8
-BUDGET = Budget("model", STOCK, whole=WHOLE, members=0, keepers=("k",), lease_us=LEASE, drift_ppm=250_000)
+BUDGET = Quota("model", STOCK, whole=WHOLE, members=0, keepers=("k",), lease_us=LEASE, drift_ppm=250_000)
 STEP = 3  # of true time
 FLYING_MOST = 3  # words that may be on their way at once; an older one is lost for a newer
 RESTARTS_MOST = 1  # of the keeper, and of each holder
@@ -76,7 +76,7 @@
 
     keeper: Callable[..., Keeper] = Keeper
     lease: Callable[[], Lease] = Lease
-    budget: Budget = BUDGET
+    budget: Quota = BUDGET
 
 
 def begin(holders: int, fault: Fault) -> World:
@@ -274,7 +274,7 @@
 class NoQuiet(Keeper):
     """Gives anew at once, though it has forgotten what it gave."""
 
-    def __init__(self, budget: Budget, slice_: Part, now: int, remembered: object = None) -> None:
+    def __init__(self, budget: Quota, slice_: Part, now: int, remembered: object = None) -> None:
         super().__init__(budget, slice_, now, [])
 
 
@@ -373,7 +373,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="standins.budget.model", description=(__doc__ or "").split("\n")[0])
+    parser = argparse.ArgumentParser(prog="testbed.quota.model", description=(__doc__ or "").split("\n")[0])
     parser.add_argument("--holders", type=int, default=3)
     parser.add_argument("--depth", type=int, default=7)
     parser.add_argument("--walks", type=int, default=0, help="histories by chance, in place of all orders")
--- a/standins/budget/processes.py
+++ b/testbed/quota/processes.py
@@ -1,6 +1,6 @@
 """A fleet's budget of repeats under faults, on real processes: judged by what reached the nodes, and by the ledgers.
 
-    python -m standins.budget.processes [SCENE ...] [--sidecars 5] [--seed 1] [--off]
+    python -m testbed.quota.processes [SCENE ...] [--sidecars 5] [--seed 1] [--off]
 
 All nodes refuse for most of each scene, and clients of all sidecars ask for far more repeats than the whole allows.
 """
@@ -14,10 +14,10 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
 
-from standins.fleet.judge import Verdicts
-from standins.tier.rig import Rig
-from standins.tier.scenes import NODES, Script, Step
-from topazbank.budget.audit import Account, audit, read
+from testbed.cluster.harness import Rig
+from testbed.cluster.scenarios import NODES, Script, Step
+from testbed.fleet.invariants import Verdicts
+from topazbank.quota.audit import Account, audit, read
 
 WHOLE, LEASE_S, QUIET_S = 20, 2.0, 2.1
 ALL = tuple(range(NODES))
@@ -168,7 +168,7 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     parser = argparse.ArgumentParser(
-        prog="standins.budget.processes", description=(__doc__ or "").split("\n")[0]
+        prog="testbed.quota.processes", description=(__doc__ or "").split("\n")[0]
     )
     parser.add_argument("scenes", nargs="*", metavar="SCENE", help=", ".join(SCENES))
     parser.add_argument("--sidecars", type=int, default=5)
--- a/standins/budget/played.py
+++ b/testbed/quota/virtual_time.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from standins.played import PlayedTime
-from topazbank.budget.holder import Holder, Word
-from topazbank.budget.keeper import Keeper
-from topazbank.budget.lease import Given
-from topazbank.budget.rules import THOUSANDTHS, Budget
-from topazbank.budget.wire import Envelope, Kind, encode
+from testbed.virtual_time import PlayedTime
+from topazbank.quota.lease import Given
+from topazbank.quota.lease_client import Holder, Word
+from topazbank.quota.lease_server import Keeper
+from topazbank.quota.rules import THOUSANDTHS, Quota
+from topazbank.quota.wire import Envelope, Kind, encode
 
 TICK_S = 0.1  # as the service's
 EPSILON = 1e-6
@@ -58,7 +58,7 @@
 class Fleet(PlayedTime):
     """Members 0 to n - 1, of which the budget's keepers are the first."""
 
-    def __init__(self, budget: Budget, members: int, demand: Demand, seed: int, look_s: float = 0.05) -> None:
+    def __init__(self, budget: Quota, members: int, demand: Demand, seed: int, look_s: float = 0.05) -> None:
         super().__init__(seed)
         self.budget, self.demand = budget, demand
         self.result = Result()
@@ -195,7 +195,7 @@
     chance = random.Random(seed)
     members, keepers = chance.randint(2, 7), chance.randint(1, 3)
     names = tuple(str(each) for each in range(min(keepers, members)))
-    budget = Budget(
+    budget = Quota(
         "b", whole=40, burst=4 * members, floor=500, members=members, keepers=names, lease_us=2_000_000
     )
     greedy = chance.random() < 0.3
--- a/standins/registry/__init__.py
+++ b/testbed/registry/__init__.py
@@ -8,7 +8,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from standins.wire import Asked, Listening, Reply, read_http
+from testbed.wire import Asked, Listening, Reply, read_http
 
 _CHANGES_MOST = 1000  # kept for watches; an older one gets the whole list
 
--- a/standins/registry/__main__.py
+++ b/testbed/registry/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the registry: `python -m standins.registry --listen 127.0.0.1:8500 --entries nodes.json`.
+"""Runs the registry: `python -m testbed.registry --listen 127.0.0.1:8500 --entries nodes.json`.
 
 The file holds a list of entries; SIGHUP reads it again, and what is missing from it has left.
 """
@@ -10,8 +10,8 @@
 import json
 import signal
 
-from standins.registry import Registry
-from standins.wire import place
+from testbed.registry import Registry
+from testbed.wire import place
 
 
 def load(registry: Registry, path: str) -> None:
@@ -33,7 +33,7 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(prog="standins.registry", description=__doc__)
+    parser = argparse.ArgumentParser(prog="testbed.registry", description=__doc__)
     parser.add_argument("--listen", default="127.0.0.1:0", metavar="HOST:PORT")
     parser.add_argument("--entries", required=True, metavar="FILE", help="a JSON list of entries")
     try:
--- a/standins/registry/faulty.py
+++ b/testbed/registry/faulty.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from enum import Enum, unique
 
-from standins.registry import Registry
-from standins.wire import Asked, Reply, read_http, reset
+from testbed.registry import Registry
+from testbed.wire import Asked, Reply, read_http, reset
 
 
 @unique
--- a/standins/soak/__main__.py
+++ b/testbed/soak/__main__.py
@@ -1,6 +1,6 @@
 """Plays soaks: dozens of real sidecars under random, overlapping faults, one line a seed.
 
-    python -m standins.soak [--sidecars 24] [--seed 1] [--seeds 1] [--seconds 30] [--rate 100] [--steps] [--logs DIR]
+    python -m testbed.soak [--sidecars 24] [--seed 1] [--seeds 1] [--seconds 30] [--rate 100] [--steps] [--logs DIR]
 
 The last line is PASSED, or FAILED with what was broken and the seed; exit code 0 or 1.  A seed plays the same faults
 again; `--steps` prints them as a timeline.
@@ -14,8 +14,8 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from standins.soak.faults import draw
-from standins.soak.rig import Judged, SoakRig
+from testbed.soak.faults import draw
+from testbed.soak.harness import Judged, SoakRig
 
 HEAD = (
     f"{'seed':>5}{'faults':>8}{'calls':>8}{'served':>9}{'refused':>9}"
@@ -44,7 +44,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="standins.soak", description=(__doc__ or "").split("\n")[0])
+    parser = argparse.ArgumentParser(prog="testbed.soak", description=(__doc__ or "").split("\n")[0])
     parser.add_argument("--sidecars", type=int, default=24)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=1, help="play as many seeds, from --seed on")
--- a/standins/soak/faults.py
+++ b/testbed/soak/faults.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from standins.tier.scenes import NODES, REGISTRY, Step
+from testbed.cluster.scenarios import NODES, REGISTRY, Step
 
 HELD_UP_S = (
     0.12  # a process may be held up for 0.15 s, by the platform's terms; the rest is for the signals' way
--- a/standins/soak/rig.py
+++ b/testbed/soak/harness.py
@@ -15,18 +15,18 @@
 from pathlib import Path
 from typing import Any
 
-from standins.fleet.judge import ATTEMPTS_MOST, Reached, Verdicts
-from standins.fleet.judge import judge as judge_rules
-from standins.lodge import Run
-from standins.registry.faulty import FaultyRegistry, Trouble
-from standins.soak.faults import Soak
-from standins.soak.notices import Change, History, Span, words
-from standins.soak.restarts import Crowd, LastingClients
-from standins.soak.unruly import GONE_S, SLACK_S, Unruly
-from standins.tier.judge import Done
-from standins.tier.rig import START_S, Member, Noting, Rig, now
-from standins.tier.scenes import REGISTRY, Step
-from standins.wire import Address, Asked, Reply, place, reset
+from testbed.backend import Run
+from testbed.cluster.harness import START_S, Member, Noting, Rig, now
+from testbed.cluster.invariants import Done
+from testbed.cluster.scenarios import REGISTRY, Step
+from testbed.fleet.invariants import ATTEMPTS_MOST, Reached, Verdicts
+from testbed.fleet.invariants import judge as judge_rules
+from testbed.registry.faulty import FaultyRegistry, Trouble
+from testbed.soak.faults import Soak
+from testbed.soak.notices import Change, History, Span, words
+from testbed.soak.restarts import Crowd, LastingClients
+from testbed.soak.unruly import GONE_S, SLACK_S, Unruly
+from testbed.wire import Address, Asked, Reply, place, reset
 
 FLEET = 200  # sidecars that share discovery by the settings, in soaks without membership: it sets the pace of calls
 SECOND_WAY = -2  # another address of the registry, among the rig's ways
@@ -86,7 +86,7 @@
         self._operators: dict[asyncio.subprocess.Process, Address] = {}  # where each is called
         self._first_list: dict[str, Any] = {}
         if not self.on:
-            self.group_size = FLEET
+            self.fleet_size = FLEET
 
     async def do(self, step: Step) -> None:
         if step.do.startswith(("registry_", "node_")) or step.do in ("reload", "restart", "crowd"):
--- a/standins/soak/notices.py
+++ b/testbed/soak/notices.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass, field
 
-from standins.fleet.judge import Word
+from testbed.fleet.invariants import Word
 
 WATCHED_S = 0.3  # with an open watch: the way there, and what the rig's one loop adds
 AFTER_TROUBLE_S = 6.0 + WATCHED_S  # discovery had the change and could be reached
--- a/standins/soak/restarts.py
+++ b/testbed/soak/restarts.py
@@ -6,10 +6,10 @@
 import random
 from collections.abc import Callable
 
-from standins.clients import Wish, http_request
-from standins.fleet.calling import BUDGETS_S, KINDS, MIX, now
-from standins.fleet.judge import Called
-from standins.wire import Address, read_http
+from testbed.clients import Wish, http_request
+from testbed.fleet.calling import BUDGETS_S, KINDS, MIX, now
+from testbed.fleet.invariants import Called
+from testbed.wire import Address, read_http
 
 NEW_CONNECTIONS_S = 0.3  # after SIGTERM new connections still come for so long
 CROSSED_S = 0.1  # an end that comes so soon behind a request has crossed it
--- a/standins/soak/unruly.py
+++ b/testbed/soak/unruly.py
@@ -10,8 +10,8 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from standins.fleet.calling import now
-from standins.wire import Address, pack, reset
+from testbed.fleet.calling import now
+from testbed.wire import Address, pack, reset
 
 OWED_S = 3.0  # to whoever stops in the middle of a request, or sends what is none
 SLACK_S = 0.3  # all clients and servers of a rig share one loop: its turns are not the program's
--- a/standins/zookeeper/__init__.py
+++ b/testbed/zookeeper/__init__.py
@@ -1,5 +1,5 @@
 """A ZooKeeper ensemble for tests: the wire protocol, a quorum, sessions and watches, with faults on demand."""
 
-from standins.zookeeper.ensemble import Ensemble
+from testbed.zookeeper.ensemble import Ensemble
 
 __all__ = ["Ensemble"]
--- a/standins/zookeeper/__main__.py
+++ b/testbed/zookeeper/__main__.py
@@ -1,4 +1,4 @@
-"""Runs an ensemble: `python -m standins.zookeeper --members 3 --control 127.0.0.1:2190`.
+"""Runs an ensemble: `python -m testbed.zookeeper --members 3 --control 127.0.0.1:2190`.
 
 The control port takes a JSON array a line, a fault's name and its arguments, and answers `true` or an error:
 ["cut", 1], ["heal", 1], ["crash", 0], ["restart", 0], ["lose_leader", 2.0], ["outage"], ["restore"],
@@ -15,9 +15,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from standins.wire import Listening, place
-from standins.zookeeper import Ensemble
-from standins.zookeeper.server import Connection
+from testbed.wire import Listening, place
+from testbed.zookeeper import Ensemble
+from testbed.zookeeper.server import Connection
 
 _PLAIN = frozenset(
     (
@@ -89,7 +89,7 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(prog="standins.zookeeper", description=__doc__)
+    parser = argparse.ArgumentParser(prog="testbed.zookeeper", description=__doc__)
     parser.add_argument("--members", type=int, choices=(1, 3, 5), default=3)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--control", default="127.0.0.1:0", metavar="HOST:PORT")
--- a/standins/zookeeper/ensemble.py
+++ b/testbed/zookeeper/ensemble.py
@@ -17,12 +17,12 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from standins.wire import place
-from standins.zookeeper import jute
-from standins.zookeeper.tree import Asker, Draft, Event, Tree, Txn
+from testbed.wire import place
+from testbed.zookeeper import jute
+from testbed.zookeeper.tree import Asker, Draft, Event, Tree, Txn
 
 if TYPE_CHECKING:
-    from standins.zookeeper.server import Connection, MemberServer
+    from testbed.zookeeper.server import Connection, MemberServer
 
 log = logging.getLogger(__name__)
 
@@ -145,7 +145,7 @@
     # -- Life ------------------------------------------------------------------------------------------
 
     async def start(self, host: str = "127.0.0.1", ports: list[int] | None = None) -> None:
-        from standins.zookeeper.server import MemberServer
+        from testbed.zookeeper.server import MemberServer
 
         for number, member in enumerate(self.members):
             member.server = MemberServer(self, member)
--- a/standins/zookeeper/server.py
+++ b/testbed/zookeeper/server.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from standins.wire import Listening
-from standins.zookeeper import jute
-from standins.zookeeper.ensemble import Ensemble, Lost, Member, Session
-from standins.zookeeper.jute import Malformed, Reading, Writing
-from standins.zookeeper.tree import Asker, Draft, Event, Refused, check_path, digest
+from testbed.wire import Listening
+from testbed.zookeeper import jute
+from testbed.zookeeper.ensemble import Ensemble, Lost, Member, Session
+from testbed.zookeeper.jute import Malformed, Reading, Writing
+from testbed.zookeeper.tree import Asker, Draft, Event, Refused, check_path, digest
 
 _LEAST_S, _MOST_S = 0.1, 60.0  # session time-outs that are agreed to
 ANYONE = ("world", "anyone")
--- a/standins/zookeeper/tree.py
+++ b/testbed/zookeeper/tree.py
@@ -10,8 +10,8 @@
 import hashlib
 from dataclasses import dataclass, field
 
-from standins.zookeeper import jute
-from standins.zookeeper.jute import Acl, Stat
+from testbed.zookeeper import jute
+from testbed.zookeeper.jute import Acl, Stat
 
 
 class Refused(Exception):
--- a/tests/tier/test_any_history.py
+++ b/tests/cluster/test_any_history.py
@@ -8,12 +8,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from standins.tier.played import Played
-from standins.tier.scenes import Step
-from topazbank.tier.detector import ASKED_MOST, CHANGES_MOST, LATE_MOST, Detector
-from topazbank.tier.member import Record, State
-from topazbank.tier.rules import MEMBERS_MOST
-from topazbank.tier.view import Answer
+from testbed.cluster.scenarios import Step
+from testbed.cluster.virtual_time import Played
+from topazbank.cluster.failure_detector import ASKED_MOST, CHANGES_MOST, LATE_MOST, FailureDetector
+from topazbank.cluster.member import MemberRecord, MemberState
+from topazbank.cluster.rules import MEMBERS_MOST
+from topazbank.cluster.view import Answer
 
 MEMBERS = 4
 members = st.integers(0, MEMBERS - 1)
@@ -27,8 +27,8 @@
         self.rig = Played(MEMBERS, seed)
         self.rig.run(1.0)
         self.own: dict[tuple[int, int], int] = {}  # the highest incarnation of each life, by member and life
-        self.last: dict[tuple[int, int], Record] = {}  # what each detector held of each other
-        self.seen_by: dict[int, Detector] = {}
+        self.last: dict[tuple[int, int], MemberRecord] = {}  # what each detector held of each other
+        self.seen_by: dict[int, FailureDetector] = {}
 
     @rule(span=st.floats(0.05, 3.0))
     def time_passes(self, span: float) -> None:
@@ -93,7 +93,7 @@
                 old = self.last.get((number, ident))
                 if old is not None:
                     assert not old.newer_than(record)
-                    if old.state in (State.GONE, State.LEFT) and record.counts:
+                    if old.state in (MemberState.GONE, MemberState.LEFT) and record.counts:
                         assert (record.life, record.incarnation) > (old.life, old.incarnation)
                 self.last[number, ident] = record
 
@@ -106,7 +106,7 @@
             assert len(table.records) <= MEMBERS_MOST and len(detector.changes) <= CHANGES_MOST
             assert len(detector._late) <= LATE_MOST and len(detector._favours) <= ASKED_MOST
             assert set(detector.suspicions) == {
-                i for i, r in table.records.items() if r.state is State.SUSPECTED
+                i for i, r in table.records.items() if r.state is MemberState.SUSPECTED
             }
             assert table.counted == sum(each.counts for each in table.records.values())
             for kept in (detector._words, detector._counts, detector._returns, detector._vouched):
@@ -121,7 +121,7 @@
             if process.view.cut_off:
                 for ident, record in process.detector.table.records.items():
                     if process.view.of(self.rig.us(), ident) is Answer.NOT_HERE:
-                        assert record.state is State.LEFT
+                        assert record.state is MemberState.LEFT
 
     def teardown(self) -> None:
         """Once faults end, all views become equal, and true."""
@@ -152,5 +152,5 @@
     rig.run(1.0)
     table, chance = rig.lives[0].detector.table, random.Random(1)
     for _ in range(MEMBERS_MOST + 500):
-        table.put(rig.us(), Record(chance.getrandbits(48), 1, 0, State.HERE, ("127.0.0.1", 9)))
+        table.put(rig.us(), MemberRecord(chance.getrandbits(48), 1, 0, MemberState.HERE, ("127.0.0.1", 9)))
     assert len(table.records) <= MEMBERS_MOST
--- a/tests/tier/test_datagrams.py
+++ b/tests/cluster/test_datagrams.py
@@ -9,10 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from topazbank.core.seal import CHECK, sealed
-from topazbank.sight.hearsay import VERSION as HEARSAY
-from topazbank.tier.member import Record, State, ident_of
-from topazbank.tier.wire import (
+from topazbank.cluster.member import MemberRecord, MemberState, ident_of
+from topazbank.cluster.wire import (
     LEAST,
     MAGIC,
     BadMessage,
@@ -23,11 +21,19 @@
     encode,
     records_in,
 )
+from topazbank.core.checksum import CHECKSUM_BYTES, with_checksum
+from topazbank.estimation.load_gossip import VERSION as HEARSAY
 
 idents = st.integers(0, 2**48 - 1)
 addresses = st.none() | st.tuples(st.just("127.0.0.1"), st.integers(1, 65535))
 records = st.builds(
-    Record, idents, idents, st.integers(0, 65535), st.sampled_from(State), addresses, st.integers(0, 65535)
+    MemberRecord,
+    idents,
+    idents,
+    st.integers(0, 65535),
+    st.sampled_from(MemberState),
+    addresses,
+    st.integers(0, 65535),
 )
 parts = st.none() | st.builds(
     Parts,
@@ -58,7 +64,7 @@
 
 
 def test_a_full_message_fits_the_platforms_datagram() -> None:
-    record = Record(1, 2, 3, State.SUSPECTED, ("127.0.0.1", 9), 4)
+    record = MemberRecord(1, 2, 3, MemberState.SUSPECTED, ("127.0.0.1", 9), 4)
     sums = Parts(3, 7, tuple(range(16)))
     for size in (LEAST, 256, 1200):
         for with_parts in (None, sums):
@@ -90,23 +96,23 @@
 
 
 def test_a_later_versions_sections_record_lengths_states_and_kinds_are_skipped() -> None:
-    record = Record(5, 6, 7, State.HERE, ("127.0.0.1", 9), 0)
-    body = encode(Message(Kind.PING, 1, 2, 3, 4, news=(record,)))[:-CHECK]
+    record = MemberRecord(5, 6, 7, MemberState.HERE, ("127.0.0.1", 9), 0)
+    body = encode(Message(Kind.PING, 1, 2, 3, 4, news=(record,)))[:-CHECKSUM_BYTES]
     later = body + struct.pack("!BH", 99, 3) + b"abc"
-    assert decode(sealed(later)).news == (record,)
+    assert decode(with_checksum(later)).news == (record,)
     head, packed = body[:40], body[44:]
     longer = head + struct.pack("!BH", 1, 1 + len(packed) + 2) + bytes([len(packed) + 2]) + packed + b"xy"
-    assert decode(sealed(longer)).news == (record,)
+    assert decode(with_checksum(longer)).news == (record,)
     strange = bytearray(body)
     strange[44 + 14] = 77  # a state
-    assert decode(sealed(bytes(strange))).news == ()
+    assert decode(with_checksum(bytes(strange))).news == ()
     strange = bytearray(body)
     strange[2] = 77  # a kind
-    assert decode(sealed(bytes(strange))).kind is Kind.TELL
+    assert decode(with_checksum(bytes(strange))).kind is Kind.TELL
     strange = bytearray(body)
     strange[1] = 2
     with pytest.raises(BadMessage, match="version 2"):
-        decode(sealed(bytes(strange)))
+        decode(with_checksum(bytes(strange)))
 
 
 def test_hearsay_and_the_tier_are_told_apart_by_their_first_byte() -> None:
--- a/tests/tier/test_planted.py
+++ b/tests/cluster/test_planted.py
@@ -7,59 +7,61 @@
 
 import pytest
 
-from standins.tier.judge import Found
-from standins.tier.played import Played
-from standins.tier.scenes import SCENES, Script, Step
-from topazbank.tier.detector import Before, Detector, Out
-from topazbank.tier.member import Record, State
-from topazbank.tier.rules import Rules
+from testbed.cluster.invariants import Found
+from testbed.cluster.scenarios import SCENES, Script, Step
+from testbed.cluster.virtual_time import Played
+from topazbank.cluster.failure_detector import Before, FailureDetector, Out
+from topazbank.cluster.member import MemberRecord, MemberState
+from topazbank.cluster.rules import Rules
 
 
-class RefutationIgnored(Detector):
+class RefutationIgnored(FailureDetector):
     def _raise(self, now: int) -> None:
         pass
 
 
-class TombstoneForgotten(Detector):
+class TombstoneForgotten(FailureDetector):
     def _forget(self, now: int) -> None:
         for ident in list(self.table.gone):
             self._drop(now, ident, "at once")
 
 
-class HalfOfTheTierIsEnough(Detector):
+class HalfOfTheTierIsEnough(FailureDetector):
     def base(self, now: int) -> int:
         return 0
 
 
-class WaitsRunOnWhileCutOff(Detector):
+class WaitsRunOnWhileCutOff(FailureDetector):
     def was_held(self, now: int) -> bool:
         return False
 
 
-class NobodyElseIsAsked(Detector):
+class NobodyElseIsAsked(FailureDetector):
     def _ask_others(self, now: int, probe: Any, number: int) -> None:
         probe.asked = True
 
 
-class LeavesUntold(Detector):
+class LeavesUntold(FailureDetector):
     def leave(self, now: int) -> list[Out]:
         self.left = True
         return []
 
 
-class UpgradeIsANewLife(Detector):
+class UpgradeIsANewLife(FailureDetector):
     def _follow(self, now: int, before: Before) -> None:
         super()._follow(now, before)
         self.life += 1
 
 
-class FormerLifeIsHeard(Detector):
+class FormerLifeIsHeard(FailureDetector):
     """Takes an older process's word for the member's own."""
 
     def _hear(self, now: int, message: Any, source: Any) -> None:
         known = self.table.records.get(message.sender)
         if known is not None and message.life < known.life:
-            self.table.put(now, Record(message.sender, message.life, message.incarnation, State.HERE, source))
+            self.table.put(
+                now, MemberRecord(message.sender, message.life, message.incarnation, MemberState.HERE, source)
+            )
         super()._hear(now, message, source)
 
 
@@ -89,20 +91,23 @@
 
 
 def _play(
-    script: Script | str, make: type[Detector] = Detector, rules: Rules | None = None, seed: int = 1
+    script: Script | str,
+    make: type[FailureDetector] = FailureDetector,
+    rules: Rules | None = None,
+    seed: int = 1,
 ) -> tuple[Found, Played]:
     played = SCENES[script](6, random.Random(seed), 1.0) if isinstance(script, str) else script
     rig = Played(6, seed, rules, make)
     return rig.play(played), rig
 
 
-PLANTED: dict[str, tuple[Script | str, type[Detector], Rules | None]] = {
+PLANTED: dict[str, tuple[Script | str, type[FailureDetector], Rules | None]] = {
     "a refutation ignored": ("pauses", RefutationIgnored, None),
     "a tombstone forgotten too early": (SLOW_NEWS, TombstoneForgotten, None),
     "gone by the word of half": ("split", HalfOfTheTierIsEnough, None),
-    "who was heard is not vouched for": ("one_hears_nobody", Detector, Rules(vouching=False)),
+    "who was heard is not vouched for": ("one_hears_nobody", FailureDetector, Rules(vouching=False)),
     "waits that run on while cut off": ("split", WaitsRunOnWhileCutOff, None),
-    "an own stall not noticed": (STOPS_UNDER_LOSS, Detector, Rules(doubting=False)),
+    "an own stall not noticed": (STOPS_UNDER_LOSS, FailureDetector, Rules(doubting=False)),
 }
 
 
@@ -115,12 +120,12 @@
     assert any(found), "nobody noticed"
 
 
-def _older_words(make: type[Detector], seed: int) -> int:
+def _older_words(make: type[FailureDetector], seed: int) -> int:
     """How often a member came to hold an older word than it had."""
     rig = Played(6, seed, None, make)
     for step in LATE_AFTER_RESTART.steps:
         rig.at(3.0 + step.at, lambda step=step: rig.do(step))  # type: ignore[misc]
-    held: dict[tuple[int, int], Record] = {}
+    held: dict[tuple[int, int], MemberRecord] = {}
     found = 0
     while rig.now < 12.0:
         rig.run(rig.now + 0.02)
@@ -133,7 +138,7 @@
 
 
 def test_the_word_of_a_former_life_is_found() -> None:
-    assert not any(_older_words(Detector, seed) for seed in range(3))
+    assert not any(_older_words(FailureDetector, seed) for seed in range(3))
     assert any(_older_words(FormerLifeIsHeard, seed) for seed in range(3))
 
 
--- a/tests/tier/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from standins.tier.rig import Rig
-from standins.tier.scenes import SCENES
+from testbed.cluster.harness import Rig
+from testbed.cluster.scenarios import SCENES
 
 SIDECARS, PACE = 5, 0.5
 # Side by side, each on a rig of its own; a group's scenes follow one another among the same processes.
@@ -40,5 +40,5 @@
 
 
 def test_every_scene_but_the_busy_machine_is_played_by_processes() -> None:
-    """That one keeps all cores busy, and with them the tests beside it: `python -m standins.tier busy` plays it."""
+    """That one keeps all cores busy, and with them the tests beside it: `python -m testbed.cluster busy` plays it."""
     assert {name for group in GROUPS.values() for name in group} == set(SCENES) - {"busy"}
--- a/tests/tier/test_service.py
+++ b/tests/cluster/test_service.py
@@ -10,15 +10,15 @@
 from helpers import settings
 from loopback import play, until
 
-from topazbank.core.driver import Config
-from topazbank.core.members import Told
+from topazbank.cluster.__main__ import table
+from topazbank.cluster.service import HEARD_MOST, LINES_MOST, ClusterService
+from topazbank.cluster.wire import Kind, Message, encode
+from topazbank.core.driver import SidecarConfig
+from topazbank.core.endpoint_source import EndpointList
+from topazbank.core.gossip_transport import GossipAddresses
 from topazbank.core.net import Address
-from topazbank.core.peers import Tier
-from topazbank.operator import Tiering
-from topazbank.sight.others import Others
-from topazbank.tier.__main__ import table
-from topazbank.tier.service import HEARD_MOST, LINES_MOST, TierService
-from topazbank.tier.wire import Kind, Message, encode
+from topazbank.estimation.fleet_size import FleetSize
+from topazbank.operator_config import Tiering
 
 MEMBERS = 5
 QUICK = Tiering(True, period_ms=50, pause_ms=100, forget_s=60)
@@ -34,26 +34,26 @@
     """Carries datagrams between services, and keeps them."""
 
     def __init__(self) -> None:
-        self.services: dict[Address, TierService] = {}
+        self.services: dict[Address, ClusterService] = {}
         self.kept: list[tuple[Address, Address, bytes]] = []
         self.wall = WALL
 
     def start(
         self, number: int, given: Tiering = QUICK, at: Address | None = None, wall: int | None = None
-    ) -> TierService:
+    ) -> ClusterService:
         here = at or address_of(number)
         members = tuple(address_of(each) for each in range(MEMBERS))
-        config = Config(
+        config = SidecarConfig(
             here,
             here,
             number,
             256,
-            settings(limits={"may_message": True}),
-            Told(0, True, []),
-            Tier(here, members),
+            settings(limits={"gossip": True}),
+            EndpointList(0, True, []),
+            GossipAddresses(here, members),
         )
         self.wall += 1000
-        service = TierService(given, config, Others(MEMBERS), {}, wall=lambda: wall or self.wall)
+        service = ClusterService(given, config, FleetSize(MEMBERS), {}, wall=lambda: wall or self.wall)
         self.services[here] = service
         service.start(self._carrier(here))
         return service
@@ -83,7 +83,7 @@
     yield made
 
 
-def sees(service: TierService, *numbers: int) -> bool:
+def sees(service: ClusterService, *numbers: int) -> bool:
     """Whether these, and nobody else, are here to it, and it is in touch."""
     here = {each["name"] for each in service.show()["members"] if each["answer"] == "here"}
     return here == {str(each) for each in numbers}
--- a/tests/tier/test_played_scenes.py
+++ b/tests/cluster/test_virtual_time_scenarios.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from standins.tier.played import Played
-from standins.tier.scenes import SCENES
+from testbed.cluster.scenarios import SCENES
+from testbed.cluster.virtual_time import Played
+from topazbank.cluster.rules import Rules
 from topazbank.core.bounds import tier_messages_a_second
-from topazbank.tier.rules import Rules
 
 
 @pytest.mark.parametrize("members", [5, 12])
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,7 @@
 import pytest
 from loopback import PAIRS, Pair, use
 
-from standins.wire import HTTP, MSGPACK_RPC
+from testbed.wire import HTTP, MSGPACK_RPC
 
 
 @pytest.fixture(autouse=True)
--- a/tests/membership/test_both.py
+++ b/tests/discovery/test_combined.py
@@ -9,17 +9,17 @@
 from loopback import FakeDiscovery, answer, play, until
 from test_discovery import entry
 
-from topazbank.core.members import Standing, Told
+from topazbank.core.endpoint_source import EndpointList, SourceStatus
 from topazbank.core.net import Address
-from topazbank.membership import both
-from topazbank.membership.both import Several
-from topazbank.membership.registry import Discovery
+from topazbank.discovery import combined
+from topazbank.discovery.combined import CombinedSource
+from topazbank.discovery.registry import RegistrySource
 
 
 class Silent:
     """A source that is in touch and has nothing to tell."""
 
-    def __init__(self, told: Callable[[Told | None], None]) -> None:
+    def __init__(self, told: Callable[[EndpointList | None], None]) -> None:
         self.told = told
 
     def follow(self, wanted: bool) -> None: ...
@@ -30,7 +30,7 @@
 
     def stop(self) -> None: ...
 
-    def standing(self) -> tuple[Standing, ...]:
+    def standing(self) -> tuple[SourceStatus, ...]:
         return ()
 
     def source_of(self, name: str) -> str:
@@ -42,15 +42,15 @@
     failing: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Nobody else asks: whoever listens hears of a failure only where no source can say.
-    monkeypatch.setattr(both, "_AGAIN_S", 0.2)
+    monkeypatch.setattr(combined, "_AGAIN_S", 0.2)
 
     async def scene() -> None:
         loop = asyncio.get_running_loop()
         service = FakeDiscovery()
         await service.start()
-        heard: list[Told | None] = []
-        several = Several(
-            {"registry": lambda told: Discovery(service.address, 1, told), "other": Silent}, heard.append
+        heard: list[EndpointList | None] = []
+        several = CombinedSource(
+            {"registry": lambda told: RegistrySource(service.address, 1, told), "other": Silent}, heard.append
         )
         several.follow(True)
         began = loop.time()
--- a/tests/membership/test_ensemble.py
+++ b/tests/discovery/test_ensemble.py
@@ -22,7 +22,7 @@
 from kazoo.recipe.watchers import ChildrenWatch
 from kazoo.security import make_digest_acl
 
-from standins.zookeeper import Ensemble
+from testbed.zookeeper import Ensemble
 
 _Result = TypeVar("_Result")
 PATIENCE_S = 20.0
--- a/tests/membership/test_histories.py
+++ b/tests/discovery/test_histories.py
@@ -12,16 +12,16 @@
 import pytest
 from loopback import PATIENCE_S, play
 
-from standins.zookeeper import Ensemble
-from standins.zookeeper.ensemble import Lost
-from standins.zookeeper.jute import OPEN
-from standins.zookeeper.tree import Asker, Draft, Refused
-from topazbank.core.members import Told
-from topazbank.interface import ServerState
-from topazbank.membership.roster import Registration
-from topazbank.membership.zkclient import Ensemble as Where
-from topazbank.membership.zkclient import State
-from topazbank.membership.zookeeper import ZooKeeperSource
+from testbed.zookeeper import Ensemble
+from testbed.zookeeper.ensemble import Lost
+from testbed.zookeeper.jute import OPEN
+from testbed.zookeeper.tree import Asker, Draft, Refused
+from topazbank.balancing.events import ServerState
+from topazbank.core.endpoint_source import EndpointList
+from topazbank.discovery.roster import Registration
+from topazbank.discovery.zkclient import Ensemble as Where
+from topazbank.discovery.zkclient import State
+from topazbank.discovery.zookeeper import ZooKeeperSource
 
 PATH = "/nodes"
 MANY = os.environ.get("TOPAZBANK_HISTORIES")
@@ -56,16 +56,16 @@
         self.source.stop()
         self.ensemble.stop()
 
-    def told(self, told: Told | None) -> None:
+    def told(self, told: EndpointList | None) -> None:
         assert told is not None
         if self.out:
             assert not told.complete or told.lines, "emptied by an outage"
         if told.complete:
             self.states = {}
         for line in told.lines:
-            self.states[line.server.server] = line.server.state
-            if line.server.state is ServerState.GONE:
-                del self.states[line.server.server]
+            self.states[line.server.name] = line.server.state
+            if line.server.state is ServerState.REMOVED:
+                del self.states[line.server.name]
 
     async def change(self, build: object) -> None:
         """Commit a change as some other client would; a refusal or a lost leader is no matter."""
--- a/tests/membership/test_merge.py
+++ b/tests/discovery/test_merge.py
@@ -2,28 +2,28 @@
 
 from __future__ import annotations
 
-from topazbank.core.members import Listed, Told
-from topazbank.interface import ListedServer, ServerState
-from topazbank.membership.merge import Merge
+from topazbank.balancing.events import ServerDescription, ServerState
+from topazbank.core.endpoint_source import DiscoveredServer, EndpointList
+from topazbank.discovery.merge import Merge
 
-READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.GONE
+READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
 
 
-def line(name: str, state: ServerState = READY, port: int = 80) -> Listed:
-    return Listed(ListedServer(name, state=state), ("10.0.0.1", port), None)
+def line(name: str, state: ServerState = READY, port: int = 80) -> DiscoveredServer:
+    return DiscoveredServer(ServerDescription(name, state=state), ("10.0.0.1", port), None)
 
 
-def whole(*lines: Listed) -> Told:
-    return Told(1, True, list(lines))
+def whole(*lines: DiscoveredServer) -> EndpointList:
+    return EndpointList(1, True, list(lines))
 
 
-def changes(*lines: Listed) -> Told:
-    return Told(2, False, list(lines))
+def changes(*lines: DiscoveredServer) -> EndpointList:
+    return EndpointList(2, False, list(lines))
 
 
-def read(told: Told | None) -> dict[str, ServerState]:
+def read(told: EndpointList | None) -> dict[str, ServerState]:
     assert told is not None
-    return {each.server.server: each.server.state for each in told.lines}
+    return {each.server.name: each.server.state for each in told.lines}
 
 
 def test_the_list_begins_when_all_sources_have_spoken_or_can_t() -> None:
--- a/tests/membership/test_registering.py
+++ b/tests/discovery/test_registering.py
@@ -16,18 +16,18 @@
 from loopback import play, until
 from test_zookeeper import where
 
-from standins.zookeeper import Ensemble, jute
-from standins.zookeeper.jute import OPEN
-from standins.zookeeper.tree import Asker
-from topazbank.core.members import Told
-from topazbank.interface import ServerState
-from topazbank.membership import registrar
-from topazbank.membership.registrar import Registrar, Standing
-from topazbank.membership.roster import Registration, decode
-from topazbank.membership.zkclient import Ensemble as Where
-from topazbank.membership.zkclient import Session, State, ZkError
-from topazbank.membership.zkwire import OPEN_ACL, Code
-from topazbank.membership.zookeeper import ZooKeeperSource
+from testbed.zookeeper import Ensemble, jute
+from testbed.zookeeper.jute import OPEN
+from testbed.zookeeper.tree import Asker
+from topazbank.balancing.events import ServerState
+from topazbank.core.endpoint_source import EndpointList
+from topazbank.discovery import registrar
+from topazbank.discovery.registrar import Registrar, Standing
+from topazbank.discovery.roster import Registration, decode
+from topazbank.discovery.zkclient import Ensemble as Where
+from topazbank.discovery.zkclient import Session, State, ZkError
+from topazbank.discovery.zkwire import OPEN_ACL, Code
+from topazbank.discovery.zookeeper import ZooKeeperSource
 
 ROOT = Path(__file__).parent.parent.parent
 NODE = "/site-a/lodge/nodes/n-1"
@@ -37,7 +37,7 @@
 @contextlib.asynccontextmanager
 async def registered(ensemble: Ensemble) -> AsyncIterator[tuple[asyncio.subprocess.Process, list[str]]]:
     """The command, below a chroot and with a secret; and the lines that it prints."""
-    command = [sys.executable, "-m", "topazbank.membership.registrar", "--ensemble", ensemble.hosts]
+    command = [sys.executable, "-m", "topazbank.discovery.registrar", "--ensemble", ensemble.hosts]
     command += ["--chroot", "/site-a", "--name", "n-1", "--address", "127.0.0.1:4001", "--timeout-s", "1.0"]
     command += ["--pod", "3", "--incarnation", "life-1", "--started-ms", "7", "--linger-s", "0.3"]
     process = await asyncio.create_subprocess_exec(
@@ -83,7 +83,7 @@
         await ensemble.start()
         states: list[ServerState] = []
 
-        def told(what: Told | None) -> None:
+        def told(what: EndpointList | None) -> None:
             assert what is not None
             states.extend(line.server.state for line in what.lines)
 
@@ -98,8 +98,8 @@
             await until(lambda: states == [ServerState.READY])
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
-            await until(lambda: states[-1] is ServerState.GONE)
-            assert states == [ServerState.READY, ServerState.DRAINING, ServerState.GONE]
+            await until(lambda: states[-1] is ServerState.REMOVED)
+            assert states == [ServerState.READY, ServerState.DRAINING, ServerState.REMOVED]
             source.stop()
         said = [line for line in lines if line.startswith("n-1 is")]
         assert said == ["n-1 is in", "n-1 is leaving", "n-1 is out"]
@@ -189,7 +189,7 @@
 @contextlib.asynccontextmanager
 async def crowd() -> AsyncIterator[tuple[Ensemble, list[ZooKeeperSource], list[dict[str, ServerState]]]]:
     """Many sources on one ensemble, all of which have its nodes."""
-    logging.getLogger("topazbank.membership").setLevel(logging.WARNING)
+    logging.getLogger("topazbank.discovery").setLevel(logging.WARNING)
     ensemble = Ensemble(3)
     await ensemble.start()
     asker = await asker_of(ensemble)
@@ -204,9 +204,9 @@
     sources = []
     for number in range(SOURCES):
 
-        def told(what: Told | None, known: dict[str, ServerState] = states[number]) -> None:
+        def told(what: EndpointList | None, known: dict[str, ServerState] = states[number]) -> None:
             assert what is not None
-            known.update({line.server.server: line.server.state for line in what.lines})
+            known.update({line.server.name: line.server.state for line in what.lines})
 
         sources.append(ZooKeeperSource(where(ensemble, 5.0), "/nodes", told, number))
         sources[-1].follow(True)
@@ -217,7 +217,7 @@
         for source in sources:
             source.stop()
         ensemble.stop()
-        logging.getLogger("topazbank.membership").setLevel(logging.NOTSET)
+        logging.getLogger("topazbank.discovery").setLevel(logging.NOTSET)
 
 
 def registration(number: int, leaving: bool = False) -> bytes:
--- a/tests/membership/test_roster.py
+++ b/tests/discovery/test_roster.py
@@ -11,9 +11,9 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from topazbank.core.members import Listed
-from topazbank.interface import ServerState
-from topazbank.membership.roster import (
+from topazbank.balancing.events import ServerState
+from topazbank.core.endpoint_source import DiscoveredServer
+from topazbank.discovery.roster import (
     FLAPS,
     STAY_S,
     BadData,
@@ -25,7 +25,7 @@
 
 NOW_MS = 1_800_000_000_000
 BASE = Registration(("10.0.0.1", 80), 1, "m", "a", "http", 1.0, "life-1", NOW_MS - 60_000)
-READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.GONE
+READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
 
 
 def at(port: int, **changes: Any) -> Registration:
@@ -40,7 +40,7 @@
         self.now = 100.0
         self.zxid = 10
         self.states: dict[str, ServerState] = {}
-        self.lines: dict[str, Listed] = {}
+        self.lines: dict[str, DiscoveredServer] = {}
         self.wholes = 0
 
     def take(self, step: Step) -> Step:
@@ -48,7 +48,7 @@
             self.wholes += 1
             self.states, self.lines = {}, {}
         for line in step.lines:
-            name, state = line.server.server, line.server.state
+            name, state = line.server.name, line.server.state
             if state is GONE:
                 self.states.pop(name, None)
             else:
--- a/tests/membership/test_zookeeper.py
+++ b/tests/discovery/test_zookeeper.py
@@ -12,19 +12,19 @@
 import pytest
 from loopback import FakeServer, World, answer, ask, client, pair, play, request, until, world
 
-from standins.zookeeper import Ensemble
-from standins.zookeeper.jute import OPEN
-from standins.zookeeper.tree import Asker, Draft
-from topazbank.core.driver import Config
-from topazbank.core.members import Told
-from topazbank.interface import ServerState
-from topazbank.membership.registrar import Registrar, Standing
-from topazbank.membership.roster import Registration
-from topazbank.membership.zkclient import Disconnected, Session, State
-from topazbank.membership.zkclient import Ensemble as Where
-from topazbank.membership.zkwire import OPEN_ACL
-from topazbank.membership.zookeeper import ZooKeeperSource
-from topazbank.operator import REGISTRY, ZOOKEEPER, Membership, Operator, ZooKeeper
+from testbed.zookeeper import Ensemble
+from testbed.zookeeper.jute import OPEN
+from testbed.zookeeper.tree import Asker, Draft
+from topazbank.balancing.events import ServerState
+from topazbank.core.driver import SidecarConfig
+from topazbank.core.endpoint_source import EndpointList
+from topazbank.discovery.registrar import Registrar, Standing
+from topazbank.discovery.roster import Registration
+from topazbank.discovery.zkclient import Disconnected, Session, State
+from topazbank.discovery.zkclient import Ensemble as Where
+from topazbank.discovery.zkwire import OPEN_ACL
+from topazbank.discovery.zookeeper import ZooKeeperSource
+from topazbank.operator_config import REGISTRY, ZOOKEEPER, Membership, OperatorConfig, ZooKeeper
 from topazbank.roster import table
 from topazbank.wiring import wire
 
@@ -242,7 +242,7 @@
         registered = registrar(ensemble, node)
         registered.start()
         await until(lambda: registered.standing is Standing.IN)
-        told: list[Told | None] = []
+        told: list[EndpointList | None] = []
         assert empty.server is not None
         source = ZooKeeperSource(Where((empty.server.address,), 2.0), PATH, told.append, 1)
         source.follow(True)
@@ -250,7 +250,7 @@
         assert not told and not source.roster.entries
         ensemble.heal(empty.number)
         await until(lambda: told)
-        assert told[0] is not None and [each.server.server for each in told[0].lines] == ["s-0"]
+        assert told[0] is not None and [each.server.name for each in told[0].lines] == ["s-0"]
         source.stop()
         registered.crash()
         node.stop()
@@ -343,14 +343,19 @@
             running = [asyncio.create_task(load(number)) for number in range(4)]
             # Moved before its nodes are there, the ensemble's word would be that nothing runs.
             await until(lambda: all(each.standing is Standing.IN for each in s.registrars))
-            config = Config(
-                ("127.0.0.1", 0), s.w.discovery.address, 7, 256, s.w.sidecar._settings, Told(0, True, [])
+            config = SidecarConfig(
+                ("127.0.0.1", 0),
+                s.w.discovery.address,
+                7,
+                256,
+                s.w.sidecar._settings,
+                EndpointList(0, True, []),
             )
             for sources in ((ZOOKEEPER, REGISTRY), (ZOOKEEPER,), (ZOOKEEPER, REGISTRY), (REGISTRY,)):
                 count = len(statuses)
                 if REGISTRY in sources:
                     s.w.discovery.say(50, [each.entry() for each in s.w.servers], snapshot=True)
-                operator = Operator(membership=membership(s.ensemble, *sources))
+                operator = OperatorConfig(membership=membership(s.ensemble, *sources))
                 s.w.sidecar.replace_source(config, wire(operator))
                 await until(partial(more_than, statuses, count + 50))
                 assert s.ready == {"s-0", "s-1"}
--- a/tests/sight/test_strain.py
+++ b/tests/estimation/test_load_estimator.py
@@ -4,7 +4,15 @@
 
 import pytest
 
-from topazbank.sight.strain import BORNE_PART, HOPELESS_LEAST, LEVEL, LEVEL_MOST, UNJUDGED_MOST, Borne, Strain
+from topazbank.estimation.load_estimator import (
+    BORNE_PART,
+    HOPELESS_LEAST,
+    LEVEL,
+    LEVEL_MOST,
+    UNJUDGED_MOST,
+    Borne,
+    Strain,
+)
 
 MS = 1_000
 S = 1_000_000
--- a/tests/sight/test_hearsay.py
+++ b/tests/estimation/test_load_gossip.py
@@ -8,7 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from topazbank.sight.hearsay import (
+from topazbank.estimation.fleet_size import FleetSize
+from topazbank.estimation.load_gossip import (
     COUNT_MOST,
     ENTRIES_MOST,
     EVERY_LEAST_US,
@@ -20,7 +21,6 @@
     Hearsay,
     tag_of,
 )
-from topazbank.sight.others import Others
 
 S = 1_000_000
 PRICE = 0.01
@@ -28,14 +28,14 @@
 
 def _rich(size: int = 4) -> Hearsay:
     """One that may send a message now."""
-    made = Hearsay(PRICE, Others(size))
+    made = Hearsay(PRICE, FleetSize(size))
     for _ in range(1_000):
         made.arrived()
     return made
 
 
 def test_counts_of_all_others_add_up_and_a_new_picture_replaces_the_old_one() -> None:
-    hearsay = Hearsay(PRICE, Others(4))
+    hearsay = Hearsay(PRICE, FleetSize(4))
     first, second = _rich(), _rich()
     one = first.tell(S, [(7, 3), (9, 1), (11, 0)])
     two = second.tell(S, [(7, 2)])
@@ -48,7 +48,7 @@
 
 
 def test_a_lost_message_is_made_good_by_the_next() -> None:
-    heard, missed = Hearsay(PRICE, Others(4)), Hearsay(PRICE, Others(4))
+    heard, missed = Hearsay(PRICE, FleetSize(4)), Hearsay(PRICE, FleetSize(4))
     sender = _rich()
     for now, counts in ((1 * S, [(1, 1)]), (2 * S, [(2, 5)]), (3 * S, [(3, 2)])):
         message = sender.tell(now, counts)
@@ -60,7 +60,7 @@
 
 
 def test_what_a_dead_sidecar_said_is_forgotten() -> None:
-    hearsay, sender = Hearsay(PRICE, Others(4)), _rich()
+    hearsay, sender = Hearsay(PRICE, FleetSize(4)), _rich()
     message = sender.tell(S, [(7, 3)])
     assert message is not None and hearsay.hear(S, 1, message)
     hearsay.forget_old(S + LIFE_US)
@@ -82,7 +82,7 @@
     [b"", b"\x02", b"\x01\x00", b"\x01\x00\x00\x01\x00", b"GET / HTTP/1.1\r\n", bytes([1]) + bytes(3 * 100)],
 )
 def test_what_cannot_be_read_changes_nothing(junk: bytes) -> None:
-    hearsay, sender = Hearsay(PRICE, Others(4)), _rich()
+    hearsay, sender = Hearsay(PRICE, FleetSize(4)), _rich()
     message = sender.tell(S, [(7, 3)])
     assert message is not None and hearsay.hear(S, 1, message)
     assert not hearsay.hear(2 * S, 1, junk)
@@ -93,7 +93,7 @@
     sender = _rich()
     message = sender.tell(S, [(tag, 1 + tag % 300) for tag in range(1_000)])
     assert message is not None and len(message) <= MESSAGE_MOST
-    hearsay = Hearsay(PRICE, Others(4))
+    hearsay = Hearsay(PRICE, FleetSize(4))
     assert hearsay.hear(S, 1, message)
     assert hearsay.held(299) == COUNT_MOST and hearsay.held(0) == 0
     assert sum(hearsay.held(tag) > 0 for tag in range(1_000)) == ENTRIES_MOST
@@ -102,7 +102,7 @@
 @pytest.mark.parametrize("size", [2, 5, 40, 200])
 def test_messages_cost_no_more_than_their_share_whatever_the_size_of_the_tier(size: int) -> None:
     # The platform's price: points for each 256 bytes delivered, for each first try.
-    hearsay, delivered, tries = Hearsay(PRICE, Others(size)), 0, 0
+    hearsay, delivered, tries = Hearsay(PRICE, FleetSize(size)), 0, 0
     chance = random.Random(size)
     now = 0
     for _ in range(20_000):
@@ -118,7 +118,7 @@
 
 
 def test_messages_are_no_more_frequent_than_the_network_is_quick() -> None:
-    hearsay = Hearsay(0.0, Others(2))
+    hearsay = Hearsay(0.0, FleetSize(2))
     sent = 0
     for now in range(0, 10 * S, 1_000):
         hearsay.arrived()
@@ -130,7 +130,7 @@
 def test_a_tier_too_large_says_nothing_and_hears_so_many_at_most() -> None:
     large = _rich(5_000)
     assert not large.due(S)
-    hearsay = Hearsay(PRICE, Others(200))
+    hearsay = Hearsay(PRICE, FleetSize(200))
     message = bytes([VERSION, 7, 0, 1])
     assert sum(hearsay.hear(S, sender, message) for sender in range(1_000)) == SENDERS_MOST
     assert hearsay.held(7) == SENDERS_MOST
@@ -151,7 +151,7 @@
 def test_sums_are_those_of_the_pictures_that_live(
     told: list[tuple[int, list[tuple[int, int]], int]],
 ) -> None:
-    hearsay = Hearsay(PRICE, Others(8))
+    hearsay = Hearsay(PRICE, FleetSize(8))
     live: dict[int, tuple[int, dict[int, int]]] = {}
     now = S
     for sender, counts, pause in told:
--- a/tests/test_poll_schedule.py
+++ b/tests/estimation/test_poll_schedule.py
@@ -7,17 +7,18 @@
 import pytest
 from helpers import MS, S, Stage, names, settings
 
-from topazbank.interface import Follow, ListedServer, ListKind, ServersListed
-from topazbank.sight import poll_schedule
+from topazbank.balancing.actions import WatchEndpoints
+from topazbank.balancing.events import EndpointsUpdated, ServerDescription, UpdateKind
+from topazbank.estimation import poll_schedule
 
 
 def asked(stage: Stage) -> list[int]:
-    return [at for at, each in stage.log if isinstance(each, Follow) and each.wanted]
+    return [at for at, each in stage.log if isinstance(each, WatchEndpoints) and each.wanted]
 
 
 def begin(sidecars: int, seed: int = 1) -> Stage:
-    stage = Stage(settings(group_size=sidecars), seed=seed)
-    stage.servers([ListedServer(each, "east") for each in names(4)], ListKind.REMEMBERED)
+    stage = Stage(settings(fleet_size=sidecars), seed=seed)
+    stage.servers([ServerDescription(each, "east") for each in names(4)], UpdateKind.CACHED)
     return stage
 
 
@@ -49,7 +50,7 @@
     waits = []
     for _ in range(12):
         failed = stage.now
-        stage.play(ServersListed(ListKind.FAILED))
+        stage.play(EndpointsUpdated(UpdateKind.FAILED))
         before = len(asked(stage))
         while len(asked(stage)) == before:
             stage.wait(50 * MS)
@@ -58,7 +59,7 @@
     assert min(b - a for a, b in pairwise(asked(stage))) >= most_s * S / 6 - 50 * MS  # also the first
     assert max(waits) <= most_s * S
     assert min(waits[4:]) >= 0.5 * most_s * S  # from the fifth on all are the longest, with chance
-    assert max(waits) < stage.balancer._settings.rules.ask_within_us
+    assert max(waits) < stage.balancer._settings.rules.poll_within_us
 
 
 @pytest.mark.parametrize("sidecars", [1, 40, 200, 3_000, 100_000])
@@ -83,17 +84,17 @@
             last = asked(stage)[-1]
             stage.wait(100 * MS)
             if last + fails_after_ms * MS <= stage.now < last + fails_after_ms * MS + 100 * MS:
-                stage.play(ServersListed(ListKind.FAILED))
+                stage.play(EndpointsUpdated(UpdateKind.FAILED))
         calls = asked(stage)
         assert max(b - a for a, b in pairwise(calls)) <= 2500 * MS, fails_after_ms
 
 
 def test_the_first_answer_ends_the_calls_and_a_failure_begins_them_anew() -> None:
     stage = begin(8)
-    stage.servers([], ListKind.CHANGES)
+    stage.servers([], UpdateKind.DELTA)
     count = len(asked(stage))
     stage.wait(20 * S)
     assert len(asked(stage)) == count
-    stage.play(ServersListed(ListKind.FAILED))
+    stage.play(EndpointsUpdated(UpdateKind.FAILED))
     stage.wait(900 * MS)
     assert len(asked(stage)) == count + 1
--- a/tests/sight/test_cold_share.py
+++ b/tests/estimation/test_slow_start_share.py
@@ -4,7 +4,7 @@
 
 from helpers import MS, S, Stage, names, settings
 
-from topazbank.interface import ListedServer
+from topazbank.balancing.events import ServerDescription
 
 
 def test_servers_that_are_half_warm_are_given_near_half_of_what_warm_ones_get() -> None:
@@ -13,10 +13,10 @@
     seeds = 6
     for seed in range(seeds):
         stage = Stage(settings(), seed=seed)
-        warm = [ListedServer(name, "east") for name in names(8)]
+        warm = [ServerDescription(name, "east") for name in names(8)]
         stage.servers(warm)
         stage.serve(200, every_us=20 * MS, taking_us=15 * MS)
-        cold = [ListedServer(f"10.0.1.{each}:80", "east", started_at=stage.now) for each in range(8)]
+        cold = [ServerDescription(f"10.0.1.{each}:80", "east", started_at=stage.now) for each in range(8)]
         stage.servers([*warm, *cold])
         stage.wait(2 * S)
         since = stage.now
@@ -29,7 +29,7 @@
 
 def test_ties_count_what_others_hold_there_by_pace_and_not_by_warmth() -> None:
     stage = Stage()
-    stage.servers([ListedServer("10.0.1.1:80", "east", started_at=stage.now), *names(1)])
+    stage.servers([ServerDescription("10.0.1.1:80", "east", started_at=stage.now), *names(1)])
     cold, warm = stage.balancer._servers["10.0.1.1:80"], stage.balancer._servers[names(1)[0]]
     assert stage.balancer._rank(cold) == stage.balancer._rank(warm)
     assert stage.balancer._odds(cold, 1.0) < stage.balancer._odds(warm, 1.0)
--- a/tests/sight/test_soundings.py
+++ b/tests/estimation/test_startup_probes.py
@@ -7,29 +7,30 @@
 import pytest
 from helpers import MS, S, Stage, names, settings
 
-from topazbank.interface import ListedServer, ListKind, Outcome, Probe, ProbeEnded, Refuse
-from topazbank.sight.others import Others
-from topazbank.sight.soundings import ASKED, Soundings, expected_us
+from topazbank.balancing.actions import CheckHealth, Reject
+from topazbank.balancing.events import HealthCheckEnded, Outcome, ServerDescription, UpdateKind
+from topazbank.estimation.fleet_size import FleetSize
+from topazbank.estimation.startup_probes import ASKED, Soundings, expected_us
 
 IDLE = {"inflight": 0.0, "queue": 0.0, "latency_ms": 60.0}
 FULL = {"inflight": 20.0, "queue": 16.0, "latency_ms": 100.0}  # four in work: five times as long as the work
 DEAR = {
-    "limits": {"may_probe": True},
-    "report": {"source": "probes", "columns": ["inflight", "queue", "latency_ms"]},
-    "prices": {"probe": 0.08},
-    "group_size": 40,
+    "limits": {"health_checks": True},
+    "report": {"source": "health_checks", "columns": ["inflight", "queue", "latency_ms"]},
+    "prices": {"health_check": 0.08},
+    "fleet_size": 40,
 }
 
 
 def begin(reports: dict[int, dict[str, float] | None], servers: int = 60, **changes: Any) -> Stage:
     """A sidecar that begins with its last list; the nth probe ends with the nth report, None: it fails."""
     stage = Stage(settings(**{**DEAR, **changes}))
-    stage.servers([ListedServer(each, "east") for each in names(servers)], ListKind.REMEMBERED)
-    for number, probe in enumerate(stage.said(Probe)):
+    stage.servers([ServerDescription(each, "east") for each in names(servers)], UpdateKind.CACHED)
+    for number, probe in enumerate(stage.said(CheckHealth)):
         report = reports.get(number)
         stage.wait(MS)
-        outcome = Outcome.DIAL_FAILED if report is None else Outcome.DELIVERED
-        stage.play(ProbeEnded(probe.server, outcome, MS, report))
+        outcome = Outcome.CONNECT_FAILED if report is None else Outcome.DELIVERED
+        stage.play(HealthCheckEnded(probe.server, outcome, MS, report))
     return stage
 
 
@@ -38,7 +39,7 @@
     for _ in range(count):
         stage.wait(MS)
         stage.request("look")
-    return len(stage.said(Refuse))
+    return len(stage.said(Reject))
 
 
 def test_a_sidecar_that_begins_before_idle_servers_lets_all_in() -> None:
@@ -62,27 +63,27 @@
 def test_no_more_than_a_few_probes_are_sent_whatever_comes_after() -> None:
     stage = begin(dict.fromkeys(range(ASKED), IDLE))
     for _ in range(5):
-        stage.servers([ListedServer(each, "east") for each in names(60)])
+        stage.servers([ServerDescription(each, "east") for each in names(60)])
         refused(stage)
         stage.wait(2 * S)
-    assert len(stage.said(Probe)) == ASKED
+    assert len(stage.said(CheckHealth)) == ASKED
 
 
 @pytest.mark.parametrize(
     "changes",
     [
-        {"limits": {"may_probe": False}},
-        {"group_size": 1},
-        {"report": {"source": "probes", "columns": ["inflight"]}},
-        {"report": {"source": "answers", "columns": ["inflight", "queue", "latency_ms"]}},
+        {"limits": {"health_checks": False}},
+        {"fleet_size": 1},
+        {"report": {"source": "health_checks", "columns": ["inflight"]}},
+        {"report": {"source": "responses", "columns": ["inflight", "queue", "latency_ms"]}},
     ],
 )
 def test_nothing_is_asked_where_nothing_may_be_learnt(changes: dict[str, Any]) -> None:
-    assert begin({}, **changes).said(Probe) == []
+    assert begin({}, **changes).said(CheckHealth) == []
 
 
 def test_the_share_is_of_the_servers_that_are_there() -> None:
-    soundings = Soundings(settings(**DEAR), Others(settings(**DEAR).group_size))
+    soundings = Soundings(settings(**DEAR), FleetSize(settings(**DEAR).fleet_size))
     soundings.begin(0, 60)
     for report in (FULL, FULL, FULL, None, None, None):
         soundings.heard(report, 0.4)
@@ -90,7 +91,7 @@
 
 
 def test_what_is_heard_long_after_the_start_is_the_windows_business() -> None:
-    soundings = Soundings(settings(**DEAR), Others(settings(**DEAR).group_size))
+    soundings = Soundings(settings(**DEAR), FleetSize(settings(**DEAR).fleet_size))
     soundings.begin(0, 60)
     for _ in range(3):
         soundings.heard(FULL, 0.4)
--- a/tests/sight/test_traffic.py
+++ b/tests/estimation/test_traffic_mix.py
@@ -5,7 +5,7 @@
 import pytest
 from helpers import MS, settings
 
-from topazbank.sight.traffic import MIXES_MOST, Traffic
+from topazbank.estimation.traffic_mix import MIXES_MOST, Traffic
 
 
 def test_the_less_worthy_class_stands_below_the_other() -> None:
@@ -19,7 +19,9 @@
 
 
 def test_a_tenant_far_over_its_share_stands_below_one_within() -> None:
-    given = settings(tenants=[{"name": "a", "share": 0.5}, {"name": "b", "share": 0.5}], over_share_worth=0.2)
+    given = settings(
+        tenants=[{"name": "a", "share": 0.5}, {"name": "b", "share": 0.5}], over_share_weight=0.2
+    )
     traffic, kind = Traffic(given), given.classes[0]
     for now in range(0, 1000 * MS, 10 * MS):
         within = traffic.asked(now, kind, "a")
--- a/tests/fleet/test_failure_cases.py
+++ b/tests/fleet/test_failure_cases.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from standins.fleet import Rig, Verdicts
-from standins.fleet.scenes import SCENES, outage_beside_fixed_list, play
+from testbed.fleet import Rig, Verdicts
+from testbed.fleet.scenarios import SCENES, outage_beside_fixed_list, play
 
 RATE = 120.0
-OUTAGE_S = 20.0  # `python -m standins.fleet --outage 300` runs the long one
+OUTAGE_S = 20.0  # `python -m testbed.fleet --outage 300` runs the long one
 
 
 def verdicts_of(rig: Rig) -> Verdicts:
--- a/tests/fleet/test_judge.py
+++ b/tests/fleet/test_invariants.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from standins.fleet.judge import Called, Reached, Word, judge
-from standins.lodge import Run
+from testbed.backend import Run
+from testbed.fleet.invariants import Called, Reached, Word, judge
 
 LIVES = {0: [(0.0, 100.0)], 1: [(0.0, 100.0)]}
 SERVED = Called("c", "lodge", None, 10.0, 2.0, "served", 10.1, b"n did lodge c")
--- a/tests/fleet/test_planners.py
+++ b/tests/fleet/test_planners.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from standins.fleet.scenes import PLANNED, play
-from standins.fleet.simulated import START, Fleet, Node, S, service
-from topazbank.interface import Settings
-from topazbank.planning import lead
+from testbed.fleet.scenarios import PLANNED, play
+from testbed.fleet.simulated import START, Fleet, Node, S, service
+from topazbank.balancing.settings import Settings
+from topazbank.planning import leadership
 from topazbank.planning.plan import Share
-from topazbank.wirenames import settings_from_wire
+from topazbank.platform_names import settings_from_wire
 
 
 @pytest.mark.parametrize("name", PLANNED)
@@ -23,9 +23,9 @@
 
 
 def test_planners_that_tell_by_rank_who_leads_fail_as_well(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(lead, "PATIENCE", S // 2)
-    monkeypatch.setattr(lead, "PATIENCE_RANK", S // 2)
-    monkeypatch.setattr(lead, "FRESH", S // 2)
+    monkeypatch.setattr(leadership, "PATIENCE", S // 2)
+    monkeypatch.setattr(leadership, "PATIENCE_RANK", S // 2)
+    monkeypatch.setattr(leadership, "FRESH", S // 2)
     rig = asyncio.run(asyncio.wait_for(play("planners_die", 0.5, 120.0, seed=2, by_rank=True), 60.0))
     verdicts = rig.verdicts()
     assert not verdicts.broken and verdicts.served > 0.9
--- a/tests/fleet/test_proxy.py
+++ b/tests/fleet/test_proxy.py
@@ -7,8 +7,8 @@
 import pytest
 from loopback import play
 
-from standins.fleet.proxy import Proxy
-from standins.wire import Listening
+from testbed.fleet.proxy import Proxy
+from testbed.wire import Listening
 
 
 class Echo(Listening):
--- a/tests/fleet/test_crowd.py
+++ b/tests/fleet/test_synthetic_peers.py
@@ -6,17 +6,20 @@
 
 import pytest
 
-from standins.fleet import crowd
+from testbed.fleet import synthetic_peers
 from topazbank.core.bounds import Fleet, bounds, connections_each, list_calls_a_second
-from topazbank.sight.poll_schedule import WATCH_LEAST_S, WATCH_MOST_S, watch_s
-from topazbank.wirenames import settings_from_wire
+from topazbank.estimation.poll_schedule import WATCH_LEAST_S, WATCH_MOST_S, watch_s
+from topazbank.platform_names import settings_from_wire
 
 
 def test_a_thousand_sidecars_stay_inside_the_formulas() -> None:
     """One scene after the other: each takes a few processes, beside whatever other tests run."""
     results = asyncio.run(
         asyncio.wait_for(
-            crowd.run(crowd.SCENES, sidecars=1000, workers=2, nodes=40, rate=0.1, seconds=7.0), 280.0
+            synthetic_peers.run(
+                synthetic_peers.SCENES, sidecars=1000, workers=2, nodes=40, rate=0.1, seconds=7.0
+            ),
+            280.0,
         )
     )
     for result in results:
--- a/tests/fleet/test_wide.py
+++ b/tests/fleet/test_wide.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from standins.fleet import wide
+from testbed.fleet import wide
 
 
 @pytest.mark.parametrize("scene", ["leader_stopped", "all_stopped", "all_killed"])
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,35 +6,45 @@
 from typing import Any, TypeVar
 
 from topazbank import Balancer, Settings
-from topazbank.interface import (
-    Action,
+from topazbank.balancing.actions import Action, SendAttempt, SetTimer
+from topazbank.balancing.events import (
     AttemptEnded,
+    EndpointsUpdated,
     Event,
-    ListedServer,
-    ListKind,
     Outcome,
     RequestArrived,
-    Send,
-    ServersListed,
+    ServerDescription,
     ServerState,
-    SetTimer,
     TimerFired,
+    UpdateKind,
 )
 
 MS = 1_000
 S = 1_000_000
 START = 50 * S
 
-SAFE = {"name": "look", "deadline_us": 2 * S, "aim_us": 500 * MS, "worth": 1, "repeat": "safe"}
-UNSAFE = {"name": "pay", "deadline_us": 2 * S, "aim_us": 500 * MS, "worth": 10, "repeat": "unsafe"}
+SAFE = {
+    "name": "look",
+    "deadline_us": 2 * S,
+    "latency_objective_us": 500 * MS,
+    "priority_weight": 1,
+    "idempotency": "idempotent",
+}
+UNSAFE = {
+    "name": "pay",
+    "deadline_us": 2 * S,
+    "latency_objective_us": 500 * MS,
+    "priority_weight": 10,
+    "idempotency": "non_idempotent",
+}
 KEYED = {
     "name": "amend",
     "deadline_us": 4 * S,
-    "aim_us": 500 * MS,
-    "worth": 3,
-    "repeat": "keyed",
-    "group": "cell",
-    "memory_us": 2 * S,
+    "latency_objective_us": 500 * MS,
+    "priority_weight": 3,
+    "idempotency": "keyed",
+    "idempotency_scope": "cell",
+    "idempotency_window_us": 2 * S,
 }
 
 _Kind = TypeVar("_Kind")
@@ -46,14 +56,14 @@
         "classes": [SAFE, UNSAFE, KEYED],
         "zone": "east",
         "tick_us": 5 * MS,
-        "limits": {"max_attempts": 5, "second_copies": True, "may_cancel": True},
+        "limits": {"max_attempts": 5, "hedging": True, "cancellation": True},
         "rules": {
-            "cold_from": 0.2,
-            "cold_us": 10 * S,
+            "warmup_start_ratio": 0.2,
+            "warmup_us": 10 * S,
             "drain_grace_us": 500 * MS,
-            "fall_multiple": 3,
-            "fall_us": 2 * S,
-            "ask_within_us": 10 * S,
+            "overload_multiple": 3,
+            "overload_window_us": 2 * S,
+            "poll_within_us": 10 * S,
         },
     }
     for key, value in changes.items():
@@ -84,13 +94,13 @@
         return actions
 
     def servers(
-        self, listed: Iterable[str | ListedServer], kind: ListKind = ListKind.COMPLETE
+        self, listed: Iterable[str | ServerDescription], kind: UpdateKind = UpdateKind.SNAPSHOT
     ) -> list[Action]:
-        lines = [ListedServer(each, zone="east") if isinstance(each, str) else each for each in listed]
-        return self.play(ServersListed(kind, lines, 1))
+        lines = [ServerDescription(each, zone="east") if isinstance(each, str) else each for each in listed]
+        return self.play(EndpointsUpdated(kind, lines, 1))
 
     def drain(self, server: str, state: ServerState = ServerState.DRAINING) -> list[Action]:
-        return self.servers([ListedServer(server, zone="east", state=state)], ListKind.CHANGES)
+        return self.servers([ServerDescription(server, zone="east", state=state)], UpdateKind.DELTA)
 
     def request(
         self,
@@ -131,11 +141,11 @@
             self.play(TimerFired(due[0][1]))
         self.now = until
 
-    def sends(self, request: int | None = None) -> list[tuple[int, Send]]:
+    def sends(self, request: int | None = None) -> list[tuple[int, SendAttempt]]:
         return [
             (at, each)
             for at, each in self.log
-            if isinstance(each, Send) and (request is None or each.request == request)
+            if isinstance(each, SendAttempt) and (request is None or each.request == request)
         ]
 
     def target(self, request: int) -> str:
--- a/tests/incidents/test_drains_and_discovery.py
+++ b/tests/incidents/test_drains_and_discovery.py
@@ -26,9 +26,9 @@
 from loopback import PATIENCE_S, FakeServer, Head, answer, ask, play, request, until
 from test_life import ROOT, config
 
-from standins.ports import free, own_host
-from standins.registry.faulty import FaultyRegistry, Trouble
-from standins.wire import Address
+from testbed.ports import free, own_host
+from testbed.registry.faulty import FaultyRegistry, Trouble
+from testbed.wire import Address
 
 TOLD_S = 6.0  # after discovery had a change and could be reached
 TOLD_AFTER_SIGHUP_S = 4.0
--- a/tests/incidents/test_stopped_clients.py
+++ b/tests/incidents/test_stopped_clients.py
@@ -31,7 +31,7 @@
 )
 from test_life import program
 
-from standins.wire import HTTP, MSGPACK_RPC, Address, pack
+from testbed.wire import HTTP, MSGPACK_RPC, Address, pack
 from topazbank.core.connection_states import ConnectionState
 
 STOPPED_S = 3.0  # what a client that has stopped is owed its error or its close within
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -17,11 +17,11 @@
 import msgpack
 from helpers import KEYED, SAFE, UNSAFE, S, settings
 
-from standins.wire import HTTP, MSGPACK_RPC, Asked, Listening, Reply, pack, read_http, read_rpc, reset
-from topazbank.core.driver import Config, Sidecar
+from testbed.wire import HTTP, MSGPACK_RPC, Asked, Listening, Reply, pack, read_http, read_rpc, reset
+from topazbank.core.driver import Sidecar, SidecarConfig
 from topazbank.core.net import Address
-from topazbank.membership.list_format import parse_list
-from topazbank.operator import Membership, MsgpackRpc, Operator
+from topazbank.discovery.list_format import parse_list
+from topazbank.operator_config import Membership, MsgpackRpc, OperatorConfig
 from topazbank.wiring import wire
 
 PATIENCE_S = 20.0  # for what must come; no test takes it as proof of anything
@@ -264,7 +264,7 @@
 
 # As the stage has them, with time enough for a slow machine.
 CLASSES = [each | {"deadline_us": 600 * S} for each in (SAFE, UNSAFE, KEYED)]
-LIMITS = {"max_attempts": 3, "second_copies": False, "may_cancel": True}
+LIMITS = {"max_attempts": 3, "hedging": False, "cancellation": True}
 
 
 @contextlib.asynccontextmanager
@@ -283,8 +283,8 @@
     given = settings(**{"classes": CLASSES, "limits": LIMITS, **changes})
     entries = [each.entry() for each in servers] if membership is None else []
     known = parse_list({"index": 41, "snapshot": True, "endpoints": entries})
-    config = Config(("127.0.0.1", 0), discovery.address, 7, sockets, given, known)
-    operator = Operator(
+    config = SidecarConfig(("127.0.0.1", 0), discovery.address, 7, sockets, given, known)
+    operator = OperatorConfig(
         MsgpackRpc(clients=True, nodes=True), membership=membership or Membership(), show_roster=True
     )
     made = World(Sidecar(config, wire(operator)), servers, discovery)
--- a/tests/msgpackrpc/simulated.py
+++ b/tests/msgpackrpc/simulated.py
@@ -16,15 +16,17 @@
 import msgpack
 from helpers import KEYED, SAFE, UNSAFE, settings
 
-from standins.wire import pack
-from topazbank.core.driver import Clock, Config, Sidecar, Wiring
-from topazbank.core.listener import Frontend
-from topazbank.core.members import Dialects, Listed, Standing, Told
+from testbed.wire import pack
+from topazbank.balancing.actions import CancelAttempt
+from topazbank.balancing.events import Outcome, ServerDescription, ServerState
+from topazbank.balancing.settings import Settings
+from topazbank.core.driver import Clock, Components, Sidecar, SidecarConfig
+from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, ProtocolDefaults, SourceStatus
+from topazbank.core.endpoints import MSGPACK_RPC, ConnectionLimit, UpstreamClient
+from topazbank.core.listener import Listener
 from topazbank.core.net import Address
-from topazbank.core.nodes import MSGPACK_RPC, Carrier, Slots
 from topazbank.http.server import HttpConnection
-from topazbank.interface import Cancel, ListedServer, Outcome, ServerState, Settings
-from topazbank.msgpackrpc.client import RpcCarrier, RpcNodeConnection, Sharing
+from topazbank.msgpackrpc.client import RpcNodeConnection, RpcUpstreamClient, Sharing
 from topazbank.msgpackrpc.server import RpcConnection
 
 ATTEMPTS_MOST = 3
@@ -256,7 +258,7 @@
         self.connection.connection_lost(None)
 
 
-class _PlayedCarrier(RpcCarrier):
+class _PlayedCarrier(RpcUpstreamClient):
     """Dials played nodes."""
 
     world: Played
@@ -270,7 +272,7 @@
             raise
         if not node.up:
             connection.dial = None
-            connection.end(Outcome.DIAL_FAILED)
+            connection.end(Outcome.CONNECT_FAILED)
             connection.free_slot()
             return
         connection.sock = self.world.quiet
@@ -288,7 +290,7 @@
 
     def stop(self) -> None: ...
 
-    def standing(self) -> tuple[Standing, ...]:
+    def standing(self) -> tuple[SourceStatus, ...]:
         return ()
 
     def source_of(self, name: str) -> str:
@@ -309,28 +311,35 @@
         self.clients: list[ClientWire] = []
         loop = asyncio.get_running_loop()
 
-        def carriers(given: Settings, slots: Slots) -> dict[str, Carrier]:
+        def carriers(given: Settings, slots: ConnectionLimit) -> dict[str, UpstreamClient]:
             carrier = _PlayedCarrier(0.25, 15.0, slots, (), sharing)
             carrier.world = self
             return {MSGPACK_RPC: carrier}
 
         classes = [SAFE, UNSAFE, KEYED]
-        limits = {"max_attempts": ATTEMPTS_MOST, "second_copies": False, "may_cancel": True}
-        lines = [Listed(ListedServer(each.name, "east", "m", 1), ("127.0.0.1", 9)) for each in self.nodes]
-        config = Config(
+        limits = {"max_attempts": ATTEMPTS_MOST, "hedging": False, "cancellation": True}
+        lines = [
+            DiscoveredServer(ServerDescription(each.name, "east", "m", 1), ("127.0.0.1", 9))
+            for each in self.nodes
+        ]
+        config = SidecarConfig(
             ("127.0.0.1", 0),
             ("127.0.0.1", 9),
             7,
             256,
             settings(classes=classes, limits=limits),
-            Told(1, True, lines),
+            EndpointList(1, True, lines),
         )
-        wiring = Wiring(
-            HttpConnection, RpcConnection, carriers, lambda *_: _NoSource(), dialects=Dialects(MSGPACK_RPC)
+        wiring = Components(
+            HttpConnection,
+            RpcConnection,
+            carriers,
+            lambda *_: _NoSource(),
+            dialects=ProtocolDefaults(MSGPACK_RPC),
         )
         self.sidecar = Sidecar(config, wiring, Clock(lambda: int(loop.time() * 1e9)))
         self.sidecar.server_list.begin(at_once=False)
-        self._frontend: Frontend = self.sidecar.frontend
+        self._frontend: Listener = self.sidecar.frontend
 
     def check(self, kept: bool, rule: str) -> None:
         if not kept:
@@ -357,12 +366,12 @@
         if lives:
             live = lives[index % len(lives)]
             self.sidecar._balancer._extra = 5.0  # so that its end draws again
-            self.sidecar._cancel(Cancel(live.ident, next(iter(live.out))))
+            self.sidecar._cancel(CancelAttempt(live.ident, next(iter(live.out))))
 
     def drain(self, node: Node) -> None:
         node.drained = True
-        server = ListedServer(node.name, "east", "m", 1, ServerState.DRAINING)
-        self.sidecar.server_list.told(Told(2, False, [Listed(server, ("127.0.0.1", 9))]))
+        server = ServerDescription(node.name, "east", "m", 1, ServerState.DRAINING)
+        self.sidecar.server_list.told(EndpointList(2, False, [DiscoveredServer(server, ("127.0.0.1", 9))]))
 
     async def settle(self) -> None:
         """Let all time pass that anything may take, and judge."""
--- a/tests/msgpackrpc/test_front.py
+++ b/tests/msgpackrpc/test_front.py
@@ -24,7 +24,7 @@
     world,
 )
 
-from standins.wire import MSGPACK_RPC, pack
+from testbed.wire import MSGPACK_RPC, pack
 from topazbank.msgpackrpc import server
 from topazbank.msgpackrpc.server import CALLS_MOST, RpcConnection
 
@@ -257,7 +257,9 @@
 
 def test_calls_beyond_the_bound_of_a_connection_wait_and_all_are_answered() -> None:
     async def scene() -> None:
-        unhurried = [each | {"aim_us": 600 * S} for each in CLASSES]  # else what was late here may be refused
+        unhurried = [
+            each | {"latency_objective_us": 600 * S} for each in CLASSES
+        ]  # else what was late here may be refused
         async with world(hung, hung, sockets=1024, classes=unhurried) as w:
             one = await client(w.sidecar.frontend.address)
             many = CALLS_MOST + 100
--- a/tests/msgpackrpc/test_mapping.py
+++ b/tests/msgpackrpc/test_mapping.py
@@ -9,14 +9,14 @@
 from helpers import settings
 from loopback import CLASSES
 
-from standins.wire import read_rpc
-from topazbank.core.call import Answer, BadCall, Call, Rulebook, Verdict
+from testbed.wire import read_rpc
+from topazbank.balancing.events import Outcome
+from topazbank.core.call import Call, FinalAnswer, InvalidRequest, RequestClasses, Verdict
 from topazbank.http.client import write_request
-from topazbank.interface import Outcome
 from topazbank.msgpackrpc.codec import Decoder, Reply, Request, encode_request
 from topazbank.msgpackrpc.mapping import read_call, read_reply, write_answer, write_call
 
-RULES = Rulebook(settings(classes=CLASSES, tenants=[{"name": "acme"}]))
+RULES = RequestClasses(settings(classes=CLASSES, tenants=[{"name": "acme"}]))
 ENVELOPE: dict[str, Any] = {"id": "c-1", "budget": 1.5, "path": "/api/7f?q=1", "tenant": "acme"}
 
 
@@ -123,14 +123,14 @@
     if status is None:
         assert read(**changes, body=None).kind.name == "look"  # a text of either type
         return
-    with pytest.raises(BadCall) as bad:
+    with pytest.raises(InvalidRequest) as bad:
         read(**changes)
     assert bad.value.status == status and field in str(bad.value)
 
 
 @pytest.mark.parametrize("given", [[], [{}, b"", 3], [7], [[]], {"id": "x"}, "x", None])
 def test_params_of_another_shape_are_turned_away(given: Any) -> None:
-    with pytest.raises(BadCall):
+    with pytest.raises(InvalidRequest):
         read_params("pay", given)
 
 
@@ -152,8 +152,8 @@
         (None, 7, Outcome.ERROR),
         (None, [b"x"], Outcome.ERROR),
         (None, {b"body": 7}, Outcome.ERROR),
-        ([503, b"full", {b"rejected": True}], None, Outcome.FULL),
-        ([504, b"over", {b"rejected": True}], None, Outcome.FULL),
+        ([503, b"full", {b"rejected": True}], None, Outcome.REJECTED),
+        ([504, b"over", {b"rejected": True}], None, Outcome.REJECTED),
         ([503, b"full", {}], None, Outcome.ERROR),
         ([503, b"full", {b"rejected": 1}], None, Outcome.ERROR),
         ([503, b"full", {b"rejected": b"true"}], None, Outcome.ERROR),
@@ -163,7 +163,7 @@
         (b"it broke", None, Outcome.ERROR),
         (False, None, Outcome.ERROR),
         (0, {b"body": b"x"}, Outcome.ERROR),
-        ([503, b"full", {b"rejected": True}], {b"body": b"x"}, Outcome.FULL),
+        ([503, b"full", {b"rejected": True}], {b"body": b"x"}, Outcome.REJECTED),
     ],
 )
 def test_what_a_node_says_proves_no_more_than_it_says(error: Any, result: Any, outcome: Outcome) -> None:
@@ -193,12 +193,12 @@
 @pytest.mark.parametrize(
     ("answer", "error", "result"),
     [
-        (Answer(Verdict.SERVED, b"\xff"), None, {"body": b"\xff"}),
-        (Answer(Verdict.SERVED, b"x", [(b"content-type", b"a/b")]), None, {"body": b"x", "type": "a/b"}),
-        (Answer(Verdict.REFUSED), [503, "refused", {}], None),
-        (Answer(Verdict.REFUSED, retry_after_us=250_000), [503, "refused", {"retry_after": 0.25}], None),
-        (Answer(Verdict.FAILED), [500, "failed", {}], None),
+        (FinalAnswer(Verdict.SERVED, b"\xff"), None, {"body": b"\xff"}),
+        (FinalAnswer(Verdict.SERVED, b"x", [(b"content-type", b"a/b")]), None, {"body": b"x", "type": "a/b"}),
+        (FinalAnswer(Verdict.REFUSED), [503, "refused", {}], None),
+        (FinalAnswer(Verdict.REFUSED, retry_after_us=250_000), [503, "refused", {"retry_after": 0.25}], None),
+        (FinalAnswer(Verdict.FAILED), [500, "failed", {}], None),
     ],
 )
-def test_each_answer_has_one_form(answer: Answer, error: Any, result: Any) -> None:
+def test_each_answer_has_one_form(answer: FinalAnswer, error: Any, result: Any) -> None:
     assert msgpack.unpackb(write_answer(9, answer), raw=False) == [1, 9, error, result]
--- a/tests/msgpackrpc/test_third_party.py
+++ b/tests/msgpackrpc/test_third_party.py
@@ -10,10 +10,10 @@
 from helpers import settings
 from loopback import CLASSES, LIMITS, Pair, answer, ask, play, request, until, use, world
 
-from standins.wire import HTTP, MSGPACK_RPC
-from topazbank.core.driver import Config, Sidecar
-from topazbank.membership.list_format import parse_list
-from topazbank.operator import MsgpackRpc, Operator
+from testbed.wire import HTTP, MSGPACK_RPC
+from topazbank.core.driver import Sidecar, SidecarConfig
+from topazbank.discovery.list_format import parse_list
+from topazbank.operator_config import MsgpackRpc, OperatorConfig
 from topazbank.wiring import wire
 
 
@@ -78,8 +78,8 @@
         line = {"name": "s-0", "address": f"{host}:{port}", "status": "active", "protocol": MSGPACK_RPC}
         known = parse_list({"index": 1, "snapshot": True, "endpoints": [line]})
         given = settings(classes=CLASSES, limits=LIMITS)
-        config = Config(("127.0.0.1", 0), ("127.0.0.1", 9), 7, 256, given, known)
-        sidecar = Sidecar(config, wire(Operator(MsgpackRpc(clients=True, nodes=True))))
+        config = SidecarConfig(("127.0.0.1", 0), ("127.0.0.1", 9), 7, 256, given, known)
+        sidecar = Sidecar(config, wire(OperatorConfig(MsgpackRpc(clients=True, nodes=True))))
         running = asyncio.create_task(sidecar.run(asyncio.Event()))
         await until(lambda: sidecar._balancer._begun)
         where = sidecar.frontend.address
--- a/tests/msgpackrpc/test_upstream.py
+++ b/tests/msgpackrpc/test_upstream.py
@@ -27,15 +27,15 @@
     world,
 )
 
-from standins.wire import MSGPACK_RPC, pack, reset
-from topazbank.core.call import Call, Response, Rulebook
-from topazbank.core.nodes import MSGPACK_RPC as RPC
-from topazbank.core.nodes import Nodes, Slots, Terms
-from topazbank.interface import Outcome, ServerState
-from topazbank.msgpackrpc.client import RpcAttempt, RpcCarrier, RpcNodeConnection, Sharing
+from testbed.wire import MSGPACK_RPC, pack, reset
+from topazbank.balancing.events import Outcome, ServerState
+from topazbank.core.call import Call, RequestClasses, Response
+from topazbank.core.endpoints import MSGPACK_RPC as RPC
+from topazbank.core.endpoints import AttemptDeadlines, ConnectionLimit, EndpointTable
+from topazbank.msgpackrpc.client import RpcAttempt, RpcNodeConnection, RpcUpstreamClient, Sharing
 from topazbank.msgpackrpc.mapping import write_call
 
-RULES = Rulebook(settings(classes=CLASSES))
+RULES = RequestClasses(settings(classes=CLASSES))
 idents = itertools.count()
 
 
@@ -71,23 +71,23 @@
         self.body = response.body if response is not None else None
 
 
-def rpc_nodes_of(sharing: Sharing | None = None, most: int = 50, dial_s: float = 5.0) -> Nodes:
-    nodes = Nodes(Slots(most), 4.0)
-    nodes.add(RPC, RpcCarrier(dial_s, 60.0, nodes.slots, (), sharing))
+def rpc_nodes_of(sharing: Sharing | None = None, most: int = 50, dial_s: float = 5.0) -> EndpointTable:
+    nodes = EndpointTable(ConnectionLimit(most), 4.0)
+    nodes.add(RPC, RpcUpstreamClient(dial_s, 60.0, nodes.slots, (), sharing))
     return nodes
 
 
 def send(
-    nodes: Nodes, kind: str = "pay", seconds: float = 30.0, last: bool = True
+    nodes: EndpointTable, kind: str = "pay", seconds: float = 30.0, last: bool = True
 ) -> tuple[Told, RpcAttempt]:
     told = Told()
     until_ = asyncio.get_running_loop().time() + seconds
-    attempt = nodes.send("s", a_call(kind), Terms(until_, last), told)
+    attempt = nodes.send("s", a_call(kind), AttemptDeadlines(until_, last), told)
     assert isinstance(attempt, RpcAttempt)
     return told, attempt
 
 
-async def node(nodes: Nodes, script: Any) -> FakeServer:
+async def node(nodes: EndpointTable, script: Any) -> FakeServer:
     server = FakeServer("s", script)
     await server.start()
     nodes.update("s", server.address, None, ServerState.READY, RPC)
@@ -148,7 +148,7 @@
     nodes = rpc_nodes_of()
     nodes.update("s", ("127.0.0.1", 9), None, ServerState.READY, RPC)
     endpoint, carrier = nodes.endpoints["s"], nodes._carriers[RPC]
-    assert isinstance(carrier, RpcCarrier)
+    assert isinstance(carrier, RpcUpstreamClient)
     connection = RpcNodeConnection(carrier, endpoint, True)
     endpoint.pool.lodges.append(connection)
     kernel = Kernel(room)
@@ -159,7 +159,7 @@
         lodge, last = kind == "pay", True
         order = order_of(a_call(kind))
         attempt = RpcAttempt(
-            endpoint, order, Terms(asyncio.get_running_loop().time() + 30, last), heard, lodge
+            endpoint, order, AttemptDeadlines(asyncio.get_running_loop().time() + 30, last), heard, lodge
         )
         connection.add(attempt)
         told.append(heard)
@@ -194,7 +194,7 @@
             connection, kernel, told, _ = shared(cut)
             assert len(kernel.taken) == cut
             connection.connection_lost(None)
-            wanted = [Outcome.DROPPED if end <= cut else Outcome.DIAL_FAILED for end in ends]
+            wanted = [Outcome.CONNECTION_LOST if end <= cut else Outcome.CONNECT_FAILED for end in ends]
             assert [each.outcome for each in told] == wanted, cut
 
     play(scene())
@@ -213,8 +213,8 @@
                 assert told[index].outcome is Outcome.UNSENT
                 kernel.give_room(10**6, connection)
                 assert len(kernel.taken) == at  # half a call can't be taken back: its connection ends
-                assert [each.outcome for each in told[:index]] == [Outcome.DROPPED] * index
-                assert {each.outcome for each in told[index + 1 :]} <= {Outcome.DIAL_FAILED}
+                assert [each.outcome for each in told[:index]] == [Outcome.CONNECTION_LOST] * index
+                assert {each.outcome for each in told[index + 1 :]} <= {Outcome.CONNECT_FAILED}
 
     play(scene())
 
@@ -237,7 +237,7 @@
     async def scene() -> None:
         connection, kernel, told, _ = shared(10)  # the first call is begun, four wait
         connection._carrier.withdraw(connection.endpoint)
-        assert [each.outcome for each in told] == [None] + [Outcome.DIAL_FAILED] * 4
+        assert [each.outcome for each in told] == [None] + [Outcome.CONNECT_FAILED] * 4
         kernel.give_room(10**6, connection)
         unpacker = msgpack.Unpacker(raw=False)
         unpacker.feed(kernel.taken)
@@ -256,7 +256,7 @@
         heard = [Told() for _ in range(4)]
         for each in heard:
             order = order_of(a_call("look"))
-            connection.add(RpcAttempt(connection.endpoint, order, Terms(1e9), each))
+            connection.add(RpcAttempt(connection.endpoint, order, AttemptDeadlines(1e9), each))
         assert sorted(connection._out) == [
             1,
             2,
@@ -316,7 +316,7 @@
         idents = itertools.count(100)
         connection, kernel, told, _ = shared(ends[2])
         connection.data_received(spoilt)
-        assert [each.outcome for each in told] == [Outcome.ERROR] * 3 + [Outcome.DIAL_FAILED] * 2
+        assert [each.outcome for each in told] == [Outcome.ERROR] * 3 + [Outcome.CONNECT_FAILED] * 2
         assert kernel.closing
 
     play(scene())
@@ -335,8 +335,8 @@
     async def scene() -> None:
         connection, kernel, told, _ = shared(10)
         connection.data_received(pack([1, 0, [503, "too long", {"rejected": True}], None]))
-        assert told[0].outcome is Outcome.FULL and kernel.closing and len(kernel.taken) == 10
-        assert {each.outcome for each in told[1:]} == {Outcome.DIAL_FAILED}
+        assert told[0].outcome is Outcome.REJECTED and kernel.closing and len(kernel.taken) == 10
+        assert {each.outcome for each in told[1:]} == {Outcome.CONNECT_FAILED}
 
     play(scene())
 
@@ -347,7 +347,7 @@
         connection, _, _, _ = shared(10**9)
         given_up = 0
         while connection.usable and given_up < 1000:
-            attempt = RpcAttempt(connection.endpoint, order_of(a_call()), Terms(1e9), Told(), True)
+            attempt = RpcAttempt(connection.endpoint, order_of(a_call()), AttemptDeadlines(1e9), Told(), True)
             connection.add(attempt)
             attempt.cancel(final=True)
             given_up += 1
@@ -363,7 +363,7 @@
     return told.outcome is Outcome.DELIVERED
 
 
-def connections(nodes: Nodes) -> list[RpcNodeConnection]:
+def connections(nodes: EndpointTable) -> list[RpcNodeConnection]:
     return list(nodes.endpoints["s"].pool.all())
 
 
@@ -428,7 +428,7 @@
         await node(nodes, hung)
         written, _ = send(nodes, seconds=0.3)
         await until(lambda: written.outcome)
-        assert written.outcome is Outcome.EXPIRED
+        assert written.outcome is Outcome.TIMED_OUT
         await until(lambda: nodes.slots.open == 0)
 
     play(scene())
@@ -456,8 +456,8 @@
 
 def test_an_idle_connection_is_closed_before_its_node_would() -> None:
     async def scene() -> None:
-        nodes = Nodes(Slots(5), 4.0)
-        nodes.add(RPC, RpcCarrier(5.0, 0.5, nodes.slots))
+        nodes = EndpointTable(ConnectionLimit(5), 4.0)
+        nodes.add(RPC, RpcUpstreamClient(5.0, 0.5, nodes.slots))
         server = await node(nodes, served)
         told, _ = send(nodes)
         await until(lambda: told.outcome)
@@ -604,7 +604,7 @@
         told = []
         for _ in range(many):
             heard = Told()
-            terms = Terms(asyncio.get_running_loop().time() + 30)
+            terms = AttemptDeadlines(asyncio.get_running_loop().time() + 30)
             nodes.send("s", a_call("pay", bytes(60_000)), terms, heard)
             told.append(heard)
         loop = asyncio.get_running_loop()
@@ -612,7 +612,7 @@
         await until(lambda: any(each._writing for each in connections(nodes)))
         written = sum(len(each._out) for each in connections(nodes))
         nodes.update("s", None, None, ServerState.DRAINING, RPC)
-        assert [each.outcome for each in told].count(Outcome.DIAL_FAILED) == many - written - 1
+        assert [each.outcome for each in told].count(Outcome.CONNECT_FAILED) == many - written - 1
         reader, writer = await asyncio.open_connection(sock=taken, limit=2**22)
         unpacker = msgpack.Unpacker(raw=False)
         seen = 0
--- a/tests/operation/test_desk.py
+++ b/tests/operations/test_admin_api.py
@@ -10,8 +10,8 @@
 import pytest
 
 from topazbank.core.net import Address
-from topazbank.operation.desk import CALLERS_MOST, LINE_MOST, Calls, Desk
-from topazbank.operation.drain import Drain, Stage
+from topazbank.operations.admin_api import CALLERS_MOST, LINE_MOST, AdminApi, Calls
+from topazbank.operations.drain import Drain, Stage
 
 PATIENCE_S = 10.0
 
@@ -20,7 +20,7 @@
 def desk(drain: Drain | None = None) -> Iterator[Address]:
     drain = drain or Drain(1.0)
     drain.serve()
-    made = Desk(("127.0.0.1", 0), Calls(drain, lambda: None).answer)
+    made = AdminApi(("127.0.0.1", 0), Calls(drain, lambda: None).answer)
     made.start()
     try:
         yield made.address
--- a/tests/operation/test_drain.py
+++ b/tests/operations/test_drain.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from topazbank.operation.drain import ACCEPT_S, LINGER_S, Drain, Stage
+from topazbank.operations.drain import ACCEPT_S, LINGER_S, Drain, Stage
 
 
 def serving(longest_s: float = 2.0) -> Drain:
--- a/tests/operation/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -19,7 +19,7 @@
 from test_life import ROOT, SETTINGS
 
 from topazbank.core.net import Address
-from topazbank.operation.handover import inherit
+from topazbank.operations.handover import inherit
 
 
 def kept_port() -> socket.socket:
--- a/tests/operation/test_upgrade.py
+++ b/tests/operations/test_upgrade.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from topazbank.operation.upgrade import HEAD, BadSnapshot, length_of, pack, parts, unpack
+from topazbank.operations.upgrade import HEAD, BadSnapshot, length_of, pack, parts, unpack
 
 
 def test_a_snapshot_crosses_whole() -> None:
--- a/tests/planning/test_lead.py
+++ b/tests/planning/test_leadership.py
@@ -9,10 +9,10 @@
 from helpers import START
 from loopback import play, until
 
-from standins.zookeeper import Ensemble
-from topazbank.membership.zkclient import Ensemble as Where
+from testbed.zookeeper import Ensemble
+from topazbank.discovery.zkclient import Ensemble as Where
 from topazbank.planning.election import Election
-from topazbank.planning.lead import FRESH, PATIENCE, PATIENCE_RANK, StaticLead
+from topazbank.planning.leadership import FRESH, PATIENCE, PATIENCE_RANK, StaticLead
 from topazbank.planning.plan import S
 from topazbank.planning.summary import Summary
 
--- a/tests/planning/test_links.py
+++ b/tests/planning/test_links.py
@@ -11,10 +11,10 @@
 import pytest
 from loopback import play, until
 
-from standins.fleet.rig import Rig
+from testbed.fleet.harness import Rig
 from topazbank import plan as command
 from topazbank.core.net import Address
-from topazbank.operator import operator_from
+from topazbank.operator_config import operator_config_from
 from topazbank.planning import link as links
 from topazbank.planning import server as serving
 from topazbank.planning.link import PlannerLink
@@ -215,4 +215,4 @@
 )
 def test_a_bad_setting_is_named(given: dict[str, Any], named: str) -> None:
     with pytest.raises(ValueError, match=named):
-        operator_from({"planning": given})
+        operator_config_from({"planning": given})
--- a/tests/planning/test_plan.py
+++ b/tests/planning/test_plan.py
@@ -11,7 +11,14 @@
 from hypothesis import strategies as st
 
 from topazbank import Balancer
-from topazbank.interface import ListedServer, ListKind, RequestArrived, Send, ServersListed, ServerState
+from topazbank.balancing.actions import SendAttempt
+from topazbank.balancing.events import (
+    EndpointsUpdated,
+    RequestArrived,
+    ServerDescription,
+    ServerState,
+    UpdateKind,
+)
 from topazbank.planning.plan import AGE_MOST, RISE, Follower, Plan, S, Share, Verdict
 
 NODES = [f"n-{number}" for number in range(6)]
@@ -37,13 +44,13 @@
     assert one.trust(at) == pytest.approx(0.5)  # no step where one plan takes another's place
     assert one.trust(at + S) == pytest.approx(1.0)
     assert one.trust(at + S + S // 2) == pytest.approx(0.5)  # unrenewed, over the lease's second half
-    assert one.trust(at + 2 * S) == 0.0 and not one.drawn(at + 2 * S, random.Random(1).random)
+    assert one.trust(at + 2 * S) == 0.0 and not one.sample(at + 2 * S, random.Random(1).random)
     assert one.trust(at - S) == 0.0  # a clock that went back
 
 
 def test_the_part_that_draws_from_the_plan_is_its_trust() -> None:
     one, chance = follower(PLAN), random.Random(1).random
-    drawn = [bool(one.drawn(START + RISE // 2, chance)) for _ in range(2000)]
+    drawn = [bool(one.sample(START + RISE // 2, chance)) for _ in range(2000)]
     assert 0.45 < sum(drawn) / len(drawn) < 0.55
     less = follower(replace(PLAN, part=0.2))
     assert less.trust(START + S) == pytest.approx(0.2)
@@ -104,13 +111,13 @@
     one = follower(PLAN)
     change = replace(PLAN, sequence=11, base=10, shares={"n-0": None, "n-1": Share(5.0, room=1.0)})
     assert one.offer(START + 1, START, change, NODES) is Verdict.FOLLOWED
-    assert "n-0" not in one.shares() and one.room("n-1") == 1.0 and one.room("n-0") == float("inf")
+    assert "n-0" not in one.shares() and one.capacity("n-1") == 1.0 and one.capacity("n-0") == float("inf")
 
 
 def test_no_node_draws_more_than_a_part_however_wrong_the_odds_are() -> None:
     one = follower(replace(PLAN, shares={**SHARES, "n-3": Share(1e6, wait=0.0)}))
     chance = random.Random(1).random
-    first = [one.drawn(START + S, chance) for _ in range(3000)]
+    first = [one.sample(START + S, chance) for _ in range(3000)]
     drawn = [name for names in first for name in names[:1]]
     assert drawn.count("n-3") < 0.75 * len(drawn)  # of one draw it would be 1.0
 
@@ -118,7 +125,7 @@
 def test_a_node_that_the_own_list_lost_is_not_drawn() -> None:
     one, chance = follower(PLAN), random.Random(1).random
     one.listed(NODES[1:])
-    assert all("n-0" not in one.drawn(START + S, chance) for _ in range(500))
+    assert all("n-0" not in one.sample(START + S, chance) for _ in range(500))
 
 
 @given(
@@ -142,9 +149,9 @@
     """The epoch never goes back, nor the sequence in it; no lapsed plan is followed; only listed nodes are sent to."""
     one, now = Follower("f", "life"), START
     balancer = Balancer(settings(), seed, one)
-    listed = [ListedServer(name, "east") for name in NODES]
+    listed = [ServerDescription(name, "east") for name in NODES]
     listed[0] = replace(listed[0], state=ServerState.DRAINING)
-    balancer.handle(now, ServersListed(ListKind.COMPLETE, listed, 1))
+    balancer.handle(now, EndpointsUpdated(UpdateKind.SNAPSHOT, listed, 1))
     ready = NODES[1:]
     highest = followed = (-1, -1)
     until = 0
@@ -162,6 +169,6 @@
             assert (epoch, sequence) > followed
             followed, until = (epoch, sequence), asked_at + lease  # type: ignore[assignment,operator]
         if now >= until:
-            assert one.trust(now) == 0.0 and not one.drawn(now, random.Random(seed).random)
+            assert one.trust(now) == 0.0 and not one.sample(now, random.Random(seed).random)
         actions = balancer.handle(now, RequestArrived(number, "look", None, None, S, None, False))
-        assert all(each.server in ready for each in actions if isinstance(each, Send))
+        assert all(each.server in ready for each in actions if isinstance(each, SendAttempt))
--- a/tests/planning/test_record.py
+++ b/tests/planning/test_record.py
@@ -11,7 +11,7 @@
 import pytest
 from loopback import until
 
-from standins.fleet.rig import Rig
+from testbed.fleet.harness import Rig
 from topazbank import plan as command
 from topazbank.planning import plot, record
 
--- a/tests/budget/test_audit.py
+++ b/tests/quota/test_audit.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from topazbank.budget.__main__ import main, report
-from topazbank.budget.audit import BadLedger, audit, read
+from topazbank.quota.__main__ import main, report
+from topazbank.quota.audit import BadLedger, audit, read
 
 S = 1_000_000
 
--- a/tests/budget/test_division.py
+++ b/tests/quota/test_fair_share.py
@@ -5,8 +5,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from topazbank.budget.division import divide, step
-from topazbank.budget.rules import STOCK, THOUSANDTHS, Budget, total
+from topazbank.quota.fair_share import divide, step
+from topazbank.quota.rules import STOCK, THOUSANDTHS, Quota, total
 
 wants = st.dictionaries(st.integers(0, 50), st.integers(0, 10_000), max_size=12)
 
@@ -55,7 +55,7 @@
 @given(st.integers(0, 10_000), st.integers(0, 500), st.integers(1, 20), st.integers(1, 16))
 def test_floors_and_slices_add_up_to_the_whole(whole: int, burst: int, members: int, keepers: int) -> None:
     names = tuple(str(each) for each in range(keepers))
-    budget = Budget(
+    budget = Quota(
         "b",
         whole=whole,
         burst=members + burst,
@@ -71,6 +71,6 @@
 
 
 def test_of_a_stock_the_giver_counts_until_the_far_end_has_ended_what_is_out() -> None:
-    budget = Budget("b", STOCK, 10, members=2, keepers=("k",), longest_us=7_000_000)
+    budget = Quota("b", STOCK, 10, members=2, keepers=("k",), longest_us=7_000_000)
     assert budget.counted_us(5_000_000) == 5_000_000 + 50_000 + 1 + 7_000_000
     assert budget.quiet_us == budget.counted_us(5_000_000)
--- a/tests/budget/test_keeping.py
+++ b/tests/quota/test_lease_server.py
@@ -11,16 +11,16 @@
 import pytest
 from loopback import play, until
 
-from topazbank.budget import memory
-from topazbank.budget.__main__ import table
-from topazbank.budget.rules import Budget
-from topazbank.budget.service import HEARD_MOST, BudgetService, is_word
+from topazbank.balancing.fleet import HEALTH_CHECKS, RETRIES, TENANT_REQUESTS
 from topazbank.core.net import Address
-from topazbank.interface import PROBES, RETRIES, TENANT
-from topazbank.operator import operator_from
+from topazbank.operator_config import operator_config_from
+from topazbank.quota import grant_store
+from topazbank.quota.__main__ import table
+from topazbank.quota.rules import Quota
+from topazbank.quota.service import HEARD_MOST, QuotaService, is_word
 
-BUDGET = Budget("b", whole=100, burst=50, floor=500, members=10, keepers=("0", "1"), lease_us=1_000_000)
-TENANTS = Budget("t", whole=2, burst=10, floor=100, members=10)
+BUDGET = Quota("b", whole=100, burst=50, floor=500, members=10, keepers=("0", "1"), lease_us=1_000_000)
+TENANTS = Quota("t", whole=2, burst=10, floor=100, members=10)
 
 
 def now_us() -> int:
@@ -32,14 +32,14 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.services: dict[Address, BudgetService] = {}
+        self.services: dict[Address, QuotaService] = {}
         self.lost: set[tuple[str, str]] = set()
 
-    def start(self, name: str, store: bool = False, at: str = "") -> BudgetService:
+    def start(self, name: str, store: bool = False, at: str = "") -> QuotaService:
         """`at`: where it listens, if another process of this name is there."""
         here: Address = (at or name, 1)
-        service = BudgetService(
-            [(BUDGET, RETRIES, None), (TENANTS, TENANT, "acme")],
+        service = QuotaService(
+            [(BUDGET, RETRIES, None), (TENANTS, TENANT_REQUESTS, "acme")],
             name,
             lambda other: (other, 1) if (other, 1) in self.services else None,
             now_us,
@@ -65,15 +65,15 @@
             self.end(name)
 
 
-def wants(service: BudgetService) -> None:
+def wants(service: QuotaService) -> None:
     """Ask for far more than there is."""
     purses = service.spending(0)
     now = now_us()
     for _ in range(100):
-        purses.may(RETRIES, None, now)
+        purses.acquire(RETRIES, None, now)
 
 
-async def wanting(service: BudgetService, reached: Callable[[], object]) -> None:
+async def wanting(service: QuotaService, reached: Callable[[], object]) -> None:
     async def want() -> None:
         while True:
             wants(service)
@@ -86,7 +86,7 @@
         task.cancel()
 
 
-def held(service: BudgetService) -> int:
+def held(service: QuotaService) -> int:
     return int(service.show()["budgets"]["b"]["holds"])
 
 
@@ -143,7 +143,7 @@
 def test_a_store_that_can_not_be_opened_keeps_nothing_until_it_can(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(memory, "AGAIN_S", 0.1)
+    monkeypatch.setattr(grant_store, "AGAIN_S", 0.1)
 
     async def scene() -> None:
         network = Network(tmp_path)
@@ -178,9 +178,9 @@
         network = Network(tmp_path)
         purses = network.start("0").spending(0)
         now = now_us()
-        assert all(purses.may(PROBES, None, now) for _ in range(100))
-        assert all(purses.may(TENANT, "another", now) for _ in range(100))
-        assert not purses.may(TENANT, "acme", now)
+        assert all(purses.acquire(HEALTH_CHECKS, None, now) for _ in range(100))
+        assert all(purses.acquire(TENANT_REQUESTS, "another", now) for _ in range(100))
+        assert not purses.acquire(TENANT_REQUESTS, "acme", now)
         network.stop()
 
     play(scene())
@@ -205,7 +205,7 @@
 )
 def test_a_bad_budget_is_named_with_its_field_and_the_remedy(was: str, now: str, complaint: str) -> None:
     def read(text: str) -> object:
-        return operator_from(tomllib.loads(f"[tier]\non = true\n[budgets.b]\n{text}"))
+        return operator_config_from(tomllib.loads(f"[tier]\non = true\n[budgets.b]\n{text}"))
 
     read(GOOD)
     with pytest.raises(ValueError) as bad:
@@ -216,6 +216,6 @@
 def test_budgets_want_a_tier_and_no_two_are_of_the_same() -> None:
     one = {"of": "retries", "whole": 1, "burst": 1}
     with pytest.raises(ValueError, match=r"budgets: tier\.on is wanted"):
-        operator_from({"budgets": {"b": one}})
+        operator_config_from({"budgets": {"b": one}})
     with pytest.raises(ValueError, match="another budget is of the same"):
-        operator_from({"tier": {"on": True}, "budgets": {"b": one, "c": one}})
+        operator_config_from({"tier": {"on": True}, "budgets": {"b": one, "c": one}})
--- a/tests/budget/test_model.py
+++ b/tests/quota/test_model.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from standins.budget.model import FAULTS, WHOLE, search, walks
+from testbed.quota.model import FAULTS, WHOLE, search, walks
 
 
 def test_no_order_of_five_events_lets_more_be_held_than_there_is() -> None:
--- a/tests/budget/test_parts.py
+++ b/tests/quota/test_parts.py
@@ -10,15 +10,15 @@
 from hypothesis import settings as with_settings
 from hypothesis import strategies as st
 
-from topazbank.budget.holder import ASKED_AT_ONCE, Holder, Word
-from topazbank.budget.keeper import ANSWERS_MOST, HOLDERS_MOST, Keeper
-from topazbank.budget.lease import Ask, Given, Lease
-from topazbank.budget.purse import RatePurse, StockPurse
-from topazbank.budget.rules import NOTHING, STOCK, THOUSANDTHS, Budget, Part
-from topazbank.budget.wire import BadWord, Envelope, Kind, decode, encode, mark_of
+from topazbank.quota.lease import Ask, Given, Lease
+from topazbank.quota.lease_client import ASKED_AT_ONCE, Holder, Word
+from topazbank.quota.lease_server import ANSWERS_MOST, HOLDERS_MOST, Keeper
+from topazbank.quota.rules import NOTHING, STOCK, THOUSANDTHS, Part, Quota
+from topazbank.quota.token_bucket import RatePurse, StockPurse
+from topazbank.quota.wire import BadWord, Envelope, Kind, decode, encode, mark_of
 
 S = 1_000_000
-BUDGET = Budget("b", whole=100, burst=50, floor=500, members=10, keepers=("k",), lease_us=5 * S)
+BUDGET = Quota("b", whole=100, burst=50, floor=500, members=10, keepers=("k",), lease_us=5 * S)
 SLICE = BUDGET.slice_of("k")
 
 
--- a/tests/budget/test_repeats.py
+++ b/tests/quota/test_repeats.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from standins.budget.processes import SCENES, most_ahead, play
+from testbed.quota.processes import SCENES, most_ahead, play
 
 GROUPS = {
     "holders": ("demand", "holder_stopped", "most_killed"),
--- a/tests/budget/test_store.py
+++ b/tests/quota/test_store.py
@@ -13,11 +13,11 @@
 
 import pytest
 
-from standins.budget.model import remembered
-from topazbank.budget.keeper import Keeper
-from topazbank.budget.lease import Ask
-from topazbank.budget.rules import NOTHING, Budget, Part
-from topazbank.budget.store import FRESH_US, VERSION, BadStore, Row, Store
+from testbed.quota.model import remembered
+from topazbank.quota.lease import Ask
+from topazbank.quota.lease_server import Keeper
+from topazbank.quota.rules import NOTHING, Part, Quota
+from topazbank.quota.store import FRESH_US, VERSION, BadStore, Row, Store
 
 S = 1_000_000
 KILLS = int(os.environ.get("BUDGET_KILLS", "60"))  # ten thousand take six minutes or so
@@ -113,7 +113,7 @@
 
 
 def test_whenever_a_keeper_is_killed_every_answer_that_left_is_in_its_store(tmp_path: Path) -> None:
-    budget = Budget("b", whole=100, burst=20, members=10, keepers=("k",), lease_us=60 * S)
+    budget = Quota("b", whole=100, burst=20, members=10, keepers=("k",), lease_us=60 * S)
     slice_ = budget.slice_of("k")
     chance = random.Random(1)
     path = tmp_path / "k"
--- a/tests/budget/test_played.py
+++ b/tests/quota/test_virtual_time.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from standins.budget.played import Fleet, troubled
-from topazbank.budget.keeper import Keeper
-from topazbank.budget.rules import Budget, Part
+from testbed.quota.virtual_time import Fleet, troubled
+from topazbank.quota.lease_server import Keeper
+from topazbank.quota.rules import Part, Quota
 
-BUDGET = Budget("b", whole=40, burst=24, floor=500, members=6, keepers=("0", "1"), lease_us=2_000_000)
+BUDGET = Quota("b", whole=40, burst=24, floor=500, members=6, keepers=("0", "1"), lease_us=2_000_000)
 
 
 def test_no_fleet_in_trouble_ever_spends_or_holds_more_than_the_whole() -> None:
--- a/tests/soak/test_notices.py
+++ b/tests/soak/test_notices.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from standins.fleet.judge import Word
-from standins.soak.notices import (
+from testbed.fleet.invariants import Word
+from testbed.soak.notices import (
     AFTER_SIGNAL_S,
     AFTER_TROUBLE_S,
     AFTER_UPGRADE_S,
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from standins.fleet.judge import Reached
-from standins.lodge import Run
-from standins.soak.__main__ import play
-from standins.soak.faults import FAULTS, REGISTRY_TROUBLES, draw
-from standins.soak.rig import ran_twice, sent_for_nobody
-from standins.soak.unruly import GONE_S, SLACK_S, Left, Unruly
-from standins.tier.scenes import PAUSE_BORNE_S
+from testbed.backend import Run
+from testbed.cluster.scenarios import PAUSE_BORNE_S
+from testbed.fleet.invariants import Reached
+from testbed.soak.__main__ import play
+from testbed.soak.faults import FAULTS, REGISTRY_TROUBLES, draw
+from testbed.soak.harness import ran_twice, sent_for_nobody
+from testbed.soak.unruly import GONE_S, SLACK_S, Left, Unruly
 
 CI_SEEDS = (3, 4, 7)  # odd ones without membership, as one of 200 sidecars
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -15,8 +15,8 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from topazbank.wirehost import run
-from topazbank.wirenames import settings_from_wire
+from topazbank.platform_names import settings_from_wire
+from topazbank.simulator_adapter import run
 
 BOOT: dict[str, Any] = {
     "bounds": {"sendCap": 3, "secondCopies": True, "mayCancel": True, "streamsPerConn": 1},
@@ -160,7 +160,7 @@
     text = "".join(json.dumps(each) + "\n" for each in script)
     replies = [
         subprocess.run(
-            [sys.executable, "-m", "topazbank.wirehost"],
+            [sys.executable, "-m", "topazbank.simulator_adapter"],
             input=text,
             capture_output=True,
             text=True,
@@ -186,18 +186,18 @@
             "goal": {"whole": 1.0},
         }
     )
-    assert read.classes[0].by_arrival and read.warm_keys
-    assert read.rules.late_shedding and read.rules.turn_gap_us == 100_000
+    assert read.classes[0].ordered_by_key
+    assert read.rules.rejects_after_start and read.rules.ordering_pause_us == 100_000
     assert (read.prices.connection, read.prices.handshake) == (0.08, 0.07)
     plain = settings_from_wire(BOOT)
-    assert not (plain.classes[0].by_arrival or plain.warm_keys or plain.rules.late_shedding)
+    assert not (plain.classes[0].ordered_by_key or plain.rules.rejects_after_start)
 
 
 def test_nonsense_in_the_further_rules_is_named() -> None:
     for boot, key in (
-        ({**BOOT, "guarantees": {"lateShedding": "yes"}}, "late_shedding"),
-        ({**BOOT, "guarantees": {"turnGapUs": -1}}, "turn_gap_us"),
-        ({**BOOT, "domain": {"warmKeys": 3}}, "warm_keys"),
+        ({**BOOT, "guarantees": {"lateShedding": "yes"}}, "rejects_after_start"),
+        ({**BOOT, "guarantees": {"turnGapUs": -1}}, "ordering_pause_us"),
+        ({**BOOT, "lanes": [{**BOOT["lanes"][0], "byArrival": 3}]}, "ordered_by_key"),
     ):
         code, _, err = play(begin(boot=boot))
         assert code == 2 and key in err and err.count("\n") == 1
--- a/tests/test_any_sequence.py
+++ b/tests/test_any_sequence.py
@@ -13,37 +13,32 @@
 from hypothesis import strategies as st
 
 from topazbank import Balancer
-from topazbank.interface import AttemptEnded as Ended
-from topazbank.interface import (
-    Cancel,
+from topazbank.balancing.actions import CancelAttempt, CheckHealth, Fail, Reject, SendAttempt, SetTimer
+from topazbank.balancing.events import AttemptEnded as Ended
+from topazbank.balancing.events import (
+    EndpointsUpdated,
     Event,
-    Fail,
-    ListedServer,
-    ListKind,
+    HealthCheckEnded,
     Outcome,
-    Probe,
-    ProbeEnded,
-    Refuse,
-    Repeat,
     RequestArrived,
-    RequestGone,
-    Send,
-    ServersListed,
+    RequestCancelled,
+    ServerDescription,
     ServerState,
-    SetTimer,
     TimerFired,
+    UpdateKind,
 )
+from topazbank.balancing.settings import Idempotency
 
 SERVERS = names(7)
 ZONES = ("east", "west")
 TICK = 5 * MS
 GAP = 100 * MS
 KEYS = (None, 1, 2)
-MAY_RUN_ON = (Outcome.EXPIRED, Outcome.DROPPED, Outcome.CANCELLED)
+MAY_RUN_ON = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CANCELLED)
 CLASSES = [
     SAFE,
     UNSAFE,
-    *({**KEYED, "name": f"amend-{group}", "group": group} for group in ("all", "zone", "cell")),
+    *({**KEYED, "name": f"amend-{group}", "idempotency_scope": group} for group in ("all", "zone", "cell")),
 ]
 
 
@@ -52,49 +47,51 @@
 
     def __init__(
         self,
-        second_copies: bool,
+        hedging: bool,
         attempts: int,
-        late_shedding: bool,
+        rejects_after_start: bool,
         ordered: set[str],
         probing: bool,
         rng_seed: int,
     ) -> None:
         self.settings = settings(
-            classes=[{**each, "by_arrival": each["name"] in ordered} for each in CLASSES],
-            limits={"second_copies": second_copies, "max_attempts": attempts, "may_probe": probing},
-            report={"source": "probes", "columns": ["inflight", "queue"]},
+            classes=[{**each, "ordered_by_key": each["name"] in ordered} for each in CLASSES],
+            limits={"hedging": hedging, "max_attempts": attempts, "health_checks": probing},
+            report={"source": "health_checks", "columns": ["inflight", "queue"]},
             prices={"cross_zone": 0.1},
-            rules={"late_shedding": late_shedding, "turn_gap_us": GAP},
+            rules={"rejects_after_start": rejects_after_start, "ordering_pause_us": GAP},
+        )
+        self.proofs = [Outcome.CONNECT_FAILED, Outcome.UNSENT] + [Outcome.REJECTED] * (
+            not rejects_after_start
         )
-        self.proofs = [Outcome.DIAL_FAILED, Outcome.UNSENT] + [Outcome.FULL] * (not late_shedding)
         self.balancer = Balancer(self.settings, rng_seed)
         self.kinds = {each.name: each for each in self.settings.classes}
         self.now = START
         self.timers: list[tuple[int, str]] = []
         self.requests: dict[int, dict[str, Any]] = {}
         self.probes: list[tuple[str, int]] = []
-        self.listed: dict[str, ListedServer] = {}
+        self.listed: dict[str, ServerDescription] = {}
         self.next = 1
 
     def play(self, event: Event) -> None:
         for action in self.balancer.handle(self.now, event):
             match action:
-                case Send():
+                case SendAttempt():
                     self.sent(action)
-                case Refuse() | Fail():
+                case Reject() | Fail():
                     self.answered(action)
-                case Cancel():
+                case CancelAttempt():
                     assert action.attempt < len(self.requests[action.request]["attempts"])
                 case SetTimer():
                     self.timers.append((self.now + action.in_us, action.token))
-                case Probe():
-                    assert self.settings.limits.may_probe and action.server in self.listed
+                case CheckHealth():
+                    assert self.settings.limits.health_checks and action.server in self.listed
                     self.probes.append((action.server, self.now))
                 case _:
                     pass
         self.check_counts()
 
-    def sent(self, action: Send) -> None:
+    def sent(self, action: SendAttempt) -> None:
         request = self.requests[action.request]
         kind = request["kind"]
         assert not request["over"], "sent after the final answer"
@@ -105,17 +102,17 @@
         if request["key"] is not None and not earlier:
             self.check_order(action.request)
         assert len(earlier) < self.settings.limits.max_attempts, "more attempts than allowed"
-        if not self.settings.limits.second_copies:
+        if not self.settings.limits.hedging:
             assert not any(each["pending"] for each in earlier), "two copies out at once"
         maybe = [each for each in earlier if each["pending"] or each["outcome"] not in self.proofs]
-        if maybe and kind.repeat is Repeat.UNSAFE:
+        if maybe and kind.idempotency is Idempotency.NON_IDEMPOTENT:
             raise AssertionError("an unsafe request was sent again")
-        if maybe and kind.repeat is Repeat.KEYED:
-            forgotten = maybe[0]["at"] + kind.memory_us
+        if maybe and kind.idempotency is Idempotency.KEYED:
+            forgotten = maybe[0]["at"] + kind.idempotency_window_us
             assert self.now < action.write_by < forgotten, "sent, or to be written, after servers forgot"
             for each in maybe:
-                assert kind.group.value != "zone" or each["line"].zone == line.zone, "left the zone"
-                assert kind.group.value != "cell" or each["line"].cell == line.cell, "left the cell"
+                assert kind.idempotency_scope.value != "zone" or each["line"].zone == line.zone, "left the zone"
+                assert kind.idempotency_scope.value != "cell" or each["line"].cell == line.cell, "left the cell"
         earlier.append(
             {"server": action.server, "line": line, "at": self.now, "pending": True, "outcome": None}
         )
@@ -130,15 +127,15 @@
                     if each["outcome"] in MAY_RUN_ON:
                         assert self.now >= each["ended"] + GAP, "the key had no rest"
 
-    def answered(self, action: Refuse | Fail) -> None:
+    def answered(self, action: Reject | Fail) -> None:
         request = self.requests[action.request]
         assert not request["over"], "two final answers"
         assert self.now < request["deadline"] or request["late"], "answered after the deadline"
-        if isinstance(action, Refuse) and request["kind"].repeat is not Repeat.SAFE:
+        if isinstance(action, Reject) and request["kind"].idempotency is not Idempotency.IDEMPOTENT:
             maybe = [
                 each for each in request["attempts"] if each["pending"] or each["outcome"] not in self.proofs
             ]
-            whole = request["kind"].repeat is Repeat.KEYED and request["kind"].group.value == "all"
+            whole = request["kind"].idempotency is Idempotency.KEYED and request["kind"].idempotency_scope.value == "all"
             assert not maybe or whole, "a refusal that may have run"
         request["over"] = True
 
@@ -161,7 +158,7 @@
             "late": remaining_us <= 2 * TICK,
             "attempts": [],
             "over": False,
-            "key": key if self.kinds[name].by_arrival else None,
+            "key": key if self.kinds[name].ordered_by_key else None,
         }
         self.play(RequestArrived(number, name, None, key, remaining_us))
 
@@ -187,22 +184,22 @@
         if self.probes:
             server, sent = self.probes.pop(0)
             report = None if held is None else {"inflight": held}
-            self.play(ProbeEnded(server, outcome, self.now - sent, report))
+            self.play(HealthCheckEnded(server, outcome, self.now - sent, report))
 
     def leave(self, choice: int) -> None:
         waiting = [number for number, request in self.requests.items() if not request["over"]]
         if waiting:
             number = waiting[choice % len(waiting)]
             self.requests[number]["over"] = True
-            self.play(RequestGone(number))
+            self.play(RequestCancelled(number))
 
-    def list(self, kind: ListKind, lines: list[ListedServer]) -> None:
-        if kind is not ListKind.CHANGES:
+    def list(self, kind: UpdateKind, lines: list[ServerDescription]) -> None:
+        if kind is not UpdateKind.DELTA:
             for line in self.listed.values():
-                line.state = ServerState.GONE
+                line.state = ServerState.REMOVED
         for line in lines:
-            self.listed[line.server] = line
-        self.play(ServersListed(kind, lines, 1))
+            self.listed[line.name] = line
+        self.play(EndpointsUpdated(kind, lines, 1))
 
     def wait(self, span_us: int) -> None:
         until = self.now + span_us
@@ -221,13 +218,13 @@
 
 
 lines = st.builds(
-    ListedServer,
-    server=st.sampled_from(SERVERS),
+    ServerDescription,
+    name=st.sampled_from(SERVERS),
     zone=st.sampled_from(ZONES),
     kind=st.just("box"),
     cell=st.integers(0, 2),
-    state=st.sampled_from([ServerState.READY, ServerState.READY, ServerState.DRAINING, ServerState.GONE]),
-    nominal=st.sampled_from([0.0, 1.0, 3.0]),
+    state=st.sampled_from([ServerState.READY, ServerState.READY, ServerState.DRAINING, ServerState.REMOVED]),
+    nominal_capacity=st.sampled_from([0.0, 1.0, 3.0]),
     started_at=st.sampled_from([None, START - 5 * S, START, START + 2 * S]),
 )
 arrivals = st.tuples(
@@ -243,15 +240,15 @@
     st.tuples(st.just("end"), st.integers(0, 50), st.just(Outcome.DELIVERED)),
     st.tuples(
         st.just("probed"),
-        st.sampled_from([Outcome.DELIVERED, Outcome.DELIVERED, Outcome.EXPIRED, Outcome.DIAL_FAILED]),
+        st.sampled_from([Outcome.DELIVERED, Outcome.DELIVERED, Outcome.TIMED_OUT, Outcome.CONNECT_FAILED]),
         st.sampled_from([None, 0.0, 3.0, 50.0]),
     ),
     st.tuples(st.just("leave"), st.integers(0, 50)),
     st.tuples(st.just("wait"), st.integers(1, 1_500).map(lambda ms: ms * MS)),
     st.tuples(
         st.just("list"),
-        st.sampled_from([ListKind.CHANGES, ListKind.COMPLETE, ListKind.FAILED]),
-        st.lists(lines, max_size=5, unique_by=lambda each: each.server),
+        st.sampled_from([UpdateKind.DELTA, UpdateKind.SNAPSHOT, UpdateKind.FAILED]),
+        st.lists(lines, max_size=5, unique_by=lambda each: each.name),
     ),
 )
 
@@ -269,15 +266,15 @@
 def test_no_sequence_breaks_a_rule(
     copies: bool,
     attempts: int,
-    late_shedding: bool,
+    rejects_after_start: bool,
     ordered: set[str],
     probing: bool,
     rng: int,
     script: list[Any],
 ) -> None:
-    referee = Referee(copies, attempts, late_shedding, ordered, probing, rng)
-    ready = [ListedServer(name, "east", "box", index % 3) for index, name in enumerate(SERVERS)]
-    referee.list(ListKind.REMEMBERED, ready)
+    referee = Referee(copies, attempts, rejects_after_start, ordered, probing, rng)
+    ready = [ServerDescription(name, "east", "box", index % 3) for index, name in enumerate(SERVERS)]
+    referee.list(UpdateKind.CACHED, ready)
     for step in script:
         match step:
             case ("arrive", name, remaining, key):
@@ -291,35 +288,35 @@
             case ("wait", span):
                 referee.wait(span)
             case ("list", kind, changed):
-                if kind is ListKind.FAILED:
-                    referee.play(ServersListed(kind))
+                if kind is UpdateKind.FAILED:
+                    referee.play(EndpointsUpdated(kind))
                 else:
                     referee.list(kind, changed)
     referee.wait(4 * S)
 
 
-MOVED = [ListedServer(name, "west", "box", 4 + index % 3) for index, name in enumerate(SERVERS)]
+MOVED = [ServerDescription(name, "west", "box", 4 + index % 3) for index, name in enumerate(SERVERS)]
 WAITS = (20 * MS, 2 * S - 3 * TICK, 2 * S - TICK, 2 * S)  # about the memory of the keyed classes
 
 
-@pytest.mark.parametrize("late_shedding", [False, True])
+@pytest.mark.parametrize("rejects_after_start", [False, True])
 @pytest.mark.parametrize("moves", [False, True])
 @pytest.mark.parametrize("name", [str(each["name"]) for each in CLASSES])
 def test_every_class_keeps_the_rules_through_every_outcome_at_every_attempt(
-    name: str, moves: bool, late_shedding: bool
+    name: str, moves: bool, rejects_after_start: bool
 ) -> None:
     """Also where all servers are in other zones and cells meanwhile, under their former names."""
     sent: set[tuple[Outcome, ...]] = set()  # after which outcomes a further attempt left
     for first, second, wait in itertools.product(Outcome, Outcome, WAITS):
-        referee = Referee(False, 3, late_shedding, set(), False, 7)
-        ready = [ListedServer(each, "east", "box", index % 3) for index, each in enumerate(SERVERS)]
-        referee.list(ListKind.REMEMBERED, ready)
+        referee = Referee(False, 3, rejects_after_start, set(), False, 7)
+        ready = [ServerDescription(each, "east", "box", index % 3) for index, each in enumerate(SERVERS)]
+        referee.list(UpdateKind.CACHED, ready)
         referee.arrive(name, 4 * S, None)
         attempts = referee.requests[1]["attempts"]
         for outcome in (first, second):
             referee.wait(wait if outcome is first else 20 * MS)
             if moves:
-                referee.list(ListKind.CHANGES, [replace(each) for each in MOVED])
+                referee.list(UpdateKind.DELTA, [replace(each) for each in MOVED])
             before = len(attempts)
             referee.end(0, outcome)
             if len(attempts) > before:
@@ -331,6 +328,6 @@
     if name == UNSAFE["name"]:
         assert set(itertools.chain(*sent)) <= proofs
     elif not moves or name in (SAFE["name"], "amend-all"):
-        assert (Outcome.DROPPED,) in sent
+        assert (Outcome.CONNECTION_LOST,) in sent
     else:
-        assert (Outcome.DROPPED,) not in sent  # nobody is left where it may have run
+        assert (Outcome.CONNECTION_LOST,) not in sent  # nobody is left where it may have run
