--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -25,15 +25,16 @@
 )
 from loopback import full as full_listener
 
-from standins.wire import reset
-from topazbank.core.call import Call, Response, Rulebook
+from testbed.wire import reset
+from topazbank.balancing.actions import Action
+from topazbank.balancing.events import AttemptEnded, Event, Outcome, ServerState
+from topazbank.core.call import Call, RequestClasses, Response
+from topazbank.core.endpoints import HTTP, MSGPACK_RPC, AttemptDeadlines, ConnectionLimit, EndpointTable
 from topazbank.core.net import Address
-from topazbank.core.nodes import HTTP, MSGPACK_RPC, Nodes, Slots, Terms
 from topazbank.core.reports import parse_report
-from topazbank.http.client import HttpCarrier, judge, write_request
+from topazbank.http.client import HttpUpstreamClient, judge, write_request
 from topazbank.http.connection import HttpResponse, connect
-from topazbank.interface import Action, AttemptEnded, Event, Outcome, ServerState
-from topazbank.msgpackrpc.client import RpcCarrier
+from topazbank.msgpackrpc.client import RpcUpstreamClient
 
 
 def served(*_: object) -> bytes:
@@ -244,7 +245,7 @@
 def test_a_connection_rests_before_it_is_used_again_and_makes_room_where_there_is_none() -> None:
     # Guards against an end or a second copy that is under way behind the answer.
     async def scene() -> None:
-        limits = LIMITS | {"dial_timeout_us": 600 * S}
+        limits = LIMITS | {"connect_timeout_us": 600 * S}
         async with world(served, sockets=56, limits=limits) as w:
             for _ in range(9):
                 assert (await w.ask())[0] == 200
@@ -260,7 +261,7 @@
         def first_only(_: str, head: dict[str, str], body: bytes) -> bytes | None:
             return answer(200, b"first") if head["x-call-id"] == "first" else None
 
-        limits = LIMITS | {"dial_timeout_us": 600 * S}
+        limits = LIMITS | {"connect_timeout_us": 600 * S}
         async with world(first_only, sockets=50, limits=limits) as w:
             assert (await w.ask(X_Call_Id="first"))[2] == b"first"
             one = await client(w.sidecar.frontend.address)
@@ -304,7 +305,7 @@
 @pytest.mark.usefixtures("each_client")
 def test_an_idle_connection_is_closed_before_its_server_would() -> None:
     async def scene() -> None:
-        limits = {"max_attempts": 3, "may_cancel": True, "idle_close_us": 1 * S}
+        limits = {"max_attempts": 3, "cancellation": True, "idle_timeout_us": 1 * S}
         async with world(served, limits=limits) as w:
             assert (await w.ask())[0] == 200
             loop = asyncio.get_running_loop()
@@ -325,7 +326,7 @@
     assert parse_report("TEXT util=0.5", ()) is None
 
     async def scene() -> None:
-        report = {"source": "answers", "columns": ["util"]}
+        report = {"source": "responses", "columns": ["util"]}
         async with world(lambda *_: answer(200, b"x", X_Load_Report="TEXT util=;;="), report=report) as w:
             assert (await w.ask())[0] == 200
 
@@ -335,30 +336,32 @@
 # -- The connections themselves
 
 
-def nodes_of(dial_limit_s: float, most: int = 10) -> Nodes:
-    nodes = Nodes(Slots(most), 4.0)
-    nodes.add(HTTP, HttpCarrier(dial_limit_s, 60.0, nodes.slots))
-    nodes.add(MSGPACK_RPC, RpcCarrier(dial_limit_s, 60.0, nodes.slots))
+def nodes_of(dial_limit_s: float, most: int = 10) -> EndpointTable:
+    nodes = EndpointTable(ConnectionLimit(most), 4.0)
+    nodes.add(HTTP, HttpUpstreamClient(dial_limit_s, 60.0, nodes.slots))
+    nodes.add(MSGPACK_RPC, RpcUpstreamClient(dial_limit_s, 60.0, nodes.slots))
     return nodes
 
 
-def note(nodes: Nodes, address: Address, started_at: int | None, state: ServerState, name: str = "s") -> None:
+def note(
+    nodes: EndpointTable, address: Address, started_at: int | None, state: ServerState, name: str = "s"
+) -> None:
     nodes.update(name, address, started_at, state, pair().nodes)
 
 
-async def outcome_of(nodes: Nodes, seconds: float = 5.0, body: bytes = b"") -> Outcome:
+async def outcome_of(nodes: EndpointTable, seconds: float = 5.0, body: bytes = b"") -> Outcome:
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[Outcome] = loop.create_future()
 
     def end(outcome: Outcome, _: Response | None) -> None:
         ended.set_result(outcome)  # a second outcome would raise here
 
-    nodes.send("s", a_call(body), Terms(loop.time() + seconds), end)
+    nodes.send("s", a_call(body), AttemptDeadlines(loop.time() + seconds), end)
     return await asyncio.wait_for(ended, PATIENCE_S)
 
 
 def a_call(body: bytes = b"") -> Call:
-    kind = Rulebook(settings()).kind("pay")
+    kind = RequestClasses(settings()).kind("pay")
     return Call("1", kind, b"/api/1", body, None, None, 5 * S, None, False, None, lambda _: None)
 
 
@@ -377,7 +380,7 @@
         assert not connection.written
         other.close()  # with bytes unread: a reset
         assert await asyncio.wait_for(ended, PATIENCE_S) is None
-        assert judge(None, connection.written, connection.spoilt) is Outcome.DIAL_FAILED
+        assert judge(None, connection.written, connection.spoilt) is Outcome.CONNECT_FAILED
         listener.close()
 
     play(scene())
@@ -398,7 +401,7 @@
         await until(lambda: connection.written)
         reset(writer)
         assert await asyncio.wait_for(ended, PATIENCE_S) is None
-        assert judge(None, connection.written, connection.spoilt) is Outcome.DROPPED
+        assert judge(None, connection.written, connection.spoilt) is Outcome.CONNECTION_LOST
         listener.close()
 
     play(scene())
@@ -413,7 +416,7 @@
         with deaf() as address:
             nodes = nodes_of(dial_limit, 10)
             note(nodes, address, None, ServerState.READY)
-            assert await outcome_of(nodes, seconds) is Outcome.DIAL_FAILED
+            assert await outcome_of(nodes, seconds) is Outcome.CONNECT_FAILED
             await until(lambda: nodes.slots.open == 0)
 
     play(scene())
@@ -437,7 +440,7 @@
     play(scene())
 
 
-@pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
+@pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.REMOVED])
 @pytest.mark.usefixtures("each_node")
 def test_a_dial_under_way_to_a_server_that_leaves_is_ended(state: ServerState) -> None:
     # Guards rule 3: a slow dial would write its request after the grace.
@@ -448,7 +451,7 @@
             sending = asyncio.create_task(outcome_of(nodes))
             await until(lambda: nodes.slots.open == 1)
             note(nodes, address, None, state)
-            assert await sending is Outcome.DIAL_FAILED
+            assert await sending is Outcome.CONNECT_FAILED
             await until(lambda: nodes.slots.open == 0)
 
     play(scene())
@@ -479,8 +482,8 @@
 def test_a_keyed_request_that_may_have_run_is_not_written_once_servers_forget() -> None:
     # Guards rule 2: the second attempt left in time, and its dial came up when its repeat was no longer dropped.
     async def scene() -> None:
-        keyed = KEYED | {"deadline_us": 600 * S, "memory_us": S}
-        limits = LIMITS | {"dial_timeout_us": 60 * S}
+        keyed = KEYED | {"deadline_us": 600 * S, "idempotency_window_us": S}
+        limits = LIMITS | {"connect_timeout_us": 60 * S}
         with full_listener() as (listener, fillers):
             async with world(hung, limits=limits, classes=[keyed]) as w:
                 asking = asyncio.create_task(w.ask(kind="amend", body=b"x", budget="30.0"))
@@ -536,7 +539,9 @@
         note(nodes, server.address, None, ServerState.READY)
         outcomes: list[Outcome] = []
         loop = asyncio.get_running_loop()
-        exchange = nodes.send("s", a_call(), Terms(loop.time() + 30), lambda o, _: outcomes.append(o))
+        exchange = nodes.send(
+            "s", a_call(), AttemptDeadlines(loop.time() + 30), lambda o, _: outcomes.append(o)
+        )
         await until(lambda: server.requests)
         exchange.cancel(final=False)
         exchange.cancel(final=False)
@@ -580,9 +585,9 @@
             note(nodes, each.address, None, ServerState.READY, each.name)
         loop = asyncio.get_running_loop()
         ended: list[Outcome] = []
-        nodes.send("a", a_call(), Terms(loop.time() + 30), lambda o, _: ended.append(o))
+        nodes.send("a", a_call(), AttemptDeadlines(loop.time() + 30), lambda o, _: ended.append(o))
         await until(lambda: ended)
-        nodes.send("s", a_call(), Terms(loop.time() + 30), lambda o, _: ended.append(o))
+        nodes.send("s", a_call(), AttemptDeadlines(loop.time() + 30), lambda o, _: ended.append(o))
         await until(lambda: servers[1].requests)
         assert await outcome_of(nodes) is Outcome.UNSENT
         for each in servers:
@@ -614,7 +619,7 @@
 def test_nothing_is_sent_for_a_request_that_is_over_even_where_nothing_may_be_cancelled() -> None:
     # Guards rule 1: a dial that came up after the final answer would still write the request.
     async def scene() -> None:
-        limits = {"max_attempts": 3, "may_cancel": False, "dial_timeout_us": 600 * S}
+        limits = {"max_attempts": 3, "cancellation": False, "connect_timeout_us": 600 * S}
         with deaf() as address:
             async with world(served, limits=limits) as w:
                 w.sidecar._nodes.update("s-0", address, None, ServerState.READY, pair().nodes)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,13 +10,13 @@
 from helpers import S
 from loopback import FakeDiscovery, answer, deaf, play, until, world
 
-from topazbank.core.members import Told
-from topazbank.interface import ServerState
-from topazbank.membership import registry
-from topazbank.membership.list_format import parse_list
-from topazbank.membership.registry import _IDLE_S, Discovery
-from topazbank.sight import poll_schedule
-from topazbank.sight.others import Others
+from topazbank.balancing.events import ServerState
+from topazbank.core.endpoint_source import EndpointList
+from topazbank.discovery import registry
+from topazbank.discovery.list_format import parse_list
+from topazbank.discovery.registry import _IDLE_S, RegistrySource
+from topazbank.estimation import poll_schedule
+from topazbank.estimation.fleet_size import FleetSize
 
 
 def served(*_: object) -> bytes:
@@ -90,7 +90,7 @@
 @pytest.mark.usefixtures("each_pair")
 def test_a_failed_call_is_told_and_the_module_asks_again(bad: bytes) -> None:
     async def scene() -> None:
-        async with world(served, rules={"ask_within_us": 1 * S}) as w:
+        async with world(served, rules={"poll_within_us": 1 * S}) as w:
             w.discovery.answers.put_nowait(bad)
             await until(lambda: len(w.discovery.targets) == 2)
             assert w.sidecar._balancer._failed_calls == 1
@@ -101,11 +101,11 @@
 
 def test_discovery_that_is_down_is_a_failed_call() -> None:
     async def scene() -> None:
-        heard: list[Told | None] = []
+        heard: list[EndpointList | None] = []
         down = FakeDiscovery()
         await down.start()
         down.stop()
-        discovery = Discovery(down.address, 1, heard.append)
+        discovery = RegistrySource(down.address, 1, heard.append)
         discovery.follow(True)
         await until(lambda: heard == [None])
         assert discovery._watch is None and not discovery._polls
@@ -121,8 +121,8 @@
         old, new = FakeDiscovery(), FakeDiscovery()
         await old.start()
         await new.start()
-        heard: list[Told | None] = []
-        discovery = Discovery(old.address, 41, heard.append)
+        heard: list[EndpointList | None] = []
+        discovery = RegistrySource(old.address, 41, heard.append)
         discovery.follow(True)
         discovery.fetch()
         await until(lambda: old.called(2))
@@ -153,8 +153,8 @@
 
     async def scene() -> None:
         with deaf() as address:
-            heard: list[Told | None] = []
-            discovery = Discovery(address, 1, heard.append)
+            heard: list[EndpointList | None] = []
+            discovery = RegistrySource(address, 1, heard.append)
             discovery.follow(True)
             await until(lambda: heard == [None])
             assert discovery._watch is None and not discovery._polls
@@ -166,8 +166,8 @@
     async def scene() -> None:
         service = FakeDiscovery()
         await service.start()
-        heard: list[Told | None] = []
-        discovery = Discovery(service.address, 1, heard.append)
+        heard: list[EndpointList | None] = []
+        discovery = RegistrySource(service.address, 1, heard.append)
         for _ in range(3):
             discovery.follow(True)
         await until(lambda: service.targets)
@@ -189,7 +189,7 @@
         await service.start()
         waits = []
         for seed in range(8):
-            discovery = Discovery(service.address, 1, lambda told: None, Others(5000), seed)
+            discovery = RegistrySource(service.address, 1, lambda told: None, FleetSize(5000), seed)
             discovery.follow(True)
             service.say(2, [])
             await until(lambda: len(service.targets) == 2 * (seed + 1))  # noqa: B023
@@ -265,8 +265,8 @@
     async def scene() -> None:
         service = FakeDiscovery()
         await service.start()
-        heard: list[Told | None] = []
-        discovery = Discovery(service.address, 1, heard.append, Others(sidecars))
+        heard: list[EndpointList | None] = []
+        discovery = RegistrySource(service.address, 1, heard.append, FleetSize(sidecars))
         discovery.follow(True)
         service.say(2, [entry()])
         await until(lambda: service.called(3))
@@ -288,8 +288,8 @@
     async def scene() -> None:
         service = FakeDiscovery()
         await service.start()
-        heard: list[Told | None] = []
-        discovery = Discovery(service.address, 1, heard.append)
+        heard: list[EndpointList | None] = []
+        discovery = RegistrySource(service.address, 1, heard.append)
         for calls in range(1, 8):
             discovery.follow(True)
             await until(lambda: service.called(calls))  # noqa: B023
@@ -309,8 +309,8 @@
     async def scene() -> None:
         service = FakeDiscovery()
         await service.start()
-        heard: list[Told | None] = []
-        discovery = Discovery(service.address, 1, heard.append)
+        heard: list[EndpointList | None] = []
+        discovery = RegistrySource(service.address, 1, heard.append)
         discovery.move(service.address)
         await until(lambda: service.called(1))
         discovery.move(service.address)
@@ -331,12 +331,12 @@
         await service.start()
         heard: list[int] = []
 
-        def told(what: Told | None) -> None:
+        def told(what: EndpointList | None) -> None:
             assert what is not None
             heard.append(what.version)
             raise RuntimeError("a defect")
 
-        discovery = Discovery(service.address, 1, told)
+        discovery = RegistrySource(service.address, 1, told)
         discovery.follow(True)
         for version in (2, 3, 4):
             service.say(version, [])
@@ -383,7 +383,7 @@
         entry(zone="\ud800"),
     ]
     told = parse_list({"index": 5, "snapshot": True, "endpoints": [*junk, entry(since_ms=2, group=3)]})
-    assert [each.server.server for each in told.lines] == ["s-1"]
+    assert [each.server.name for each in told.lines] == ["s-1"]
     line = told.lines[0]
     assert (told.version, told.complete, line.address) == (5, True, ("127.0.0.1", 9))
     assert (line.server.started_at, line.server.cell, line.server.zone) == (2000, 3, "a")
@@ -395,7 +395,7 @@
     [
         ("active", ServerState.READY),
         ("leaving", ServerState.DRAINING),
-        ("left", ServerState.GONE),
+        ("left", ServerState.REMOVED),
         ("resting", ServerState.DRAINING),
     ],
 )
@@ -422,7 +422,7 @@
 ) -> None:
     # Guards rule 3, as above.
     (line,) = parse_list({"index": 5, "endpoints": [entry(status=status, **junk)]}).lines
-    assert line.server.server == "s-1" and line.server.state is not ServerState.READY
+    assert line.server.name == "s-1" and line.server.state is not ServerState.READY
 
 
 @pytest.mark.parametrize(
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -8,19 +8,21 @@
 import pytest
 from helpers import MS, SAFE, S, Stage, names, settings
 
-from topazbank.balancer import Server
-from topazbank.interface import (
-    AnswerStarted,
-    Cancel,
-    CloseIdle,
+from topazbank.balancing.actions import (
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
     Fail,
-    ListedServer,
-    ListKind,
-    Log,
+    LogMessage,
+    Reject,
+)
+from topazbank.balancing.balancer import Server
+from topazbank.balancing.events import (
+    HealthCheckEnded,
     Outcome,
-    Probe,
-    ProbeEnded,
-    Refuse,
+    ResponseStarted,
+    ServerDescription,
+    UpdateKind,
 )
 
 
@@ -37,11 +39,11 @@
     stage.servers(names(5))
     request = stage.request("pay")
     for _ in range(4):
-        stage.end(request, Outcome.FULL)
+        stage.end(request, Outcome.REJECTED)
     targets = [each.server for _, each in stage.sends(request)]
     assert sorted(targets) == names(5)
-    stage.end(request, Outcome.FULL)
-    assert [each.request for each in stage.said(Refuse)] == [request]
+    stage.end(request, Outcome.REJECTED)
+    assert [each.request for each in stage.said(Reject)] == [request]
 
 
 def test_the_only_server_left_is_used() -> None:
@@ -65,7 +67,10 @@
 def test_nominal_size_stands_in_for_pace_until_answers_tell() -> None:
     stage = Stage()
     stage.servers(
-        [ListedServer(name, "east", nominal=4.0 if name == names(8)[0] else 1.0) for name in names(8)]
+        [
+            ServerDescription(name, "east", nominal_capacity=4.0 if name == names(8)[0] else 1.0)
+            for name in names(8)
+        ]
     )
     for _ in range(200):
         request = stage.request()
@@ -110,7 +115,7 @@
 def test_a_silent_server_is_ejected_while_its_peers_answer_and_its_repeatable_requests_are_saved() -> None:
     stage = Stage()
     hung, stuck = _with_one_hung(stage, 20)
-    assert any(each.text.startswith(f"ejected {hung}") for each in stage.said(Log))
+    assert any(each.text.startswith(f"ejected {hung}") for each in stage.said(LogMessage))
     copies = [each.server for _, each in stage.sends(stuck[0])]
     assert len(copies) > 1 and hung not in copies[1:]
 
@@ -125,7 +130,7 @@
     for request in burst[1:]:
         stage.wait(2 * MS)
         if stage.target(request) == giving:
-            stage.play(AnswerStarted(request, 0, giving, 30 * MS))  # it has no end yet
+            stage.play(ResponseStarted(request, 0, giving, 30 * MS))  # it has no end yet
         else:
             stage.end(request)
     for _ in range(20):
@@ -134,7 +139,7 @@
         if stage.target(request) != giving:
             stage.wait(10 * MS)
             stage.end(request)
-    assert not any("silent" in each.text for each in stage.said(Log))
+    assert not any("silent" in each.text for each in stage.said(LogMessage))
 
 
 def test_an_ejected_server_comes_back_by_one_trial_at_a_time() -> None:
@@ -142,7 +147,7 @@
     hung, stuck = _with_one_hung(stage, 20)
     before = len([1 for _, each in stage.sends() if each.server == hung])
     for request in stuck:
-        stage.end(request, Outcome.EXPIRED, attempt=0, answered=False)
+        stage.end(request, Outcome.TIMED_OUT, attempt=0, answered=False)
     for _ in range(60):
         stage.wait(60 * MS)
         request = stage.request()
@@ -152,7 +157,7 @@
     assert trials == 1
     trial = next(each.request for _, each in reversed(stage.sends()) if each.server == hung)
     stage.end(trial, attempt=0)
-    assert stage.said(Log)[-1].text == f"readmitted {hung}"
+    assert stage.said(LogMessage)[-1].text == f"readmitted {hung}"
 
 
 def test_servers_that_are_all_silent_are_not_all_ejected() -> None:
@@ -192,8 +197,8 @@
         stage.wait(50 * MS)
         stage.end(new)
         stage.wait(30 * MS)
-        stage.end(old, Outcome.EXPIRED, answered=False)
-    assert not any("ejected" in each.text for each in stage.said(Log))
+        stage.end(old, Outcome.TIMED_OUT, answered=False)
+    assert not any("ejected" in each.text for each in stage.said(LogMessage))
 
 
 def test_repeats_after_failures_are_bounded() -> None:
@@ -203,12 +208,12 @@
         stage.wait(MS)
         request = stage.request()
         while stage.balancer._requests.get(request) is not None:
-            stage.end(request, Outcome.DROPPED)
+            stage.end(request, Outcome.CONNECTION_LOST)
     assert len(stage.sends()) <= 400 * 1.25 + 10
 
 
-def zones() -> list[ListedServer]:
-    return [ListedServer(name, "east" if index < 4 else "west") for index, name in enumerate(names(8))]
+def zones() -> list[ServerDescription]:
+    return [ServerDescription(name, "east" if index < 4 else "west") for index, name in enumerate(names(8))]
 
 
 def _crossings(stage: Stage, near_us: int, far_us: int) -> float:
@@ -255,11 +260,11 @@
     stage.servers(names(4))
     stage.serve(200)
     _overload(stage, 600)
-    asked = {each.request for each in stage.said(Refuse)}
+    asked = {each.request for each in stage.said(Reject)}
     looks = sum(1 for each in asked if each % 2)  # asked for in turn, so half of them would be even-handed
     assert len(asked) > 300 and looks > 0.5 * len(asked)
-    unsent = [each.request for each in stage.said(Refuse) if not stage.sends(each.request)]
-    assert len(unsent) > 0.5 * len(stage.said(Refuse))
+    unsent = [each.request for each in stage.said(Reject) if not stage.sends(each.request)]
+    assert len(unsent) > 0.5 * len(stage.said(Reject))
 
 
 def test_the_window_lets_all_in_again_once_the_load_falls() -> None:
@@ -273,9 +278,9 @@
                 stage.end(request.ident, Outcome.CANCELLED, attempt.index, answered=True)
     stage.wait(11 * S)  # what was given up on counts for as long again
     stage.serve(600)  # a small window takes some aims to grow; a chance refusal meanwhile is no fault
-    refused = len(stage.said(Refuse))
+    refused = len(stage.said(Reject))
     stage.serve(300)
-    assert len(stage.said(Refuse)) == refused
+    assert len(stage.said(Reject)) == refused
 
 
 def test_a_window_held_shut_by_attempts_given_up_on_lets_some_in_all_the_same() -> None:
@@ -316,13 +321,13 @@
     stage = Stage()
     stage.servers(names(4))
     stage.serve(800)
-    assert stage.said(Refuse) == [] and stage.said(Cancel) == []
+    assert stage.said(Reject) == [] and stage.said(CancelAttempt) == []
 
 
 def test_a_restarted_process_is_readmitted_as_a_cold_server() -> None:
     stage = Stage()
     hung, _ = _with_one_hung(stage, 20)
-    stage.servers([ListedServer(hung, "east", started_at=stage.now)], ListKind.CHANGES)
+    stage.servers([ServerDescription(hung, "east", started_at=stage.now)], UpdateKind.DELTA)
     server = stage.balancer._servers[hung]
     assert server.ejected_until is None and stage.balancer._is_cold(server)
 
@@ -330,7 +335,10 @@
 def test_heavy_requests_draw_slow_servers_less_than_light_ones_do(monkeypatch: pytest.MonkeyPatch) -> None:
     stage = Stage()
     stage.servers(
-        [ListedServer(name, "east", nominal=0.5 if name == names(5)[0] else 1.0) for name in names(5)]
+        [
+            ServerDescription(name, "east", nominal_capacity=0.5 if name == names(5)[0] else 1.0)
+            for name in names(5)
+        ]
     )
     seen: list[float] = []
     drawn = stage.balancer._drawn
@@ -408,13 +416,13 @@
         if stage.sends(request):
             stage.wait(700 * MS)
             stage.end(request)
-    refused = len(stage.said(Refuse))
+    refused = len(stage.said(Reject))
     assert 20 <= refused < 120
     stage.wait(10 * S)
     _serve_singly(stage, 60)
-    refused = len(stage.said(Refuse))
+    refused = len(stage.said(Reject))
     _serve_singly(stage, 60)
-    assert len(stage.said(Refuse)) == refused
+    assert len(stage.said(Reject)) == refused
 
 
 def test_two_at_once_are_no_overload_for_a_small_balancer() -> None:
@@ -428,7 +436,7 @@
         for request in pair:
             stage.end(request)
         stage.wait(900 * MS)
-    assert not stage.said(Refuse)
+    assert not stage.said(Reject)
 
 
 def _late_with_reports(cores: float) -> int:
@@ -462,7 +470,7 @@
             out.append((stage.now, request))
         while out and stage.now - out[0][0] >= (550 if out[0][1] % 8 == 0 else 300) * MS:  # one in eight late
             stage.end(out.pop(0)[1], attempt=0, report={"util": 0.5})
-    assert len(stage.said(Refuse)) > 50
+    assert len(stage.said(Reject)) > 50
 
 
 def test_silence_is_not_flattered_by_the_last_report() -> None:
@@ -476,7 +484,7 @@
     for _ in range(400):
         stage.wait(20 * MS)
         stage.request("pay")  # none of these is ever answered
-    assert len(stage.said(Refuse)) > 100
+    assert len(stage.said(Reject)) > 100
 
 
 def test_pace_moves_faster_where_answers_are_few() -> None:
@@ -500,19 +508,21 @@
 # Probes settle ties where they cost next to nothing
 
 PROBED = {
-    "limits": {"may_probe": True},
-    "report": {"source": "probes", "columns": ["inflight"]},
+    "limits": {"health_checks": True},
+    "report": {"source": "health_checks", "columns": ["inflight"]},
 }
 
 
 def answer_probes(stage: Stage, held: dict[str, float], silent: str = "") -> None:
     """Answer the probes sent at this moment, each with what its server holds."""
     stage.wait(2 * MS)
-    asked = [each.server for at, each in stage.log if isinstance(each, Probe) and at == stage.now - 2 * MS]
+    asked = [
+        each.server for at, each in stage.log if isinstance(each, CheckHealth) and at == stage.now - 2 * MS
+    ]
     for server in asked:
         if server != silent:
             report = {"inflight": held.get(server, 0.0)}
-            stage.play(ProbeEnded(server, Outcome.DELIVERED, 2 * MS, report))
+            stage.play(HealthCheckEnded(server, Outcome.DELIVERED, 2 * MS, report))
 
 
 def learn(stage: Stage, loads: list[float], took: Callable[[float], float], sizes: dict[str, float]) -> None:
@@ -570,14 +580,14 @@
 
 def test_nothing_is_probed_where_a_probe_costs_much_or_answers_carry_the_load() -> None:
     for changes in (
-        {"prices": {"probe": 0.05}},
-        {"report": {"source": "answers", "columns": ["inflight"]}},
-        {"limits": {"may_probe": False}},
+        {"prices": {"health_check": 0.05}},
+        {"report": {"source": "responses", "columns": ["inflight"]}},
+        {"limits": {"health_checks": False}},
     ):
         stage = Stage(settings(**{**PROBED, **changes}))
         stage.servers(names(4))
         assert len(stage.sends(stage.request())) == 1
-        assert stage.said(Probe) == []
+        assert stage.said(CheckHealth) == []
 
 
 def test_crowded_servers_everywhere_mean_a_refusal_and_relief_ends_it_at_once() -> None:
@@ -586,7 +596,7 @@
     learn(stage, [0.0, 10.0] * 20, lambda held: 40 + 40 * held, ALIKE)
     refused = stage.request("amend")
     answer_probes(stage, dict.fromkeys(names(4), 30.0))
-    assert stage.sends(refused) == [] and stage.said(Refuse)[-1].request == refused
+    assert stage.sends(refused) == [] and stage.said(Reject)[-1].request == refused
     eased = stage.request("amend")
     answer_probes(stage, dict.fromkeys(names(4), 1.0))
     assert len(stage.sends(eased)) == 1
@@ -607,7 +617,7 @@
     # Guards against fleets of widely different machines: what fills a small one is nothing to a large one.
     sizes = dict(zip(names(4), (8.0, 1.0, 1.0, 1.0), strict=True))
     stage = Stage(settings(**PROBED))
-    stage.servers([ListedServer(name, "east", nominal=size) for name, size in sizes.items()])
+    stage.servers([ServerDescription(name, "east", nominal_capacity=size) for name, size in sizes.items()])
     learn(stage, [0.0, 10.0] * 20, lambda load: 40 + 100 * load, sizes)
     crowded = {name: 14.0 if name == names(1)[0] else 15.0 for name in names(4)}
     request = stage.request("amend")
@@ -618,8 +628,10 @@
     assert stage.sends(refused) == []
 
 
-def zoned() -> list[ListedServer]:
-    return [ListedServer(name, zone="east" if index < 3 else "west") for index, name in enumerate(names(6))]
+def zoned() -> list[ServerDescription]:
+    return [
+        ServerDescription(name, zone="east" if index < 3 else "west") for index, name in enumerate(names(6))
+    ]
 
 
 def test_where_crossings_are_dear_the_own_zone_is_drawn_first_until_it_is_crowded() -> None:
@@ -636,7 +648,7 @@
             stage.end(request)
     before = len(stage.log)
     request = stage.request()
-    assert {each.server for _, each in stage.log[before:] if isinstance(each, Probe)} == near
+    assert {each.server for _, each in stage.log[before:] if isinstance(each, CheckHealth)} == near
     answer_probes(stage, dict.fromkeys(near, 8.0))
     answer_probes(stage, dict.fromkeys(near, 8.0))
     assert stage.target(request) not in near
@@ -646,11 +658,11 @@
 
 
 def test_an_idle_connection_is_closed_once_holding_it_cost_as_much_as_opening_one() -> None:
-    stage = Stage(settings(group_size=100, prices={"connection": 0.08, "handshake": 0.08}))
+    stage = Stage(settings(fleet_size=100, prices={"connection": 0.08, "handshake": 0.08}))
     stage.servers(names(4))
     stage.serve(100)  # 50 a second here: 1250 a server from all, a hundredth of the price each
     stage.wait(1 * S)
-    closed = {each.server for each in stage.said(CloseIdle)}
+    closed = {each.server for each in stage.said(CloseIdleConnections)}
     assert closed == {each.server for _, each in stage.sends()}
 
 
@@ -659,10 +671,10 @@
         ({"connection": 0.08, "handshake": 0.08}, 2 * MS),
         ({"handshake": 0.08}, 90 * MS),
     ):
-        stage = Stage(settings(group_size=2, prices=prices))
+        stage = Stage(settings(fleet_size=2, prices=prices))
         stage.servers(names(2))
         stage.serve(300, every_us=every_us)
-        assert stage.said(CloseIdle) == []
+        assert stage.said(CloseIdleConnections) == []
 
 
 def test_of_servers_alike_the_one_with_a_connection_is_chosen() -> None:
@@ -698,7 +710,7 @@
         stage.end(each)
     stage.wait(100 * MS)
     assert {each.name: each.pace for each in stage.balancer._ready} == paces
-    assert [each for each in stage.said(Log) if "ejected" in each.text] == []
+    assert [each for each in stage.said(LogMessage) if "ejected" in each.text] == []
 
 
 def test_late_answers_refuse_nobody_while_servers_report_idle_cores() -> None:
@@ -712,7 +724,7 @@
         if len(held) > min(3 + count // 10, 30):  # in the end 600 ms each, at an aim of 500
             stage.end(held.pop(0), report={"util": 0.2})
     assert stage.balancer._mean_load > 20.0
-    assert stage.said(Refuse) == []
+    assert stage.said(Reject) == []
 
 
 def test_a_stall_is_seen_among_many_events_and_pardons_all_that_it_held_up() -> None:
@@ -726,9 +738,9 @@
         stage.request()
     for each in held:
         stage.now += 5 * MS
-        stage.end(each, Outcome.DIAL_FAILED)
+        stage.end(each, Outcome.CONNECT_FAILED)
     assert {each.name: each.pace for each in stage.balancer._ready} == paces
-    assert [each for each in stage.said(Log) if "ejected" in each.text] == []
+    assert [each for each in stage.said(LogMessage) if "ejected" in each.text] == []
 
 
 def test_servers_that_are_slow_while_the_balancer_is_awake_are_noticed() -> None:
@@ -758,7 +770,10 @@
     for worth, sent in ((0.0, 0), (0.5, 1)):
         stage = Stage(
             settings(
-                classes=[{"name": "look", "deadline_us": 2 * S, "aim_us": 500 * MS} | {"late_worth": worth}]
+                classes=[
+                    {"name": "look", "deadline_us": 2 * S, "latency_objective_us": 500 * MS}
+                    | {"late_value_ratio": worth}
+                ]
             )
         )
         stage.servers(names(4))
@@ -772,11 +787,11 @@
 
 
 def test_a_full_answer_keeps_requests_of_that_class_away_and_no_others() -> None:
-    stage = Stage(settings(rules={"late_shedding": True}))
+    stage = Stage(settings(rules={"rejects_after_start": True}))
     stage.servers(names(5))  # four without it: a full draw
     lost = stage.request("pay")
     full = stage.target(lost)
-    stage.end(lost, Outcome.FULL, report={"util": 0.3})
+    stage.end(lost, Outcome.REJECTED, report={"util": 0.3})
     for _ in range(24):
         stage.request("pay")
         stage.request("look")
@@ -798,7 +813,7 @@
             stage.wait(20 * MS)
             refused = stage.target(request) not in admit
             fulls += refused
-            stage.end(request, Outcome.FULL if refused else Outcome.DELIVERED, report={"util": 0.3})
+            stage.end(request, Outcome.REJECTED if refused else Outcome.DELIVERED, report={"util": 0.3})
     assert fulls <= 12  # one from each of the four, and again after one second and after three
 
 
@@ -807,7 +822,7 @@
     stage.servers(names(5))  # four without it: a full draw
     request = stage.request("amend")
     full = stage.target(request)
-    stage.end(request, Outcome.FULL, report={"util": 0.3})
+    stage.end(request, Outcome.REJECTED, report={"util": 0.3})
     stage.end(request)
     for wait, drawn in ((100 * MS, False), (20 * S, True)):
         stage.wait(wait)
@@ -822,8 +837,8 @@
     stage.servers(names(3))
     request = stage.request("pay")
     for _ in range(3):
-        stage.end(request, Outcome.FULL, report={"util": 0.3})
-    assert [each.request for each in stage.said(Refuse)] == [request]
+        stage.end(request, Outcome.REJECTED, report={"util": 0.3})
+    assert [each.request for each in stage.said(Reject)] == [request]
     assert len(stage.sends(stage.request("pay"))) == 1
 
 
@@ -838,7 +853,7 @@
         stage.wait(600 * MS)
         if stage.sends(request):
             stage.end(request)
-    refused = len(stage.said(Refuse))
+    refused = len(stage.said(Reject))
     assert refused > 3
     stage.wait(10 * S)
     assert all(stage.sends(stage.request("look")) for _ in range(2))
@@ -850,8 +865,8 @@
     for _ in range(12):
         request = stage.request("pay")
         stage.wait(200 * MS)
-        stage.end(request, Outcome.DROPPED)
-    assert stage.said(Refuse) == [] and len(stage.said(Fail)) == 12
+        stage.end(request, Outcome.CONNECTION_LOST)
+    assert stage.said(Reject) == [] and len(stage.said(Fail)) == 12
 
 
 def test_busy_cores_bound_nothing_by_themselves_once_answers_tell() -> None:
@@ -866,7 +881,7 @@
             out.append((stage.now + 120 * MS, request))
         while out and out[0][0] <= stage.now:
             stage.end(out.pop(0)[1], report={"util": 0.5 if step < 200 else 1.0})
-    late = [at for at, each in stage.log if isinstance(each, Refuse) and at > stage.now - 4 * S]
+    late = [at for at, each in stage.log if isinstance(each, Reject) and at > stage.now - 4 * S]
     assert not late
 
 
@@ -875,7 +890,7 @@
     handshake: float, most: int | None
 ) -> None:
     # Long aims tell of a jam after seconds, and by then all that waits has opened connections of its own.
-    aims = {"aim_us": 5 * S, "deadline_us": 20 * S}
+    aims = {"latency_objective_us": 5 * S, "deadline_us": 20 * S}
     stage = Stage(settings(classes=[SAFE | aims], prices={"handshake": handshake}))
     stage.servers(names(4))
     held: list[int] = []
--- a/tests/test_listing.py
+++ b/tests/test_endpoint_list.py
@@ -10,29 +10,29 @@
 from hypothesis import strategies as st
 
 from topazbank import Balancer
-from topazbank.core.listing import STEP, Listing
-from topazbank.core.members import Listed, Told
+from topazbank.balancing.events import EndpointsUpdated, ServerDescription, ServerState, UpdateKind
+from topazbank.core.endpoint_list import STEP, PendingUpdates
+from topazbank.core.endpoint_source import DiscoveredServer, EndpointList
+from topazbank.core.endpoints import ConnectionLimit, EndpointTable
 from topazbank.core.net import Address
-from topazbank.core.nodes import Nodes, Slots
-from topazbank.interface import ListedServer, ListKind, ServersListed, ServerState
 
-READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.GONE
+READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
 
 
-def line(name: str, state: ServerState = READY, zone: str = "east", nominal: float = 1.0) -> Listed:
-    return Listed(ListedServer(name, zone, "m", 3, state, nominal, 7), ("127.0.0.1", 80))
+def line(name: str, state: ServerState = READY, zone: str = "east", nominal: float = 1.0) -> DiscoveredServer:
+    return DiscoveredServer(ServerDescription(name, zone, "m", 3, state, nominal, 7), ("127.0.0.1", 80))
 
 
-def names(lines: list[Listed]) -> list[str]:
-    return [each.server.server for each in lines]
+def names(lines: list[DiscoveredServer]) -> list[str]:
+    return [each.server.name for each in lines]
 
 
-def told(*lines: Listed, complete: bool = False) -> Told:
-    return Told(1, complete, list(lines))
+def told(*lines: DiscoveredServer, complete: bool = False) -> EndpointList:
+    return EndpointList(1, complete, list(lines))
 
 
 def test_a_whole_list_comes_in_steps_and_what_takes_nodes_away_first() -> None:
-    listing = Listing()
+    listing = PendingUpdates()
     listing.told(0.0, told(*(line(f"n-{each}") for each in range(STEP)), complete=True))
     assert len(listing.take()) == STEP and not listing.waits()
     stay = [line(f"m-{each}") for each in range(2 * STEP)]
@@ -46,7 +46,7 @@
 
 
 def test_what_was_taken_before_is_not_taken_again() -> None:
-    listing = Listing()
+    listing = PendingUpdates()
     listing.told(0.0, told(line("a"), line("b"), complete=True))
     listing.take()
     listing.told(1.0, told(line("a"), line("b", zone="west"), complete=True))
@@ -56,7 +56,7 @@
 
 
 def test_a_later_word_replaces_one_that_waits() -> None:
-    listing = Listing()
+    listing = PendingUpdates()
     listing.told(0.0, told(*(line(f"n-{each:03}") for each in range(3 * STEP)), complete=True))
     listing.take()
     last = f"n-{3 * STEP - 1:03}"
@@ -68,7 +68,7 @@
 
 
 def test_a_newer_whole_list_takes_the_place_of_one_that_waits() -> None:
-    listing = Listing()
+    listing = PendingUpdates()
     listing.told(0.0, told(*(line(f"n-{each}") for each in range(2 * STEP)), complete=True))
     listing.take()
     listing.told(0.1, told(line("other"), complete=True))
@@ -78,7 +78,7 @@
 
 
 def test_how_old_a_node_s_line_is_counts_from_when_it_was_last_told() -> None:
-    listing = Listing()
+    listing = PendingUpdates()
     listing.told(1.0, told(line("a"), line("b"), complete=True))
     listing.told(2.0, told(line("a")))
     listing.told(3.0, told(line("b", GONE)))
@@ -98,22 +98,22 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), _LINES, st.integers(0, 4)), max_size=8))
-def test_steps_end_where_whole_lists_would(history: list[tuple[bool, list[Listed], int]]) -> None:
+def test_steps_end_where_whole_lists_would(history: list[tuple[bool, list[DiscoveredServer], int]]) -> None:
     """Whatever is told, and however many steps are taken between, the module's list is what was told last."""
-    listing, stepped = Listing(), Balancer(settings(), 1)
-    expected: dict[str, ListedServer] = {}
+    listing, stepped = PendingUpdates(), Balancer(settings(), 1)
+    expected: dict[str, ServerDescription] = {}
     now = START
 
     def step() -> None:
         lines = [each.server for each in listing.take(3)]
-        stepped.handle(now, ServersListed(ListKind.CHANGES, lines))
+        stepped.handle(now, EndpointsUpdated(UpdateKind.DELTA, lines))
 
     for complete, lines, steps in history:
         now += 1
-        listing.told(0.0, Told(1, complete, lines))
+        listing.told(0.0, EndpointList(1, complete, lines))
         if complete:
             expected = {}
-        expected |= {each.server.server: each.server for each in lines}
+        expected |= {each.server.name: each.server for each in lines}
         expected = {name: each for name, each in expected.items() if each.state is not GONE}
         for _ in range(steps):
             step()
@@ -121,7 +121,7 @@
         step()
     step()
     assert {each.name: (each.state, each.zone, each.nominal) for each in stepped._servers.values()} == {
-        each.server: (each.state, each.zone, each.nominal) for each in expected.values()
+        each.name: (each.state, each.zone, each.nominal_capacity) for each in expected.values()
     }
     ready = sorted(
         (each for each in stepped._servers.values() if each.state is READY), key=lambda each: each.place
@@ -143,8 +143,8 @@
     renew = withdraw = forget = open
 
 
-def nodes() -> Nodes:
-    made = Nodes(Slots(4), 1.0)
+def nodes() -> EndpointTable:
+    made = EndpointTable(ConnectionLimit(4), 1.0)
     made._carriers["http"] = NoCarrier()  # type: ignore[assignment]
     return made
 
@@ -187,17 +187,17 @@
 
 def test_the_version_that_is_handed_over_is_one_of_which_all_is_taken() -> None:
     # A process that begins from a list with a later version than its lines are of would never hear of the rest.
-    listing = Listing()
-    listing.told(0.0, Told(7, True, [line(f"n-{each}") for each in range(3 * STEP)]))
+    listing = PendingUpdates()
+    listing.told(0.0, EndpointList(7, True, [line(f"n-{each}") for each in range(3 * STEP)]))
     while listing.waits():
         assert listing.taken_version == 0
         listing.take()
     assert listing.taken_version == listing.version == 7
-    listing.told(1.0, Told(8, False, [line(f"n-{each}", DRAINING) for each in range(STEP + 1)]))
+    listing.told(1.0, EndpointList(8, False, [line(f"n-{each}", DRAINING) for each in range(STEP + 1)]))
     listing.take()
     assert (listing.taken_version, listing.version) == (7, 8)
     listing.take()
     assert listing.taken_version == 8
-    listing.told(2.0, Told(9, False, []))
+    listing.told(2.0, EndpointList(9, False, []))
     listing.take()
     assert listing.taken_version == 9
--- a/tests/test_whole.py
+++ b/tests/test_fast_parser.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from topazbank.http.connection import _answer_reader
-from topazbank.http.whole import read_request, read_response
+from topazbank.http.fast_parser import read_request, read_response
 
 MOST = 1000
 PLAIN = b"POST /api/7f HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: \t c-1 \r\nX-Empty:\r\nContent-Length: 3\r\n\r\nabc"
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -26,12 +26,13 @@
     world,
 )
 
-from topazbank import balancer
+from topazbank.balancing import balancer
+from topazbank.balancing.actions import Action, Reject
+from topazbank.balancing.events import Event, RequestArrived
 from topazbank.core.body import LARGE_MOST
-from topazbank.core.call import Answer, Hooks, Rulebook, Verdict
-from topazbank.core.listener import ClientConnection, Frontend
+from topazbank.core.call import FinalAnswer, RequestCallbacks, RequestClasses, Verdict
+from topazbank.core.listener import ClientConnection, Listener
 from topazbank.http.server import HttpConnection
-from topazbank.interface import Action, Event, Refuse, RequestArrived
 
 
 def served(*_: object) -> bytes:
@@ -160,7 +161,7 @@
     async def scene() -> None:
         async with world(served) as w:
             w.sidecar._balancer.handle = lambda now, event: (  # type: ignore[method-assign]
-                [Refuse(event.request, 250_000)] if isinstance(event, RequestArrived) else []
+                [Reject(event.request, 250_000)] if isinstance(event, RequestArrived) else []
             )
             status, headers, _ = await w.ask()
             assert status == 503 and float(headers["retry-after"]) == 0.25
@@ -177,7 +178,7 @@
             real = w.sidecar._balancer.handle
 
             def faulty(now: int, event: Event) -> list[Action]:
-                if isinstance(event, RequestArrived) and event.service_class == "pay":
+                if isinstance(event, RequestArrived) and event.request_class == "pay":
                     raise ZeroDivisionError
                 return real(now, event)
 
@@ -318,10 +319,12 @@
             return self.real.fileno()
 
     async def scene() -> None:
-        taken = Answer(Verdict.SERVED, b"taken")
-        hooks = Hooks(lambda call: call.answer(taken), lambda _: None, lambda _: False, lambda: True)
-        rules = Rulebook(settings(classes=CLASSES))
-        frontend = Frontend(("127.0.0.1", 0), 5, hooks, rules, HttpConnection)
+        taken = FinalAnswer(Verdict.SERVED, b"taken")
+        hooks = RequestCallbacks(
+            lambda call: call.answer(taken), lambda _: None, lambda _: False, lambda: True
+        )
+        rules = RequestClasses(settings(classes=CLASSES))
+        frontend = Listener(("127.0.0.1", 0), 5, hooks, rules, HttpConnection)
         real = frontend._sock
         frontend._sock = Lacking(real)  # type: ignore[assignment]
         frontend.start()
@@ -523,8 +526,8 @@
 
 
 def test_of_a_thousand_new_connections_in_a_swamped_sidecar_no_more_than_four_end_unread() -> None:
-    hooks = Hooks(lambda _: None, lambda _: None, lambda _: False, lambda: True)
-    frontend = Frontend(("127.0.0.1", 0), 5, hooks, Rulebook(settings(classes=CLASSES)), HttpConnection)
+    hooks = RequestCallbacks(lambda _: None, lambda _: None, lambda _: False, lambda: True)
+    frontend = Listener(("127.0.0.1", 0), 5, hooks, RequestClasses(settings(classes=CLASSES)), HttpConnection)
     frontend._most_busy = 0.0
     ended = [frontend._ends_unread() for _ in range(1000)]
     assert not any(ended[:200]) and sum(ended) <= 4  # from the start on no more than one in 200
--- a/tests/test_peers.py
+++ b/tests/test_gossip_transport.py
@@ -10,11 +10,12 @@
 import pytest
 from helpers import MS, Stage, names, settings
 
+from topazbank.balancing.actions import SendGossip
+from topazbank.balancing.events import GossipReceived
 from topazbank.config import read_config
+from topazbank.core.gossip_transport import GossipAddresses, GossipTransport
 from topazbank.core.net import Address
-from topazbank.core.peers import Peers, Tier
-from topazbank.interface import MessageReceived, Tell
-from topazbank.sight.hearsay import MESSAGE_MOST, VERSION, tag_of
+from topazbank.estimation.load_gossip import MESSAGE_MOST, VERSION, tag_of
 
 WAIT_S = 10.0
 
@@ -49,15 +50,15 @@
             await asyncio.sleep(0.005)
 
 
-async def _three() -> tuple[list[Peers], list[list[tuple[int, bytes]]], list[Address]]:
+async def _three() -> tuple[list[GossipTransport], list[list[tuple[int, bytes]]], list[Address]]:
     addresses = _addresses(3)
     heard: list[list[tuple[int, bytes]]] = [[], [], []]
 
-    def hears(number: int) -> Peers:
+    def hears(number: int) -> GossipTransport:
         def take(sender: int, payload: bytes) -> None:
             heard[number].append((sender, payload))
 
-        return Peers(Tier(addresses[number], tuple(addresses)), take)
+        return GossipTransport(GossipAddresses(addresses[number], tuple(addresses)), take)
 
     peers = [hears(number) for number in range(3)]
     for each in peers:
@@ -108,7 +109,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def run(address: Address) -> None:
-        peers = Peers(Tier(address), lambda *_: None)
+        peers = GossipTransport(GossipAddresses(address), lambda *_: None)
         await peers.start()
         peers.tell(None, b"lost")
 
@@ -143,7 +144,7 @@
 
 
 def _talking() -> Stage:
-    stage = Stage(settings(limits={"may_message": True}, group_size=4, me=0))
+    stage = Stage(settings(limits={"gossip": True}, fleet_size=4, me=0))
     stage.servers(names(8))
     return stage
 
@@ -153,23 +154,23 @@
     crowded = {name for name in names(8) if name != names(8)[5]}
     picked = []
     for seed in range(40):
-        stage = Stage(settings(limits={"may_message": True}, group_size=4), seed=seed)
+        stage = Stage(settings(limits={"gossip": True}, fleet_size=4), seed=seed)
         stage.servers(names(8))
         payload = bytes([VERSION]) + b"".join(
             tag_of(name).to_bytes(2, "little") + b"\x09" for name in crowded
         )
-        stage.play(MessageReceived(1, payload))
+        stage.play(GossipReceived(1, payload))
         picked.append(stage.target(stage.request("pay")))
     drawn = 4 / 8  # k of the eight; where the idle one is among them it gets the request
     assert picked.count(names(8)[5]) >= 0.7 * drawn * len(picked)
 
 
 def test_own_requests_in_flight_go_before_what_others_say() -> None:
-    stage = Stage(settings(limits={"may_message": True}, group_size=4))
+    stage = Stage(settings(limits={"gossip": True}, fleet_size=4))
     stage.servers(names(2))
     first = stage.target(stage.request("pay"))
     other = next(name for name in names(2) if name != first)
-    stage.play(MessageReceived(1, bytes([VERSION]) + tag_of(other).to_bytes(2, "little") + b"\x63"))
+    stage.play(GossipReceived(1, bytes([VERSION]) + tag_of(other).to_bytes(2, "little") + b"\x63"))
     assert stage.target(stage.request("pay")) == other
 
 
@@ -184,21 +185,21 @@
         stage.end(each)
     stage.wait(200 * MS)
     stage.end(stage.request("pay"))
-    told = stage.said(Tell)
+    told = stage.said(SendGossip)
     assert told and all(each.receiver is None for each in told)
     assert any(len(each.payload) > 1 for each in told)
 
 
 def test_a_balancer_that_may_not_send_messages_sends_none_and_hears_none() -> None:
-    stage = Stage(settings(group_size=4))
+    stage = Stage(settings(fleet_size=4))
     stage.servers(names(4))
-    stage.play(MessageReceived(1, bytes([VERSION, 1, 0, 9])))
+    stage.play(GossipReceived(1, bytes([VERSION, 1, 0, 9])))
     stage.serve(100)
-    assert stage.said(Tell) == []
+    assert stage.said(SendGossip) == []
 
 
 def test_its_own_message_that_comes_back_is_not_counted() -> None:
     stage = _talking()
     tag = tag_of(names(8)[0])
-    stage.play(MessageReceived(0, bytes([VERSION]) + tag.to_bytes(2, "little") + b"\x09"))
+    stage.play(GossipReceived(0, bytes([VERSION]) + tag.to_bytes(2, "little") + b"\x09"))
     assert stage.balancer._hearsay is not None and stage.balancer._hearsay.held(tag) == 0
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,9 +9,9 @@
 from helpers import KEYED, SAFE, UNSAFE, S
 from loopback import Client, World, answer, client, full, heard_at, pair, play, request, until, world
 
-from standins.wire import HTTP, reset
+from testbed.wire import HTTP, reset
+from topazbank.balancing.events import ServerState
 from topazbank.core.call import BODY_MOST
-from topazbank.interface import ServerState
 from topazbank.msgpackrpc import server as rpc_server
 
 Leave = Callable[[Client], None]
@@ -126,7 +126,7 @@
     leave: Leave, unread: bool
 ) -> None:
     async def scene() -> None:
-        limits = {"max_attempts": 3, "may_cancel": True, "dial_timeout_us": 60 * S}
+        limits = {"max_attempts": 3, "cancellation": True, "connect_timeout_us": 60 * S}
         with full() as (listener, fillers):
             async with world(silent, limits=limits) as w:
                 address = listener.getsockname()
@@ -151,7 +151,7 @@
 @pytest.mark.usefixtures("each_pair")
 def test_a_held_request_of_an_ordered_key_is_not_sent_for_a_client_that_left(leave: Leave) -> None:
     # It waits in the decision module for the one before it, and its connection is read no further.
-    ordered = [each | {"deadline_us": 600 * S, "by_arrival": True} for each in (SAFE, UNSAFE, KEYED)]
+    ordered = [each | {"deadline_us": 600 * S, "ordered_by_key": True} for each in (SAFE, UNSAFE, KEYED)]
 
     async def scene() -> None:
         async with world(silent, classes=ordered) as w:
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -29,11 +29,11 @@
     world,
 )
 
-from standins.ports import free, own_host
-from standins.wire import HTTP
+from testbed.ports import free, own_host
+from testbed.wire import HTTP
 from topazbank.__main__ import Flood
 from topazbank.core.net import Address
-from topazbank.operation import drain
+from topazbank.operations import drain
 
 ROOT = Path(__file__).parent.parent
 SETTINGS: dict[str, Any] = {
--- a/tests/test_mixed_fleet.py
+++ b/tests/test_mixed_fleet.py
@@ -8,8 +8,9 @@
 import pytest
 from loopback import FakeServer, answer, pair, play, until, world
 
-from standins.wire import HTTP, MSGPACK_RPC
-from topazbank.interface import Action, AttemptEnded, Event
+from testbed.wire import HTTP, MSGPACK_RPC
+from topazbank.balancing.actions import Action
+from topazbank.balancing.events import AttemptEnded, Event
 
 pytestmark = pytest.mark.usefixtures("each_client")
 
@@ -73,7 +74,7 @@
     protocol: str, status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
-        columns = {"source": "answers", "columns": ["util", "queue"]}
+        columns = {"source": "responses", "columns": ["util", "queue"]}
 
         def reports(*_: object) -> bytes:
             return answer(status, b"", X_Load_Report="TEXT util=0.25, queue=3, other=1", X_Rejected="1")
--- a/tests/test_operator.py
+++ b/tests/test_operator_config.py
@@ -13,20 +13,20 @@
 import pytest
 from helpers import settings
 
+from topazbank.balancing.events import ServerDescription
 from topazbank.config import check_tier
-from topazbank.core.driver import Config
-from topazbank.core.members import Dialects, Listed, Told
-from topazbank.core.nodes import HTTP, MSGPACK_RPC
-from topazbank.core.peers import Tier
-from topazbank.interface import ListedServer
-from topazbank.operator import Operator, operator_from, read_operator
+from topazbank.core.driver import SidecarConfig
+from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, ProtocolDefaults
+from topazbank.core.endpoints import HTTP, MSGPACK_RPC
+from topazbank.core.gossip_transport import GossipAddresses
+from topazbank.operator_config import OperatorConfig, operator_config_from, read_operator_config
 
 ROOT = Path(__file__).parent.parent
 
 
 def test_the_file_that_is_deployed_is_good_and_no_file_means_the_defaults() -> None:
-    assert read_operator(str(ROOT / "deploy" / "operator.toml")).msgpack_rpc.clients
-    assert read_operator(None) == operator_from({}) == Operator()
+    assert read_operator_config(str(ROOT / "deploy" / "operator.toml")).msgpack_rpc.clients
+    assert read_operator_config(None) == operator_config_from({}) == OperatorConfig()
 
 
 @pytest.mark.parametrize(
@@ -69,15 +69,15 @@
     path = tmp_path / "operator.toml"
     path.write_text(text, encoding="utf-8")
     with pytest.raises(ValueError) as bad:
-        read_operator(str(path))
+        read_operator_config(str(path))
     assert complaint in str(bad.value) and str(bad.value).startswith(str(path))
 
 
 def test_the_tier_s_key_is_in_no_complaint_and_in_no_picture_of_the_settings() -> None:
     with pytest.raises(ValueError) as bad:
-        operator_from({"tier": {"key": "hush" * 20}})
+        operator_config_from({"tier": {"key": "hush" * 20}})
     assert "tier.key: a text of 64 bytes at most" in str(bad.value) and "hush" not in str(bad.value)
-    assert "hush" not in repr(operator_from({"tier": {"key": "hush"}}))
+    assert "hush" not in repr(operator_config_from({"tier": {"key": "hush"}}))
 
 
 @pytest.mark.parametrize(
@@ -85,18 +85,28 @@
     [
         ({"tier": None}, "", "tier.on: the configuration names no peer_listen"),
         ({"settings": settings()}, "", "tier.on: the settings do not allow messages"),
-        ({"tier": Tier(("127.0.0.1", 9))}, "", "tier.name: wanted where the configuration names no peers"),
-        ({"tier": Tier(("127.0.0.1", 9))}, "desk-7", None),
+        (
+            {"tier": GossipAddresses(("127.0.0.1", 9))},
+            "",
+            "tier.name: wanted where the configuration names no peers",
+        ),
+        ({"tier": GossipAddresses(("127.0.0.1", 9))}, "desk-7", None),
     ],
 )
 def test_membership_without_what_it_needs_is_told_at_the_start(
     changes: dict[str, Any], name: str, complaint: str | None
 ) -> None:
     here = ("127.0.0.1", 9)
-    config = Config(
-        here, here, 7, 256, settings(limits={"may_message": True}), Told(0, True, []), Tier(here, (here,))
+    config = SidecarConfig(
+        here,
+        here,
+        7,
+        256,
+        settings(limits={"gossip": True}),
+        EndpointList(0, True, []),
+        GossipAddresses(here, (here,)),
     )
-    given = operator_from({"tier": {"on": True, "name": name}})
+    given = operator_config_from({"tier": {"on": True, "name": name}})
     if complaint is None:
         check_tier(replace(config, **changes), given)
         return
@@ -106,12 +116,14 @@
 
 def test_a_keeper_that_no_member_is_is_told_at_the_start() -> None:
     here = ("127.0.0.1", 9)
-    given = settings(limits={"may_message": True})
-    config = Config(here, here, 7, 256, given, Told(0, True, []), Tier(here, (here, here)))
+    given = settings(limits={"gossip": True})
+    config = SidecarConfig(
+        here, here, 7, 256, given, EndpointList(0, True, []), GossipAddresses(here, (here, here))
+    )
     budget = {"of": "retries", "whole": 1, "burst": 2, "keepers": ["1", "2"]}
     with pytest.raises(ValueError, match=r"budgets\.b\.keepers: '2' is no number in peers"):
-        check_tier(config, operator_from({"tier": {"on": True}, "budgets": {"b": budget}}))
-    check_tier(config, operator_from({"tier": {"on": True, "name": "a"}, "budgets": {"b": budget}}))
+        check_tier(config, operator_config_from({"tier": {"on": True}, "budgets": {"b": budget}}))
+    check_tier(config, operator_config_from({"tier": {"on": True, "name": "a"}, "budgets": {"b": budget}}))
 
 
 def test_a_bad_tier_ends_the_start_with_one_line_and_code_2(tmp_path: Path) -> None:
@@ -127,20 +139,22 @@
 
 def test_an_entry_s_word_goes_before_its_pod_s_and_that_before_the_default() -> None:
     text = "[msgpack_rpc]\nnodes = true\n[nodes.pods]\n7 = 'msgpack-rpc'"
-    operator = operator_from(tomllib.loads(text))
-    dialects = Dialects(operator.protocol, operator.pods)
-    in_pod, elsewhere = ListedServer("a", cell=7), ListedServer("b", cell=8)
-    assert dialects.of(Listed(in_pod, None)) == MSGPACK_RPC
-    assert dialects.of(Listed(elsewhere, None)) == HTTP
-    assert dialects.of(Listed(in_pod, None, HTTP)) == HTTP
-    assert dialects.of(Listed(elsewhere, None, "grpc")) == "grpc"
+    operator = operator_config_from(tomllib.loads(text))
+    dialects = ProtocolDefaults(operator.protocol, operator.pods)
+    in_pod, elsewhere = ServerDescription("a", cell=7), ServerDescription("b", cell=8)
+    assert dialects.of(DiscoveredServer(in_pod, None)) == MSGPACK_RPC
+    assert dialects.of(DiscoveredServer(elsewhere, None)) == HTTP
+    assert dialects.of(DiscoveredServer(in_pod, None, HTTP)) == HTTP
+    assert dialects.of(DiscoveredServer(elsewhere, None, "grpc")) == "grpc"
 
 
 def test_a_secret_is_in_no_complaint_and_in_no_picture_of_the_settings(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text("[membership.zookeeper]\nsecret = 'hush'", encoding="utf-8")
     with pytest.raises(ValueError) as bad:
-        read_operator(str(path))
+        read_operator_config(str(path))
     assert "user:password is wanted" in str(bad.value) and "hush" not in str(bad.value)
-    good = operator_from(tomllib.loads("[membership.zookeeper]\nsecret = 'me:hush'\nmembers = ['a:1']"))
+    good = operator_config_from(
+        tomllib.loads("[membership.zookeeper]\nsecret = 'me:hush'\nmembers = ['a:1']")
+    )
     assert good.membership.zookeeper.secret == "me:hush" and "hush" not in repr(good)
--- a/tests/test_request_rules.py
+++ b/tests/test_request_rules.py
@@ -8,10 +8,11 @@
 import pytest
 from helpers import settings
 
+from topazbank.balancing.events import Outcome
+from topazbank.balancing.settings import Rules
 from topazbank.core.call import Call
 from topazbank.core.counters import Counters, Violation
 from topazbank.core.request_rules import ANSWER_SLACK_S, HELD_UP_S, Denied, RequestRules
-from topazbank.interface import Outcome, Rules
 
 NOW, GRACE_S, ALWAYS = 100.0, 0.5, float("inf")
 KINDS = {each.name: each for each in settings().classes}
@@ -31,9 +32,9 @@
     return made
 
 
-def rules(late_shedding: bool = False) -> tuple[RequestRules, Counters]:
+def rules(rejects_after_start: bool = False) -> tuple[RequestRules, Counters]:
     counters = Counters()
-    given = Rules(drain_grace_us=int(GRACE_S * 1e6), late_shedding=late_shedding)
+    given = Rules(drain_grace_us=int(GRACE_S * 1e6), rejects_after_start=rejects_after_start)
     return RequestRules(counters, given), counters
 
 
@@ -59,16 +60,16 @@
 
 
 @pytest.mark.parametrize("outcome", list(Outcome))
-@pytest.mark.parametrize("late_shedding", [False, True])
+@pytest.mark.parametrize("rejects_after_start", [False, True])
 def test_an_unsafe_request_goes_again_only_where_it_provably_never_ran(
-    outcome: Outcome, late_shedding: bool
+    outcome: Outcome, rejects_after_start: bool
 ) -> None:
-    held, counters = rules(late_shedding)
+    held, counters = rules(rejects_after_start)
     unsafe = call()
     assert held.denied_write(unsafe, Server(), NOW, ALWAYS) is None
     held.ended(unsafe, outcome, written=True)
-    unrun = outcome in (Outcome.DIAL_FAILED, Outcome.UNSENT) or (
-        outcome is Outcome.FULL and not late_shedding
+    unrun = outcome in (Outcome.CONNECT_FAILED, Outcome.UNSENT) or (
+        outcome is Outcome.REJECTED and not rejects_after_start
     )
     assert held.denied_write(unsafe, Server(), NOW, ALWAYS) is (None if unrun else Denied.MAY_HAVE_RUN)
     assert counters.of(Violation.UNSAFE_RESENT) == (not unrun)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,19 +7,15 @@
 import pytest
 from helpers import MS, START, S, Stage, names, settings
 
-from topazbank.interface import (
+from topazbank.balancing.actions import CancelAttempt, Fail, Reject, WatchEndpoints
+from topazbank.balancing.events import (
     AttemptEnded,
-    Cancel,
-    Fail,
-    FetchList,
-    Follow,
-    ListedServer,
-    ListKind,
+    EndpointsUpdated,
     Outcome,
-    Refuse,
-    RequestGone,
-    ServersListed,
+    RequestCancelled,
+    ServerDescription,
     ServerState,
+    UpdateKind,
 )
 
 # Rule 1: one final answer in time
@@ -38,11 +34,11 @@
     stage.servers(names(5))
     request = stage.request("look", remaining_us=300 * MS)
     stage.wait(300 * MS)
-    answers = len(stage.said(Refuse))
+    answers = len(stage.said(Reject))
     stage.end(request, Outcome.CANCELLED, answered=True)
     stage.wait(5 * S)
     assert answers == 1
-    assert len(stage.said(Refuse)) == 1
+    assert len(stage.said(Reject)) == 1
     assert len([1 for at, _ in stage.sends(request) if at > START + 300 * MS]) == 0
 
 
@@ -51,13 +47,13 @@
     stage.servers(names(3))
     request = stage.request("pay", remaining_us=0)
     assert stage.sends(request) == []
-    assert [each.request for each in stage.said(Refuse)] == [request]
+    assert [each.request for each in stage.said(Reject)] == [request]
 
 
 def test_no_server_at_all_means_a_refusal_at_once() -> None:
     stage = Stage()
     request = stage.request("pay")
-    assert [each.request for each in stage.said(Refuse)] == [request]
+    assert [each.request for each in stage.said(Reject)] == [request]
 
 
 def test_no_attempts_allowed_means_a_refusal() -> None:
@@ -65,7 +61,7 @@
     stage.servers(names(3))
     request = stage.request("look")
     assert stage.sends(request) == []
-    assert [each.request for each in stage.said(Refuse)] == [request]
+    assert [each.request for each in stage.said(Reject)] == [request]
 
 
 def test_late_and_unknown_news_is_ignored() -> None:
@@ -74,8 +70,8 @@
     request = stage.request()
     stage.end(request)
     before = len(stage.log)
-    stage.play(RequestGone(request))
-    stage.play(RequestGone(99))
+    stage.play(RequestCancelled(request))
+    stage.play(RequestCancelled(99))
     stage.play(AttemptEnded(99, 0, "10.0.0.1:80", Outcome.DELIVERED, 1, True))
     stage.play(AttemptEnded(request, 7, "10.0.0.1:80", Outcome.DELIVERED, 1, True))
     assert len(stage.log) == before
@@ -85,16 +81,18 @@
     stage = Stage()
     stage.servers(names(3))
     request = stage.request("pay")
-    stage.play(RequestGone(request))
+    stage.play(RequestCancelled(request))
     stage.wait(3 * S)
-    assert [each.request for each in stage.said(Cancel)] == [request]
-    assert stage.said(Fail) == [] and stage.said(Refuse) == []
+    assert [each.request for each in stage.said(CancelAttempt)] == [request]
+    assert stage.said(Fail) == [] and stage.said(Reject) == []
 
 
 # Rule 2: no effect twice
 
 
-@pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.DROPPED, Outcome.EXPIRED, Outcome.CANCELLED])
+@pytest.mark.parametrize(
+    "outcome", [Outcome.ERROR, Outcome.CONNECTION_LOST, Outcome.TIMED_OUT, Outcome.CANCELLED]
+)
 def test_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again(outcome: Outcome) -> None:
     stage = Stage()
     stage.servers(names(5))
@@ -103,10 +101,10 @@
     stage.end(request, outcome)
     assert len(stage.sends(request)) == 1
     assert [each.request for each in stage.said(Fail)] == [request]
-    assert stage.said(Refuse) == []
+    assert stage.said(Reject) == []
 
 
-@pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.DIAL_FAILED, Outcome.UNSENT])
+@pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.UNSENT])
 def test_an_unsafe_request_that_never_ran_goes_to_another_server(outcome: Outcome) -> None:
     stage = Stage()
     stage.servers(names(5))
@@ -117,19 +115,19 @@
     assert len(targets) == 2 and targets[0] != targets[1]
 
 
-def cells() -> list[ListedServer]:
-    return [ListedServer(name, zone="east", cell=index % 2) for index, name in enumerate(names(8))]
+def cells() -> list[ServerDescription]:
+    return [ServerDescription(name, zone="east", cell=index % 2) for index, name in enumerate(names(8))]
 
 
 def test_a_keyed_request_that_may_have_run_stays_in_its_cell() -> None:
     for seed in range(20):
         stage = Stage(seed=seed)
         stage.servers(cells())
-        cell_of = {each.server: each.cell for each in cells()}
+        cell_of = {each.name: each.cell for each in cells()}
         request = stage.request("amend")
         for _ in range(3):
             stage.wait(10 * MS)
-            stage.end(request, Outcome.DROPPED)
+            stage.end(request, Outcome.CONNECTION_LOST)
         targets = [each.server for _, each in stage.sends(request)]
         assert len(targets) > 1
         assert len({cell_of[each] for each in targets}) == 1
@@ -138,18 +136,18 @@
 def test_the_cell_of_a_keyed_request_is_that_of_its_first_server_when_it_was_sent_there() -> None:
     # Guards against a new process of the same name in another cell: what may have run, ran in the former one.
     stage = Stage()
-    stage.servers([ListedServer("a", zone="east", cell=0)])
+    stage.servers([ServerDescription("a", zone="east", cell=0)])
     request = stage.request("amend")
     stage.servers(
         [
-            ListedServer("a", zone="east", cell=1, started_at=stage.now),
-            ListedServer("b", zone="east", cell=1),
-            ListedServer("c", zone="east", cell=0),
+            ServerDescription("a", zone="east", cell=1, started_at=stage.now),
+            ServerDescription("b", zone="east", cell=1),
+            ServerDescription("c", zone="east", cell=0),
         ],
-        ListKind.CHANGES,
+        UpdateKind.DELTA,
     )
     stage.wait(10 * MS)
-    stage.end(request, Outcome.DROPPED)
+    stage.end(request, Outcome.CONNECTION_LOST)
     assert [each.server for _, each in stage.sends(request)] == ["a", "c"]
 
 
@@ -158,9 +156,9 @@
     stage.servers(cells())
     request = stage.request("amend", remaining_us=4 * S)
     stage.wait(100 * MS)
-    stage.end(request, Outcome.DROPPED)
+    stage.end(request, Outcome.CONNECTION_LOST)
     (_, first), (_, second) = stage.sends(request)
-    assert first.write_by >= first.until
+    assert first.write_by >= first.give_up_at
     assert START + 1 * S < second.write_by < START + 2 * S
 
 
@@ -169,13 +167,13 @@
     stage.servers(cells())
     request = stage.request("amend", remaining_us=4 * S)
     stage.wait(2 * S)
-    stage.end(request, Outcome.DROPPED)
+    stage.end(request, Outcome.CONNECTION_LOST)
     assert len(stage.sends(request)) == 1
     assert [each.request for each in stage.said(Fail)] == [request]
 
 
 def test_a_second_copy_waits_for_the_first_where_only_one_may_be_out() -> None:
-    stage = Stage(settings(limits={"second_copies": False}))
+    stage = Stage(settings(limits={"hedging": False}))
     stage.servers(names(6))
     stage.serve(100)
     request = stage.request("look")
@@ -185,7 +183,7 @@
         other = stage.request("look")
         if stage.target(other) != hung:
             stage.end(other)
-    assert [each.request for each in stage.said(Cancel)][:1] == [request]
+    assert [each.request for each in stage.said(CancelAttempt)][:1] == [request]
     assert len(stage.sends(request)) == 1
     stage.end(request, Outcome.CANCELLED, answered=False)
     assert len(stage.sends(request)) == 2
@@ -208,34 +206,34 @@
 def test_a_list_that_brings_a_server_back_makes_it_ready_again() -> None:
     stage = Stage()
     stage.servers(["10.0.0.1:80"])
-    stage.drain("10.0.0.1:80", ServerState.GONE)
+    stage.drain("10.0.0.1:80", ServerState.REMOVED)
     assert stage.sends(stage.request()) == []
-    stage.servers(["10.0.0.1:80"], ListKind.CHANGES)
+    stage.servers(["10.0.0.1:80"], UpdateKind.DELTA)
     assert len(stage.sends(stage.request())) == 1
 
 
 def test_the_list_is_followed_from_the_first_event() -> None:
     stage = Stage()
-    stage.servers(names(2), ListKind.REMEMBERED)
-    assert stage.said(Follow) == [Follow(True)]
+    stage.servers(names(2), UpdateKind.CACHED)
+    assert stage.said(WatchEndpoints) == [WatchEndpoints(True)]
 
 
 def test_nothing_is_asked_where_changes_come_unasked() -> None:
     stage = Stage(settings(discovery="pushed"))
-    stage.servers(names(2), ListKind.REMEMBERED)
+    stage.servers(names(2), UpdateKind.CACHED)
     stage.wait(60 * S)
-    assert stage.said(Follow) == [] and stage.said(FetchList) == []
+    assert stage.said(WatchEndpoints) == []
 
 
 def test_failed_calls_are_repeated_with_growing_waits_and_never_given_up() -> None:
     stage = Stage()
     asked = []
-    stage.servers(names(2), ListKind.REMEMBERED)
+    stage.servers(names(2), UpdateKind.CACHED)
     for _ in range(12):
         asked.append(stage.now)
-        count = len(stage.said(Follow))
-        stage.play(ServersListed(ListKind.FAILED))
-        while len(stage.said(Follow)) == count:
+        count = len(stage.said(WatchEndpoints))
+        stage.play(EndpointsUpdated(UpdateKind.FAILED))
+        while len(stage.said(WatchEndpoints)) == count:
             stage.wait(5 * MS)
     waits = [later - earlier for earlier, later in itertools.pairwise(asked)]
     assert max(waits) < 10 * S / 2
@@ -244,9 +242,9 @@
 
 def test_a_call_that_is_never_answered_is_made_again_in_time() -> None:
     stage = Stage()
-    stage.servers(names(2), ListKind.REMEMBERED)
+    stage.servers(names(2), UpdateKind.CACHED)
     stage.wait(10 * S)
-    times = [at for at, each in stage.log if isinstance(each, Follow)]
+    times = [at for at, each in stage.log if isinstance(each, WatchEndpoints)]
     assert len(times) > 1
     assert all(later - earlier < 10 * S for earlier, later in itertools.pairwise(times))
 
@@ -261,8 +259,8 @@
     stage.serve(300, every_us=10 * MS)
     warm_per_s = 100 / 6
     began = stage.now
-    cold = ListedServer("10.0.0.6:80", zone="east", started_at=began)
-    stage.servers([cold], ListKind.CHANGES)
+    cold = ServerDescription("10.0.0.6:80", zone="east", started_at=began)
+    stage.servers([cold], UpdateKind.DELTA)
     while stage.now < began + 10 * S:
         requests = [stage.request() for _ in range(burst)]
         stage.wait(every_us)
@@ -306,10 +304,10 @@
     stage.servers(names(3))
     request = stage.balancer._requests[stage.request()]
     server = next(each for each in stage.balancer._servers.values() if each is not request.attempts[0].server)
-    for state in (ServerState.DRAINING, ServerState.GONE):
+    for state in (ServerState.DRAINING, ServerState.REMOVED):
         stage.drain(server.name, state)
         assert not stage.balancer._send(request, server)
-    stage.servers([server.name], ListKind.CHANGES)
+    stage.servers([server.name], UpdateKind.DELTA)
     assert stage.balancer._send(request, stage.balancer._servers[server.name])
 
 
@@ -323,7 +321,7 @@
     others = [each for each in names(3) if each != taken.name]
     stage.servers(others)
     assert set(stage.balancer._servers) == set(names(3)) and not stage.balancer.ejected
-    stage.play(AttemptEnded(request, 0, taken.name, Outcome.DROPPED, 1, False))
+    stage.play(AttemptEnded(request, 0, taken.name, Outcome.CONNECTION_LOST, 1, False))
     stage.servers(others)
     assert set(stage.balancer._servers) == set(others) == {s.name for s in stage.balancer._numbered.values()}
     assert stage.balancer._young == 0
@@ -331,7 +329,7 @@
 
 def test_the_gate_lets_no_second_copy_out_where_only_one_is_allowed() -> None:
     for allowed in (False, True):
-        stage = Stage(settings(limits={"second_copies": allowed}))
+        stage = Stage(settings(limits={"hedging": allowed}))
         stage.servers(names(3))
         request = stage.balancer._requests[stage.request()]
         server = next(
@@ -344,11 +342,11 @@
 
 ORDERED = {
     "classes": [
-        {"name": "save", "deadline_us": 2 * S, "repeat": "safe", "by_arrival": True},
-        {"name": "mark", "deadline_us": 2 * S, "repeat": "safe", "by_arrival": True},
-        {"name": "look", "deadline_us": 2 * S, "repeat": "safe"},
+        {"name": "save", "deadline_us": 2 * S, "idempotency": "idempotent", "ordered_by_key": True},
+        {"name": "mark", "deadline_us": 2 * S, "idempotency": "idempotent", "ordered_by_key": True},
+        {"name": "look", "deadline_us": 2 * S, "idempotency": "idempotent"},
     ],
-    "rules": {"turn_gap_us": 100 * MS},
+    "rules": {"ordering_pause_us": 100 * MS},
 }
 
 
@@ -374,11 +372,11 @@
     assert all(len(stage.sends(each)) == 1 for each in free)
 
 
-@pytest.mark.parametrize("outcome", [Outcome.EXPIRED, Outcome.DROPPED, Outcome.CANCELLED])
+@pytest.mark.parametrize("outcome", [Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CANCELLED])
 def test_a_key_rests_after_an_attempt_that_may_still_run(outcome: Outcome) -> None:
     stage = ordered_stage()
     first, second = stage.request("save", key=5), stage.request("mark", key=5)
-    stage.play(RequestGone(first))
+    stage.play(RequestCancelled(first))
     stage.wait(10 * MS)
     assert stage.sends(second) == []  # the first is over for the client, yet its attempt is still out
     stage.end(first, outcome, answered=True)
@@ -396,7 +394,7 @@
     stage = ordered_stage()
     first = stage.request("save", key=5)
     stage.wait(10 * MS)
-    stage.end(first, Outcome.DROPPED)
+    stage.end(first, Outcome.CONNECTION_LOST)
     assert len(stage.sends(first)) == 2
 
 
@@ -405,9 +403,9 @@
     first = stage.request("save", key=5)
     held, left = (stage.request("mark", remaining_us=300 * MS, key=5) for _ in range(2))
     last = stage.request("save", key=5)
-    stage.play(RequestGone(left))
+    stage.play(RequestCancelled(left))
     stage.wait(300 * MS)
-    assert [each.request for each in stage.said(Refuse)] == [held]
+    assert [each.request for each in stage.said(Reject)] == [held]
     stage.end(first)
     assert stage.sends(held) == [] and stage.sends(left) == []
     assert len(stage.sends(last)) == 1
@@ -427,29 +425,29 @@
 
 
 def test_where_full_is_no_proof_an_unsafe_request_fails_after_it_and_is_not_sent_again() -> None:
-    stage = Stage(settings(rules={"late_shedding": True}))
+    stage = Stage(settings(rules={"rejects_after_start": True}))
     stage.servers(names(5))
     request = stage.request("pay")
     stage.wait(10 * MS)
-    stage.end(request, Outcome.FULL)
+    stage.end(request, Outcome.REJECTED)
     assert len(stage.sends(request)) == 1
     assert [each.request for each in stage.said(Fail)] == [request]
-    assert stage.said(Refuse) == []
+    assert stage.said(Reject) == []
 
 
 def test_where_full_is_no_proof_a_keyed_request_stays_in_its_cell_and_time_after_it() -> None:
     for seed in range(20):
-        stage = Stage(settings(rules={"late_shedding": True}), seed=seed)
+        stage = Stage(settings(rules={"rejects_after_start": True}), seed=seed)
         stage.servers(cells())
-        cell_of = {each.server: each.cell for each in cells()}
+        cell_of = {each.name: each.cell for each in cells()}
         request = stage.request("amend", remaining_us=4 * S)
         for _ in range(2):
             stage.wait(10 * MS)
-            stage.end(request, Outcome.FULL)
+            stage.end(request, Outcome.REJECTED)
         targets = [each.server for _, each in stage.sends(request)]
         assert len(targets) == 3 and len({cell_of[each] for each in targets}) == 1
         stage.wait(2 * S)
-        stage.end(request, Outcome.FULL)
+        stage.end(request, Outcome.REJECTED)
         assert len(stage.sends(request)) == 3
         assert [each.request for each in stage.said(Fail)] == [request]
 
@@ -460,7 +458,7 @@
     waiting = stage.balancer._requests[second]
     server = next(iter(stage.balancer._servers.values()))
     assert not stage.balancer._send(waiting, server)
-    stage.play(RequestGone(first))
+    stage.play(RequestCancelled(first))
     assert not stage.balancer._send(waiting, server)
     stage.end(first, Outcome.CANCELLED, answered=True)
     assert not stage.balancer._send(waiting, server)
@@ -470,7 +468,7 @@
 
 def test_broken_connections_alone_do_not_make_a_server_cold_and_failed_dials_do() -> None:
     # Guards against a network that breaks connections by chance: in a while every server would be cold.
-    for outcome, cold in ((Outcome.DROPPED, False), (Outcome.DIAL_FAILED, True)):
+    for outcome, cold in ((Outcome.CONNECTION_LOST, False), (Outcome.CONNECT_FAILED, True)):
         stage = Stage()
         stage.servers(names(1))
         server = stage.balancer._servers[names(1)[0]]
@@ -485,7 +483,7 @@
         stage = Stage(settings(limits=limits))
         for _ in range(20):
             stage.request()  # there is no server
-        told = [each.retry_after_us for each in stage.said(Refuse)]
+        told = [each.retry_after_us for each in stage.said(Reject)]
         assert len(told) == 20 and max(told) <= most
         assert len(set(told)) > 1 if most else not any(told)  # spread out
 
@@ -515,7 +513,7 @@
     stage.servers(names(8))
     stage.serve(200, every_us=20 * MS)
     stage.wait(S)
-    successors = [ListedServer(f"10.0.1.{each}:80", "east", started_at=stage.now) for each in range(8)]
+    successors = [ServerDescription(f"10.0.1.{each}:80", "east", started_at=stage.now) for each in range(8)]
     stage.servers(successors)
     for half, least in ((0, 0.3), (1, 0.65)):  # warmth goes from 0.2 to 1
         before, asked = len(stage.sends()), 250
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,17 +10,18 @@
 from hypothesis import strategies as st
 
 from topazbank import Balancer, Settings
-from topazbank.interface import Discovery, Repeat, RequestArrived
+from topazbank.balancing.events import RequestArrived
+from topazbank.balancing.settings import DiscoveryMode, Idempotency
 
 LEAST = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
 
 
 def test_absent_keys_get_the_cautious_default() -> None:
     given = Settings.from_mapping(LEAST)
-    assert given.classes[0].repeat is Repeat.UNSAFE
-    assert given.classes[0].aim_us == 1_000_000
-    assert given.discovery is Discovery.ON_REQUEST
-    assert not given.limits.second_copies and given.limits.max_attempts == 1
+    assert given.classes[0].idempotency is Idempotency.NON_IDEMPOTENT
+    assert given.classes[0].latency_objective_us == 1_000_000
+    assert given.discovery is DiscoveryMode.ON_REQUEST
+    assert not given.limits.hedging and given.limits.max_attempts == 1
     assert given.rules.drain_grace_us == 0
 
 
@@ -38,15 +39,15 @@
         ({"classes": [{"name": "a"}]}, "classes[0].deadline_us"),
         ({"classes": [{"name": "a", "deadline_us": 0}]}, "classes[0].deadline_us"),
         ({"classes": [{"name": "a", "deadline_us": float("nan")}]}, "classes[0].deadline_us"),
-        ({"classes": [{"name": "a", "deadline_us": 9, "repeat": "maybe"}]}, "classes[0].repeat"),
+        ({"classes": [{"name": "a", "deadline_us": 9, "idempotency": "maybe"}]}, "classes[0].idempotency"),
         ({"classes": [*LEAST["classes"], *LEAST["classes"]]}, "classes"),
         ({**LEAST, "limits": {"max_attempts": -1}}, "limits.max_attempts"),
-        ({**LEAST, "limits": {"second_copies": 1}}, "limits.second_copies"),
-        ({**LEAST, "rules": {"cold_from": 2}}, "rules.cold_from"),
-        ({**LEAST, "rules": {"fall_us": "long"}}, "rules.fall_us"),
+        ({**LEAST, "limits": {"hedging": 1}}, "limits.hedging"),
+        ({**LEAST, "rules": {"warmup_start_ratio": 2}}, "rules.warmup_start_ratio"),
+        ({**LEAST, "rules": {"overload_window_us": "long"}}, "rules.overload_window_us"),
         ({**LEAST, "report": {"columns": "util"}}, "report.columns"),
         ({**LEAST, "tenants": [3]}, "tenants[0]"),
-        ({**LEAST, "group_size": 0}, "group_size"),
+        ({**LEAST, "fleet_size": 0}, "fleet_size"),
         ({**LEAST, "prices": []}, "prices"),
     ],
 )
@@ -57,18 +58,41 @@
 
 
 values = (
-    st.none() | st.booleans() | st.integers(-5, 10**9) | st.floats() | st.sampled_from(["safe", "cell", "x"])
+    st.none()
+    | st.booleans()
+    | st.integers(-5, 10**9)
+    | st.floats()
+    | st.sampled_from(["idempotent", "cell", "x"])
 )
 
 
 @how(max_examples=200, deadline=None, derandomize=True)
 @given(
     st.dictionaries(
-        st.sampled_from(["deadline_us", "aim_us", "worth", "repeat", "group", "memory_us", "streaming"]),
+        st.sampled_from(
+            [
+                "deadline_us",
+                "latency_objective_us",
+                "priority_weight",
+                "idempotency",
+                "idempotency_scope",
+                "idempotency_window_us",
+                "streaming",
+            ]
+        ),
         values,
     ),
     st.dictionaries(
-        st.sampled_from(["max_attempts", "second_copies", "may_cancel", "cold_from", "cold_us", "fall_us"]),
+        st.sampled_from(
+            [
+                "max_attempts",
+                "hedging",
+                "cancellation",
+                "warmup_start_ratio",
+                "warmup_us",
+                "overload_window_us",
+            ]
+        ),
         values,
     ),
 )
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -11,13 +11,13 @@
 import pytest
 from loopback import PATIENCE_S, play, until
 
-from standins.clients import Got, Wish, caller
-from standins.demo.__main__ import EXAMPLE, run
-from standins.lodge import Lodge, LodgeServer, Memory, RunLog
-from standins.registry import Registry
-from standins.wire import HTTP, MSGPACK_RPC, Asked, read_http
-from standins.zookeeper import Ensemble
-from standins.zookeeper.__main__ import Control
+from testbed.backend import Lodge, LodgeServer, Memory, RunLog
+from testbed.clients import Got, Wish, caller
+from testbed.demo.__main__ import EXAMPLE, run
+from testbed.registry import Registry
+from testbed.wire import HTTP, MSGPACK_RPC, Asked, read_http
+from testbed.zookeeper import Ensemble
+from testbed.zookeeper.__main__ import Control
 from topazbank.config import read_config
 
 PROTOCOLS = (HTTP, MSGPACK_RPC)
@@ -188,7 +188,7 @@
     play(scene())
 
 
-@pytest.mark.parametrize("module", ["standins.lodge", "standins.registry", "standins.zookeeper"])
+@pytest.mark.parametrize("module", ["testbed.backend", "testbed.registry", "testbed.zookeeper"])
 def test_each_runs_alone_and_says_where(module: str, tmp_path: Path) -> None:
     async def scene() -> None:
         entries = tmp_path / "nodes.json"
@@ -210,7 +210,7 @@
 def test_the_example_configuration_is_good() -> None:
     config = read_config({"RELAY_CONFIG": str(EXAMPLE)})
     assert [each.name for each in config.settings.classes] == ["check", "amend", "lodge"]
-    assert config.settings.limits.max_attempts == 3 and not config.settings.limits.second_copies
+    assert config.settings.limits.max_attempts == 3 and not config.settings.limits.hedging
 
 
 @pytest.mark.parametrize("membership", ["registry", "zookeeper"])
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -12,18 +12,18 @@
 
 from benchmarks.fleet_account import Account, lines
 from topazbank import Balancer
-from topazbank.core.trace import FIELDS, MARK, Trace
-from topazbank.interface import (
+from topazbank.balancing.actions import SendAttempt
+from topazbank.balancing.events import (
     AttemptEnded,
+    EndpointsUpdated,
     Event,
-    ListedServer,
-    ListKind,
     Outcome,
     RequestArrived,
-    RequestGone,
-    Send,
-    ServersListed,
+    RequestCancelled,
+    ServerDescription,
+    UpdateKind,
 )
+from topazbank.core.trace import FIELDS, MARK, Trace
 
 
 class Recorded:
@@ -35,13 +35,19 @@
         settings = made_settings()
         self.balancer = Balancer(settings, 3)
         self.trace = Trace(self.balancer, lines_per_second, self.text.append)
-        self.trace.begin(self.now, [(each.name, each.worth, each.aim_us) for each in settings.classes], 40)
-        self.play(ServersListed(ListKind.COMPLETE, [ListedServer(each, "east") for each in names(4)], 1))
-
-    def play(self, event: Event) -> list[Send]:
+        self.trace.begin(
+            self.now,
+            [(each.name, each.priority_weight, each.latency_objective_us) for each in settings.classes],
+            40,
+        )
+        self.play(
+            EndpointsUpdated(UpdateKind.SNAPSHOT, [ServerDescription(each, "east") for each in names(4)], 1)
+        )
+
+    def play(self, event: Event) -> list[SendAttempt]:
         actions = self.balancer.handle(self.now, event)
         self.trace.noted(self.now, event, actions)
-        return [each for each in actions if isinstance(each, Send)]
+        return [each for each in actions if isinstance(each, SendAttempt)]
 
     def call(self, ident: int, took_us: int, outcome: Outcome = Outcome.DELIVERED) -> None:
         (send,) = self.play(RequestArrived(ident, "pay", "acme", None, 2 * S))
@@ -61,9 +67,9 @@
     recorded = Recorded()
     recorded.call(1, 100 * MS)
     recorded.call(2, 900 * MS)  # the aim is 500 ms
-    recorded.call(3, 10 * MS, Outcome.DROPPED)  # may have run, and may not be sent again
+    recorded.call(3, 10 * MS, Outcome.CONNECTION_LOST)  # may have run, and may not be sent again
     recorded.play(RequestArrived(4, "pay", "acme", None, 2 * S))
-    recorded.play(RequestGone(4))
+    recorded.play(RequestCancelled(4))
     account = read(recorded, tmp_path)
     asked, in_time = account.by_kind["pay"]
     assert (asked, in_time) == (40.0, 10.0)
@@ -120,9 +126,9 @@
 
 @pytest.mark.parametrize("most", [-1, 1_000_000, True, "all"])
 def test_a_bad_bound_is_named(most: object) -> None:
-    from topazbank.operator import operator_from
+    from topazbank.operator_config import operator_config_from
 
     with pytest.raises(
         ValueError, match=r"trace.lines_per_second: a whole number from 0 to 100000 is wanted"
     ):
-        operator_from({"trace": {"lines_per_second": most}})
+        operator_config_from({"trace": {"lines_per_second": most}})
--- a/tests/test_unreached.py
+++ b/tests/test_unreached.py
@@ -4,18 +4,25 @@
 
 from helpers import MS, S, Stage, names, settings
 
-from topazbank.interface import Log, Outcome, Probe, ProbeEnded
+from topazbank.balancing.actions import CheckHealth, LogMessage
+from topazbank.balancing.events import HealthCheckEnded, Outcome
 
 KEYED = {
     "name": "reserve",
     "deadline_us": 3 * S,
-    "aim_us": 600 * MS,
-    "worth": 8,
-    "repeat": "keyed",
-    "group": "cell",
-    "memory_us": 6 * S,
+    "latency_objective_us": 600 * MS,
+    "priority_weight": 8,
+    "idempotency": "keyed",
+    "idempotency_scope": "cell",
+    "idempotency_window_us": 6 * S,
+}
+UNSAFE = {
+    "name": "invoice",
+    "deadline_us": 3 * S,
+    "latency_objective_us": 1200 * MS,
+    "priority_weight": 5,
+    "idempotency": "non_idempotent",
 }
-UNSAFE = {"name": "invoice", "deadline_us": 3 * S, "aim_us": 1200 * MS, "worth": 5, "repeat": "unsafe"}
 
 
 def lose(stage: Stage, lost: set[str], rounds: int) -> dict[str, int]:
@@ -30,14 +37,16 @@
             stage.wait(50 * MS)
             if target in lost:
                 dials[target] = dials.get(target, 0) + 1
-                stage.end(request, Outcome.DIAL_FAILED, answered=False)
+                stage.end(request, Outcome.CONNECT_FAILED, answered=False)
             else:
                 stage.end(request)
     return dials
 
 
 def ejected(stage: Stage) -> list[str]:
-    return [each.text.split()[1].rstrip(":") for each in stage.said(Log) if each.text.startswith("ejected")]
+    return [
+        each.text.split()[1].rstrip(":") for each in stage.said(LogMessage) if each.text.startswith("ejected")
+    ]
 
 
 def test_of_a_zone_that_is_lost_one_dial_a_server_is_enough_once_it_is_noticed() -> None:
@@ -65,8 +74,8 @@
     stage.wait(40 * MS)
     request = stage.request("pay")
     stage.wait(250 * MS)
-    stage.end(request, Outcome.DIAL_FAILED, answered=False)
-    assert not stage.said(Log)
+    stage.end(request, Outcome.CONNECT_FAILED, answered=False)
+    assert not stage.said(LogMessage)
 
 
 def test_a_full_server_that_answers_others_is_not_ejected_for_a_refused_connection() -> None:
@@ -76,7 +85,7 @@
     stage.serve(120, name="pay")
     lose(stage, {names(1)[0]}, 60)
     stage.wait(2 * S)
-    before = len(stage.said(Log))
+    before = len(stage.said(LogMessage))
     lose(stage, {names(1)[0]}, 0)
     stage.balancer._cut_off_at = stage.now
     first, second = stage.request("pay"), stage.request("pay")
@@ -85,12 +94,14 @@
         second = stage.request("pay")
     stage.wait(5 * MS)
     stage.end(first)
-    stage.end(second, Outcome.DIAL_FAILED, answered=False)
-    assert len(stage.said(Log)) == before
+    stage.end(second, Outcome.CONNECT_FAILED, answered=False)
+    assert len(stage.said(LogMessage)) == before
 
 
 def test_where_no_request_may_try_a_lost_server_a_probe_does() -> None:
-    stage = Stage(settings(classes=[KEYED, UNSAFE], limits={"may_probe": True}, prices={"probe": 0.08}))
+    stage = Stage(
+        settings(classes=[KEYED, UNSAFE], limits={"health_checks": True}, prices={"health_check": 0.08})
+    )
     stage.servers(names(8))
     stage.serve(100, name="invoice")
     server = stage.balancer._ready[0]
@@ -105,20 +116,20 @@
         assert stage.target(request) != lost or server.ejected_until is None
         stage.wait(40 * MS)
         stage.end(request)
-        if stage.said(Probe):
+        if stage.said(CheckHealth):
             break
-    (probe,) = stage.said(Probe)
+    (probe,) = stage.said(CheckHealth)
     assert probe.server == lost
-    stage.play(ProbeEnded(lost, Outcome.DIAL_FAILED, 250 * MS))
+    stage.play(HealthCheckEnded(lost, Outcome.CONNECT_FAILED, 250 * MS))
     assert server.ejected_until > stage.now  # longer out, and tried again later
     for _ in range(400):
         stage.wait(50 * MS)
         request = stage.request("invoice")
         stage.wait(40 * MS)
         stage.end(request)
-        if len(stage.said(Probe)) > 1:
+        if len(stage.said(CheckHealth)) > 1:
             break
-    stage.play(ProbeEnded(lost, Outcome.DELIVERED, MS, {}))
+    stage.play(HealthCheckEnded(lost, Outcome.DELIVERED, MS, {}))
     assert server.ejected_until is None
     assert stage.balancer._is_cold(server)  # it may be another process by now
 
--- a/topazbank/__init__.py
+++ b/topazbank/__init__.py
@@ -1,7 +1,7 @@
 """Topazbank: the decisions of a sidecar balancer, by best-of-k with redraw."""
 
-from topazbank.balancer import Balancer
-from topazbank.interface import Settings
+from topazbank.balancing.balancer import Balancer
+from topazbank.balancing.settings import Settings
 
 __all__ = ["Balancer", "Settings"]
 __version__ = "0.1.0"
--- a/topazbank/__main__.py
+++ b/topazbank/__main__.py
@@ -17,9 +17,9 @@
 from types import FrameType
 
 from topazbank.config import BAD_CONFIG, check_tier, read_config
-from topazbank.core.driver import Config, Sidecar, Wiring
-from topazbank.operation.service import Service
-from topazbank.operator import Operator, read_operator
+from topazbank.core.driver import Components, Sidecar, SidecarConfig
+from topazbank.operations.service import Service
+from topazbank.operator_config import OperatorConfig, read_operator_config
 from topazbank.wiring import wire
 
 log = logging.getLogger(__name__)
@@ -64,7 +64,11 @@
 
 
 async def serve(
-    config: Config, operator: Operator, operator_file: str | None, wiring: Wiring, early: Early
+    config: SidecarConfig,
+    operator: OperatorConfig,
+    operator_file: str | None,
+    wiring: Components,
+    early: Early,
 ) -> None:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -81,7 +85,7 @@
 class Running:
     """The sidecar and the operator's settings that it runs by."""
 
-    def __init__(self, sidecar: Sidecar, operator: Operator, operator_file: str | None) -> None:
+    def __init__(self, sidecar: Sidecar, operator: OperatorConfig, operator_file: str | None) -> None:
         self.sidecar = sidecar
         self._operator = operator
         self._operator_file = operator_file
@@ -103,7 +107,7 @@
         A bad file changes nothing.
         """
         try:
-            operator = read_operator(self._operator_file)
+            operator = read_operator_config(self._operator_file)
             config = read_config(os.environ)
         except BAD_CONFIG as bad:
             log.error("the configuration stays as it was: %s", str(bad).replace("\n", " "))
@@ -127,7 +131,7 @@
     early = Early()
     signal.signal(signal.SIGHUP, early.note)
     try:
-        operator = read_operator(given.operator)
+        operator = read_operator_config(given.operator)
         config = read_config(os.environ)
         wiring = wire(operator)
         check_tier(config, operator)
--- a/topazbank/balancer.py
+++ b/topazbank/balancing/balancer.py
@@ -18,51 +18,51 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from topazbank.interface import (
-    PROBES,
-    RETRIES,
-    TENANT,
+from topazbank.balancing.actions import (
     Action,
-    AnswerStarted,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    Fail,
+    LogMessage,
+    Reject,
+    SendAttempt,
+    SendGossip,
+    SetTimer,
+    WatchEndpoints,
+)
+from topazbank.balancing.events import (
     AttemptEnded,
-    Cancel,
-    CloseIdle,
-    Discovery,
+    EndpointsUpdated,
     Event,
-    Fail,
-    Follow,
-    Group,
-    Guide,
-    ListedServer,
-    ListKind,
-    Log,
-    MessageReceived,
+    GossipReceived,
+    HealthCheckEnded,
     Outcome,
-    Probe,
-    ProbeEnded,
-    Refuse,
-    Repeat,
-    ReportSource,
     RequestArrived,
-    RequestGone,
-    Send,
-    ServersListed,
+    RequestCancelled,
+    ResponseStarted,
+    ServerDescription,
     ServerState,
-    ServiceClass,
-    SetTimer,
-    Settings,
-    Spending,
-    Tell,
     TimerFired,
+    UpdateKind,
+)
+from topazbank.balancing.fleet import HEALTH_CHECKS, RETRIES, TENANT_REQUESTS, FleetQuota, RoutingPlan
+from topazbank.balancing.settings import (
+    DiscoveryMode,
+    Idempotency,
+    IdempotencyScope,
+    ReportSource,
+    RequestClass,
+    Settings,
 )
-from topazbank.sight import poll_schedule
-from topazbank.sight.fading import Fit, Rate
-from topazbank.sight.hearsay import Hearsay, tag_of
-from topazbank.sight.others import Others
-from topazbank.sight.soundings import Soundings, can_tell
-from topazbank.sight.stall import Stall
-from topazbank.sight.strain import Borne, Strain, Verdict
-from topazbank.sight.traffic import Traffic
+from topazbank.estimation import poll_schedule
+from topazbank.estimation.decaying_sum import Fit, Rate
+from topazbank.estimation.fleet_size import FleetSize
+from topazbank.estimation.load_estimator import Borne, Strain, Verdict
+from topazbank.estimation.load_gossip import Hearsay, tag_of
+from topazbank.estimation.stall_detector import Stall
+from topazbank.estimation.startup_probes import Soundings, can_tell
+from topazbank.estimation.traffic_mix import Traffic
 
 # -- Constants: ratios of what the settings give or of what was observed ------------------------------
 
@@ -154,7 +154,7 @@
     cell: int = 0
     nominal: float = 1.0
     pace: float = 1.0  # how long it takes, relative to the usual
-    state: ServerState = ServerState.GONE
+    state: ServerState = ServerState.REMOVED
     started_at: int | None = None
     cold_since: int | None = None
     allowance: float = 0.0  # of a cold server: what may be sent to it now, in requests of mean cost
@@ -201,7 +201,7 @@
     """A request taken; it is kept until it is answered and its last attempt has ended."""
 
     ident: int
-    kind: ServiceClass
+    kind: RequestClass
     answer_by: int
     cost: float  # relative to the mean of its class
     flow: Flow
@@ -243,18 +243,18 @@
 class Balancer:
     """The decisions of one instance.  Feed it events in order; carry out the actions it returns in order."""
 
-    def __init__(self, settings: Settings, seed: int, guide: Guide | None = None) -> None:
+    def __init__(self, settings: Settings, seed: int, guide: RoutingPlan | None = None) -> None:
         """`guide`: whose word on what all balancers do is followed for as far as it goes."""
         self._settings = settings
-        self.others = Others(settings.group_size)  # what is seen of the tier goes in here
+        self.others = FleetSize(settings.fleet_size)  # what is seen of the tier goes in here
         self._guide = guide
-        self.spending: Spending | None = None  # what the whole fleet has left: it can only tighten
+        self.spending: FleetQuota | None = None  # what the whole fleet has left: it can only tighten
         self._random = random.Random(seed)
         # Of its own: how often the list is asked for changes no choice of servers.
         self._poll_chance = random.Random(str(seed))
         self._classes = {each.name: each for each in settings.classes}
         self._traffic = Traffic(settings)
-        self._longest_aim = max(each.aim_us for each in settings.classes)
+        self._longest_aim = max(each.latency_objective_us for each in settings.classes)
         self._now = 0
         self._actions: list[Action] = []
         self._servers: dict[str, Server] = {}  # those listed, and those gone of which something is out
@@ -272,20 +272,20 @@
         self._probe_time = math.inf  # the usual time of a probe; at first it is not known
         self._probes = self._probes_a_request()
         # Trials are with requests that may be repeated; else with keyed ones, and with probes where a dial would fail.
-        self._tries_safely = any(each.repeat is Repeat.SAFE for each in settings.classes)
+        self._tries_safely = any(each.idempotency is Idempotency.IDEMPOTENT for each in settings.classes)
         sounds = self._probes <= 1 and can_tell(settings)
         self._soundings = Soundings(settings, self.others) if sounds else None
         self._crossing = CROSS_GAIN * settings.prices.cross_zone
         self._connecting = CROSS_GAIN * settings.prices.handshake
         self._near_first = self._probes > 1 and self._crossing >= CROSS_LEAST
-        self._in_order = any(each.by_arrival for each in settings.classes)
-        full_proves = () if settings.rules.late_shedding else (Outcome.FULL,)
-        self._proves_unrun = (Outcome.DIAL_FAILED, Outcome.UNSENT, *full_proves)
+        self._in_order = any(each.ordered_by_key for each in settings.classes)
+        full_proves = () if settings.rules.rejects_after_start else (Outcome.REJECTED,)
+        self._proves_unrun = (Outcome.CONNECT_FAILED, Outcome.UNSENT, *full_proves)
         # Of each entry: due, order, request (or key, or _ASK), attempt (or _WHOLE, or _TURN).
         self._agenda: list[tuple[int, int, int, int]] = []
         self._agenda_order = 0
         self._timer_due: int | None = None
-        self._stall = Stall(min(each.aim_us for each in settings.classes), settings.tick_us)
+        self._stall = Stall(min(each.latency_objective_us for each in settings.classes), settings.tick_us)
         self._begun = False
         self._failed_calls = 0  # calls for the list, since the last answer
         self._calls_begun = 0  # likewise
@@ -303,13 +303,13 @@
         self._extra = EXTRA_PER_REQUEST * EXTRA_SAVED / 2
         self._longest_try: dict[str, int] = {}  # the most time left that a request of a class came with
         self._mean_cost: dict[str, float] = {}
-        self._arrivals = Rate(RATE_SPANS * settings.rules.fall_us)
-        self._served_warm = Rate(RATE_SPANS * settings.rules.fall_us)
+        self._arrivals = Rate(RATE_SPANS * settings.rules.overload_window_us)
+        self._served_warm = Rate(RATE_SPANS * settings.rules.overload_window_us)
         self._norms: dict[tuple[str, int], float] = {}  # usual time of a class and size, over all servers
-        self._strain = Strain(self._longest_aim, settings.late_worth())
+        self._strain = Strain(self._longest_aim, settings.mean_late_value_ratio())
         self._borne = Borne(self._longest_aim)
-        messages = settings.limits.may_message and settings.group_size > 1
-        self._hearsay = Hearsay(settings.prices.message, self.others) if messages else None
+        messages = settings.limits.gossip and settings.fleet_size > 1
+        self._hearsay = Hearsay(settings.prices.gossip, self.others) if messages else None
         self._heard_at = 0  # when what others told was last gone through
         self._window = math.inf  # how many own requests in flight the fleet bears in time
         self._served_aims = Rate(self._longest_aim)  # time allowed to what was answered, per time
@@ -323,11 +323,11 @@
             AttemptEnded: self._attempt_ended,
             RequestArrived: self._request_arrived,
             TimerFired: self._timer_fired,
-            ServersListed: self._servers_listed,
-            RequestGone: self._request_gone,
-            AnswerStarted: self._answer_started,
-            ProbeEnded: self._probe_ended,
-            MessageReceived: self._message_received,
+            EndpointsUpdated: self._servers_listed,
+            RequestCancelled: self._request_gone,
+            ResponseStarted: self._answer_started,
+            HealthCheckEnded: self._probe_ended,
+            GossipReceived: self._message_received,
         }
 
     def handle(self, now: int, event: Event) -> list[Action]:
@@ -340,7 +340,7 @@
             self._size_window()
         if not self._begun:
             self._begun = True
-            spread = poll_schedule.first_call_spread(self.others.most, self._settings.rules.ask_within_us)
+            spread = poll_schedule.first_call_spread(self.others.most, self._settings.rules.poll_within_us)
             self._ask_in(spread * self._poll_chance.random()) if spread > 0.0 else self._ask()
         self._take[type(event)](event)
         self._take_turns()
@@ -358,8 +358,8 @@
 
     def _ask(self) -> None:
         """Follow the list where it must be asked for, and again after a gap unless an answer comes first."""
-        if self._settings.discovery is Discovery.ON_REQUEST:
-            self._actions.append(Follow(True))
+        if self._settings.discovery is DiscoveryMode.ON_REQUEST:
+            self._actions.append(WatchEndpoints(True))
             self._ask_after_gap()
 
     def _ask_in(self, wait: float) -> None:
@@ -369,7 +369,7 @@
 
     def _ask_after_gap(self) -> None:
         """Ask again after a gap that grows with each call since the last answer, however those calls end."""
-        allowed_us = self._settings.rules.ask_within_us
+        allowed_us = self._settings.rules.poll_within_us
         gap = poll_schedule.retry_gap(
             self._calls_begun, self.others.most, allowed_us, self._poll_chance.random()
         )
@@ -379,54 +379,56 @@
     def _list_call_failed(self) -> None:
         """Plan the next call, unless it is planned already: a call's failure puts off none."""
         self._failed_calls = min(self._failed_calls + 1, CALLS_COUNTED_MOST)
-        if self._settings.discovery is not Discovery.ON_REQUEST:
+        if self._settings.discovery is not DiscoveryMode.ON_REQUEST:
             return
         if self._ask_due is None:
             self._ask_after_gap()
         wait_s = max((self._ask_due or 0) - self._now, 0) / 1e6
         self._actions.append(
-            Log(f"list asked for again in {wait_s:.2f} s: {self._failed_calls} calls failed")
+            LogMessage(f"list asked for again in {wait_s:.2f} s: {self._failed_calls} calls failed")
         )
 
-    def _servers_listed(self, event: ServersListed) -> None:
-        if event.kind is ListKind.FAILED:
+    def _servers_listed(self, event: EndpointsUpdated) -> None:
+        if event.kind is UpdateKind.FAILED:
             self._list_call_failed()
             return
-        if event.kind is not ListKind.REMEMBERED:
+        if event.kind is not UpdateKind.CACHED:
             self._failed_calls = self._calls_begun = 0
             self._ask_due = None
         touched = self._gone + [self._server_listed(line) for line in event.servers]
-        if event.kind is not ListKind.CHANGES:
-            missing = self._servers.keys() - {line.server for line in event.servers}
-            touched += [self._server_listed(ListedServer(name, state=ServerState.GONE)) for name in missing]
+        if event.kind is not UpdateKind.DELTA:
+            missing = self._servers.keys() - {line.name for line in event.servers}
+            touched += [
+                self._server_listed(ServerDescription(name, state=ServerState.REMOVED)) for name in missing
+            ]
         if self._soundings is not None and self._ready:
             for server in self._ready[: self._soundings.begin(self._now, len(self._ready))]:
                 self._probe(server)
         mean_size = self._ready_size / max(len(self._ready), 1)
         self._gone = []
         for server in dict.fromkeys(touched):
-            if server.state is ServerState.GONE:
+            if server.state is ServerState.REMOVED:
                 self._forget_gone(server)
             elif server.state is ServerState.READY and server.pace <= 0.0:
                 # Until answers tell, a server is as quick as its nominal size.
                 server.pace = mean_size / server.nominal if server.nominal > 0.0 else 1.0
 
-    def _server_listed(self, line: ListedServer) -> Server:
+    def _server_listed(self, line: ServerDescription) -> Server:
         """Note a line of the list, at a cost that hardly grows with the list."""
-        server = self._servers.get(line.server)
+        server = self._servers.get(line.name)
         if server is None:
             self._heard_of += 1
-            server = Server(line.server, self._heard_of, self._random.random(), tag_of(line.server))
-            self._servers[line.server] = self._numbered[server.number] = server
+            server = Server(line.name, self._heard_of, self._random.random(), tag_of(line.name))
+            self._servers[line.name] = self._numbered[server.number] = server
         if server.state is ServerState.READY:
             self._stand(server, False)
         before, server.state = server.state, line.state
-        if line.state is ServerState.GONE:
+        if line.state is ServerState.REMOVED:
             return server  # its place is kept: what is out there still counts by it
         server.zone, server.cell = line.zone, line.cell
-        if before is ServerState.GONE or line.nominal != server.nominal:
+        if before is ServerState.REMOVED or line.nominal_capacity != server.nominal:
             server.pace = 0.0  # to be set by its nominal size
-        server.nominal = max(line.nominal, 0.0)
+        server.nominal = max(line.nominal_capacity, 0.0)
         if line.state is ServerState.READY:
             self._stand(server, True)
         if line.started_at is not None and line.started_at != server.started_at:
@@ -457,11 +459,11 @@
     # -- Requests -------------------------------------------------------------------------------------
 
     def _request_arrived(self, event: RequestArrived) -> None:
-        kind = self._classes.get(event.service_class)
+        kind = self._classes.get(event.request_class)
         if kind is None:
             # A class that the settings do not name: the least is assumed of it.
             allowed = max(event.remaining_us, 1)
-            kind = ServiceClass(event.service_class, allowed, allowed, by_arrival=self._in_order)
+            kind = RequestClass(event.request_class, allowed, allowed, ordered_by_key=self._in_order)
         self._arrivals.add(self._now, 1.0)
         if self._hearsay is not None and not event.client_retry:
             self._hearsay.arrived()
@@ -474,23 +476,27 @@
         self._schedule(answer_by, event.request, _WHOLE)
         if self._overloaded_for(request, event.tenant) or self._is_stale(kind, event.remaining_us):
             self._finish(request)
-        elif event.tenant is not None and not self._may_spend(TENANT, event.tenant):
+        elif event.tenant is not None and not self._may_spend(TENANT_REQUESTS, event.tenant):
             self._finish(request)
-        elif kind.by_arrival and event.key is not None:
+        elif kind.ordered_by_key and event.key is not None:
             self._line_up(request, event.key)
         else:
             self._place(request)
 
-    def _is_stale(self, kind: ServiceClass, remaining_us: int) -> bool:
+    def _is_stale(self, kind: RequestClass, remaining_us: int) -> bool:
         """Whether a request waited out its aim in an own stall, and a late answer is worth nothing.
 
         A try starts with the same time at all clients, more or less: what is missing of it was waited.
         """
         longest = max(self._longest_try.get(kind.name, 0), remaining_us)
         self._longest_try[kind.name] = longest
-        return self._stall.back and kind.late_worth <= 0.0 and longest - remaining_us >= kind.aim_us
+        return (
+            self._stall.back
+            and kind.late_value_ratio <= 0.0
+            and longest - remaining_us >= kind.latency_objective_us
+        )
 
-    def _relative_cost(self, kind: ServiceClass, cost_us: int | None) -> float:
+    def _relative_cost(self, kind: RequestClass, cost_us: int | None) -> float:
         if not cost_us or cost_us < 0:
             return 1.0
         mean = self._mean_cost.get(kind.name, float(cost_us))
@@ -505,12 +511,12 @@
         elif (server is None or not self._send(request, server)) and not request.is_out():
             self._finish(request)
 
-    def _request_gone(self, event: RequestGone) -> None:
+    def _request_gone(self, event: RequestCancelled) -> None:
         request = self._requests.get(event.request)
         if request is not None and not request.answered:
             self._close(request)
 
-    def _answer_started(self, event: AnswerStarted) -> None:
+    def _answer_started(self, event: ResponseStarted) -> None:
         request = self._requests.get(event.request)
         if request is not None and event.attempt < len(request.attempts):
             attempt = request.attempts[event.attempt]
@@ -707,8 +713,8 @@
         fresh = FRESH_COST if self._connecting > 0.0 and not server.idle else 1.0
         return self._busy(server), (others + 1) * max(server.pace, 1.0 / PACE_CLIP) * fresh
 
-    def _message_received(self, event: MessageReceived) -> None:
-        if self._hearsay is not None and event.sender != self._settings.me:
+    def _message_received(self, event: GossipReceived) -> None:
+        if self._hearsay is not None and event.sender != self._settings.instance:
             self._hearsay.hear(self._now, event.sender, event.payload)
 
     def _tell_others(self) -> None:
@@ -719,14 +725,14 @@
             self._heard_at = self._now
             self._hearsay.forget_old(self._now)
         if told := self._hearsay.tell(self._now, [(s.tag, self._busy(s)) for s in self._servers.values()]):
-            self._actions.append(Tell(None, told))
+            self._actions.append(SendGossip(None, told))
 
-    def _guided(self, request: Request, guide: Guide) -> Server | None:
+    def _guided(self, request: Request, guide: RoutingPlan) -> Server | None:
         """Best of the few that the guide draws; none where it draws none, or none of them can be sent to."""
-        drawn = [self._servers.get(name) for name in guide.drawn(self._now, self._random.random)]
+        drawn = [self._servers.get(name) for name in guide.sample(self._now, self._random.random)]
         able = [s for s in drawn if s and s.state is ServerState.READY and s.pace < GUIDED_PACE]
         fit = [s for s in able if self._eligible(s, request)]
-        return min((s for s in fit if self._busy(s) < guide.room(s.name)), key=self._busy, default=None)
+        return min((s for s in fit if self._busy(s) < guide.capacity(s.name)), key=self._busy, default=None)
 
     def _within_reach(self, servers: list[Server], request: Request) -> list[Server]:
         """The first eligible servers in this balancer's own order, as many as its traffic can know.
@@ -812,10 +818,10 @@
 
     def _probes_a_request(self) -> int:
         settings = self._settings
-        probed = settings.report_source is ReportSource.PROBES and settings.limits.may_probe
+        probed = settings.report_source is ReportSource.HEALTH_CHECKS and settings.limits.health_checks
         if not probed or "inflight" not in settings.report_columns:
             return 0
-        return int(min(PROBE_SPEND / max(settings.prices.probe, 1e-9), DRAWN))
+        return int(min(PROBE_SPEND / max(settings.prices.health_check, 1e-9), DRAWN))
 
     def _ask_tied(self, request: Request, tied: list[Server]) -> None:
         """Ask tied candidates how many requests they hold, and hold the request till they say.
@@ -823,7 +829,7 @@
         With many balancers of few requests nearly all counters are zero, and the tie-break is the whole
         choice.  A server that does not answer in the time that others do is passed over.
         """
-        wait = min(PROBE_AIMS * request.kind.aim_us, PROBE_WAIT * self._probe_time)
+        wait = min(PROBE_AIMS * request.kind.latency_objective_us, PROBE_WAIT * self._probe_time)
         request.asked = tied
         request.asked_until = self._now + int(wait)
         self._asking[request.ident] = request
@@ -832,12 +838,12 @@
                 self._probe(server)
         self._schedule(request.asked_until, request.ident, _ASKED)
 
-    def _probe_ended(self, event: ProbeEnded) -> None:
+    def _probe_ended(self, event: HealthCheckEnded) -> None:
         server = self._servers.get(event.server)
         if server is None:
             return
         server.probed_at = server.reported = None
-        if server.ejected_until is not None and event.outcome in (Outcome.DELIVERED, Outcome.DIAL_FAILED):
+        if server.ejected_until is not None and event.outcome in (Outcome.DELIVERED, Outcome.CONNECT_FAILED):
             self._readmit(server) if event.outcome is Outcome.DELIVERED else self._eject(server, "unreached")
         if self._soundings is not None:
             self._sounded(self._soundings, event.report)
@@ -897,7 +903,7 @@
 
     def _probed_rank(self, server: Server) -> tuple[int, float, float]:
         away = self._crossing if server.zone != self._settings.zone else 0.0
-        if not server.idle or self._now - server.idle_since >= self._settings.limits.idle_close_us:
+        if not server.idle or self._now - server.idle_since >= self._settings.limits.idle_timeout_us:
             away += self._connecting
         held = ((server.reported or 0.0) + 1.0) * server.pace / self._warmth(server)  # cold ones look idle
         return self._busy(server), (self._by_held.at(held) or 0.0) + away, held
@@ -911,7 +917,7 @@
         only so many, and a fuller table takes of their capacity.
         """
         prices, limits = self._settings.prices, self._settings.limits
-        if self._now - server.idle_since >= limits.idle_close_us:
+        if self._now - server.idle_since >= limits.idle_timeout_us:
             server.idle = 0
         server.idle += 1
         server.idle_since = self._now
@@ -919,7 +925,7 @@
             return
         # A connection costs its price a hundredth part a request that a server gets meanwhile.
         worth_holding = 100.0 * prices.handshake / prices.connection / max(self._server_rate(), 1e-9)
-        if worth_holding < limits.idle_close_us:
+        if worth_holding < limits.idle_timeout_us:
             server.close_due = self._now + int(worth_holding) + 1
             self._schedule(server.close_due, server.number, _IDLE)
 
@@ -939,7 +945,7 @@
             return False
         if not self._has_turn(request):
             return False  # order
-        if not limits.second_copies and request.is_out():
+        if not limits.hedging and request.is_out():
             return False  # rule 2
         write_by = self._repeat_by(request)
         if self._now >= write_by or not self._in_group(request, server):
@@ -952,7 +958,7 @@
             return False  # the fleet's budget
         if self._is_cold(server):
             server.allowance -= request.cost
-        verdict = self._strain.sent(self._now, request.kind.aim_us, self._chance())
+        verdict = self._strain.sent(self._now, request.kind.latency_objective_us, self._chance())
         number, home = len(request.attempts), (server.zone, server.cell)
         attempt = Attempt(number, server, home, self._now, self._stall.absent_us, self._answers, verdict)
         request.attempts.append(attempt)
@@ -965,11 +971,11 @@
         else:
             server.trial = attempt
         self._schedule(self._now + self._patience(request, server), request.ident, attempt.index)
-        self._actions.append(Send(request.ident, server.name, request.answer_by, write_by))
+        self._actions.append(SendAttempt(request.ident, server.name, request.answer_by, write_by))
         return True
 
     def _may_spend(self, what: str, tenant: str | None = None) -> bool:
-        return self.spending is None or self.spending.may(what, tenant, self._now)
+        return self.spending is None or self.spending.acquire(what, tenant, self._now)
 
     def _may_run_again(self, request: Request) -> bool:
         """Whether the request's class lets another attempt out now."""
@@ -978,21 +984,28 @@
     def _repeat_by(self, request: Request) -> int:
         """By when another attempt has to be written whole, by the request's class."""
         first_maybe = next((each for each in request.attempts if each.may_have_run), None)
-        if first_maybe is None or request.kind.repeat is Repeat.SAFE:
+        if first_maybe is None or request.kind.idempotency is Idempotency.IDEMPOTENT:
             return max(request.answer_by, self._now + 1)
-        if request.kind.repeat is Repeat.UNSAFE:
+        if request.kind.idempotency is Idempotency.NON_IDEMPOTENT:
             return 0
         # Keyed: servers forget; one tick less, since the clock is read once a tick.
-        return first_maybe.sent_at + request.kind.memory_us - self._settings.tick_us
+        return first_maybe.sent_at + request.kind.idempotency_window_us - self._settings.tick_us
 
     @staticmethod
     def _in_group(request: Request, server: Server) -> bool:
         """Whether a keyed request that may have run would have its repeat dropped at this server."""
-        if request.kind.repeat is not Repeat.KEYED or request.kind.group is Group.ALL:
+        if (
+            request.kind.idempotency is not Idempotency.KEYED
+            or request.kind.idempotency_scope is IdempotencyScope.ALL
+        ):
             return True
         here = (server.zone, server.cell)
         zone, cell = next((each.home for each in request.attempts if each.may_have_run), here)
-        return zone == server.zone if request.kind.group is Group.ZONE else cell == server.cell
+        return (
+            zone == server.zone
+            if request.kind.idempotency_scope is IdempotencyScope.ZONE
+            else cell == server.cell
+        )
 
     # -- The final answer gate ------------------------------------------------------------------------
 
@@ -1001,11 +1014,15 @@
         if request.answered:
             return
         kind = request.kind
-        harmless = kind.repeat is Repeat.SAFE or (kind.repeat is Repeat.KEYED and kind.group is Group.ALL)
+        harmless = kind.idempotency is Idempotency.IDEMPOTENT or (
+            kind.idempotency is Idempotency.KEYED and kind.idempotency_scope is IdempotencyScope.ALL
+        )
         harmless = harmless or not any(each.may_have_run for each in request.attempts)
         limits = self._settings.limits  # spread out, or those refused at once would be back at once
-        back = min(BACK_AIMS * kind.aim_us * (0.5 + self._random.random()), limits.max_retry_after_us)
-        refusal = Refuse(request.ident, int(back) if limits.retry_after else 0)
+        back = min(
+            BACK_AIMS * kind.latency_objective_us * (0.5 + self._random.random()), limits.max_retry_after_us
+        )
+        refusal = Reject(request.ident, int(back) if limits.retry_after else 0)
         self._actions.append(refusal if harmless else Fail(request.ident))
         self._close(request)
 
@@ -1013,8 +1030,8 @@
         """Nothing is owed any more; attempts still out are called off where that is permitted."""
         request.answered = True
         for attempt in request.attempts:
-            if attempt.pending and not attempt.started and self._settings.limits.may_cancel:
-                self._actions.append(Cancel(request.ident, attempt.index))
+            if attempt.pending and not attempt.started and self._settings.limits.cancellation:
+                self._actions.append(CancelAttempt(request.ident, attempt.index))
         self._forget_if_over(request)
 
     def _forget_if_over(self, request: Request) -> None:
@@ -1035,11 +1052,11 @@
         attempt.pending = False
         if event.outcome is Outcome.DELIVERED:
             self._strain.answered(self._now, attempt.verdict)
-        elif event.outcome is not Outcome.EXPIRED:
+        elif event.outcome is not Outcome.TIMED_OUT:
             attempt.verdict.open = False
         attempt.may_have_run = event.outcome not in self._proves_unrun
         if request.queue is not None and event.outcome in _MAY_RUN_ON:
-            request.queue.rests_until = self._now + self._settings.rules.turn_gap_us
+            request.queue.rests_until = self._now + self._settings.rules.ordering_pause_us
         attempt.server.in_flight -= 1
         self._pending -= 1
         self._age(attempt)
@@ -1048,7 +1065,7 @@
         self._judge(request, attempt, event.outcome)
         if event.report and event.report.get("util", UTIL_MOST) < UTIL_MOST:
             self._strain.reported(min(max(event.report["util"], 0.0), 1.0))
-        if event.outcome in (Outcome.EXPIRED, Outcome.CANCELLED):
+        if event.outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED):
             if not (attempt.felt or request.answered or event.answered):
                 self._too_late.add(self._now, 1.0)
             until = self._now + int(GHOST_LIFE * event.elapsed_us)
@@ -1059,26 +1076,30 @@
             # A quick error must not look like a quick server: it counts as the slowest answer there is.
             self._pace(attempt.server, request, int(PACE_CLIP * self._usual(request)))
         if event.outcome is Outcome.DELIVERED:
-            self._served_aims.add(self._now, request.kind.aim_us)
-            if event.elapsed_us <= request.kind.aim_us:
-                self._borne.served(self._now, request.kind.aim_us)
+            self._served_aims.add(self._now, request.kind.latency_objective_us)
+            if event.elapsed_us <= request.kind.latency_objective_us:
+                self._borne.served(self._now, request.kind.latency_objective_us)
         if event.outcome is Outcome.DELIVERED and not self._stall.behind:
             if attempt.held is not None:
                 expected = self._by_held.at(attempt.held)
                 most = LOST_SPENT if expected is None else max(FIT_CLIP * expected, FIT_FLOOR)
-                self._by_held.add(attempt.held, min(event.elapsed_us / request.kind.aim_us, most))
+                self._by_held.add(
+                    attempt.held, min(event.elapsed_us / request.kind.latency_objective_us, most)
+                )
             self._time(attempt.server, request, event.elapsed_us)
             if not attempt.felt:
-                self._feel(event.elapsed_us / request.kind.aim_us)
+                self._feel(event.elapsed_us / request.kind.latency_objective_us)
             attempt.server.turned_away.pop(request.flow, None)
-        elif event.outcome is Outcome.FULL and not self._turned_away(request, attempt.server, event.report):
+        elif event.outcome is Outcome.REJECTED and not self._turned_away(
+            request, attempt.server, event.report
+        ):
             self._feel(LOST_SPENT)
         if event.answered:
             if not request.answered:
                 self._close(request)
         elif not request.answered:
             request.tried.append(attempt.server)
-            if event.outcome is Outcome.FULL:
+            if event.outcome is Outcome.REJECTED:
                 request.said_full += 1
                 self._place(request)
             elif self._may_run_again(request) and self._extra >= 1.0:
@@ -1106,7 +1127,9 @@
 
     def _usual(self, request: Request) -> float:
         """The usual time of such a request, over all servers."""
-        return self._norms.get((request.kind.name, request.size), UNSEEN_AIMS * request.kind.aim_us)
+        return self._norms.get(
+            (request.kind.name, request.size), UNSEEN_AIMS * request.kind.latency_objective_us
+        )
 
     def _pace(self, server: Server, request: Request, elapsed_us: int) -> None:
         ratio = min(elapsed_us / max(self._usual(request), 1.0), PACE_CLIP)
@@ -1122,7 +1145,7 @@
 
     def _patience(self, request: Request, server: Server) -> int:
         usual = PATIENCE * self._usual(request) * max(server.pace, 1.0)
-        return int(max(usual, PATIENCE_AIMS * request.kind.aim_us, self._settings.tick_us))
+        return int(max(usual, PATIENCE_AIMS * request.kind.latency_objective_us, self._settings.tick_us))
 
     def _overdue(self, request: Request, attempt: Attempt) -> None:
         """An attempt takes far longer than usual.
@@ -1137,17 +1160,21 @@
             self._schedule(self._stall.caught_up_at + self._settings.tick_us, request.ident, attempt.index)
             return
         waited = self._now - attempt.sent_at - (self._stall.absent_us - attempt.absent_before)
-        if waited < request.kind.aim_us:
-            self._schedule(self._now + request.kind.aim_us - waited, request.ident, attempt.index)
+        if waited < request.kind.latency_objective_us:
+            self._schedule(
+                self._now + request.kind.latency_objective_us - waited, request.ident, attempt.index
+            )
         else:
             self._age(attempt)
-        if waited >= request.kind.aim_us and not attempt.felt and server.ejected_until is None:
+        if waited >= request.kind.latency_objective_us and not attempt.felt and server.ejected_until is None:
             # Late already, though no answer says so yet: waiting for one would see a surge too late.
             attempt.felt = True
             if self._strain.cores is not None and silent:
                 self._strain.reported(1.0)  # no answer, no report: reports alone flatter
             self._feel(LOST_SPENT)
-        enough = max(SILENCE * self._patience(request, server), SILENT_AIMS * request.kind.aim_us)
+        enough = max(
+            SILENCE * self._patience(request, server), SILENT_AIMS * request.kind.latency_objective_us
+        )
         if silent and waited < enough:
             self._schedule(self._now + int(enough) - waited, request.ident, attempt.index)
         elif silent and server.ejected_until is None and others >= QUIET_PEERS:
@@ -1157,11 +1184,11 @@
         spent = self._extra < 1.0 or len(request.attempts) >= limits.max_attempts
         if not silent or spent or not self._may_run_again(request):
             return  # waiting is all that is left
-        if limits.second_copies:
+        if limits.hedging:
             self._extra -= 1.0
             self._place(request)
-        elif limits.may_cancel:
-            self._actions.append(Cancel(request.ident, attempt.index))  # its end draws again
+        elif limits.cancellation:
+            self._actions.append(CancelAttempt(request.ident, attempt.index))  # its end draws again
 
     # -- Outlier ejection -----------------------------------------------------------------------------
 
@@ -1180,14 +1207,14 @@
                 self._served_warm.add(self._now, request.cost)  # overload serves the light ones
             if server.ejected_until is not None:
                 self._readmit(server)
-        elif outcome in (Outcome.EXPIRED, Outcome.DROPPED, Outcome.DIAL_FAILED, Outcome.ERROR):
-            if outcome is Outcome.EXPIRED and server.last_answer_at > attempt.sent_at:
+        elif outcome in (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CONNECT_FAILED, Outcome.ERROR):
+            if outcome is Outcome.TIMED_OUT and server.last_answer_at > attempt.sent_at:
                 return  # it is slow, not sick: it answered others meanwhile
-            if outcome in (Outcome.EXPIRED, Outcome.DIAL_FAILED) and self._stall.behind and not trial:
+            if outcome in (Outcome.TIMED_OUT, Outcome.CONNECT_FAILED) and self._stall.behind and not trial:
                 return  # this balancer was slow
             server.strikes += 1
             server.erred += outcome is Outcome.ERROR
-            server.unreached = server.unreached + 1 if outcome is Outcome.DIAL_FAILED else 0
+            server.unreached = server.unreached + 1 if outcome is Outcome.CONNECT_FAILED else 0
             struck = server.strikes >= self._strikes(attempt) or server.erred >= ERRED
             if trial or (struck and server.ejected_until is None):
                 self._eject(server, outcome.value)
@@ -1205,7 +1232,7 @@
         return 1 if alike and lost else STRIKES
 
     def _eject(self, server: Server, reason: str, most: float = EJECTED_MOST) -> None:
-        if server.state is ServerState.GONE:
+        if server.state is ServerState.REMOVED:
             return
         if server.ejected_until is None:
             known = len(self._ready) if server.unreached else min(len(self._ready), self._reach())
@@ -1213,7 +1240,7 @@
                 return
             self.ejected.append(server)
             self._young -= server.young
-            self._actions.append(Log(f"ejected {server.name}: {reason}"))
+            self._actions.append(LogMessage(f"ejected {server.name}: {reason}"))
         aims = min(EJECT_AIMS * 2**server.ejections, EJECT_AIMS_MOST)
         server.ejections = min(server.ejections + 1, 8)
         wait = aims * self._longest_aim * (0.75 + 0.5 * self._random.random())
@@ -1227,7 +1254,7 @@
         server.erred = 0.0
         if server.cold_since is not None and server.cold_since != server.started_at:
             self._turned_cold(server, self._now)
-        self._actions.append(Log(f"readmitted {server.name}"))
+        self._actions.append(LogMessage(f"readmitted {server.name}"))
 
     def _trial_due(self, request: Request) -> Server | None:
         """An ejected server comes back by one trial at a time, with a request that may be repeated."""
@@ -1235,17 +1262,17 @@
             return None
         due = (each for each in self.ejected if self._now >= (each.ejected_until or 0) and not each.trial)
         fit = [s for s in due if s.state is ServerState.READY and self._cold_room(s, request.cost)]
-        if self._settings.limits.may_probe and not self._tries_safely:
+        if self._settings.limits.health_checks and not self._tries_safely:
             lost = [each for each in fit if each.unreached]
-            if lost and lost[0].probed_at is None and self._may_spend(PROBES):
+            if lost and lost[0].probed_at is None and self._may_spend(HEALTH_CHECKS):
                 self._probe(lost[0])  # its answer brings the server back
             fit = [each for each in fit if not each.unreached]
-        repeat = Repeat.SAFE if self._tries_safely else Repeat.KEYED
-        return fit[0] if fit and request.kind.repeat is repeat else None
+        repeat = Idempotency.IDEMPOTENT if self._tries_safely else Idempotency.KEYED
+        return fit[0] if fit and request.kind.idempotency is repeat else None
 
     def _probe(self, server: Server) -> None:
         server.probed_at = self._now
-        self._actions.append(Probe(server.name))
+        self._actions.append(CheckHealth(server.name))
 
     # -- Slow start -----------------------------------------------------------------------------------
 
@@ -1255,7 +1282,9 @@
         server.allowance_at = self._now
 
     def _is_cold(self, server: Server) -> bool:
-        return server.cold_since is not None and self._now < server.cold_since + self._settings.rules.cold_us
+        return (
+            server.cold_since is not None and self._now < server.cold_since + self._settings.rules.warmup_us
+        )
 
     def _warmth(self, server: Server) -> float:
         """The least share of its capacity that the server has by now."""
@@ -1263,7 +1292,7 @@
         if server.cold_since is None or not self._is_cold(server):
             return 1.0
         age = max(self._now - server.cold_since, 0)
-        return rules.cold_from + (1.0 - rules.cold_from) * age / rules.cold_us
+        return rules.warmup_start_ratio + (1.0 - rules.warmup_start_ratio) * age / rules.warmup_us
 
     def _cold_room(self, server: Server, cost: float) -> bool:
         """Whether a cold server's budget has room for a request of this cost.
@@ -1275,9 +1304,13 @@
             return True
         rules = self._settings.rules
         bearable = self._bearable_by_mean() * min(server.nominal / self._mean_size, 1.0)
-        limit = rules.fall_multiple * self._warmth(server) * bearable
-        most = max(1.0, COLD_BURST * limit * rules.fall_us)
-        share = COLD_SHARE if self._guide is None else COLD_SHARE * self._guide.cold(server.name, self._now)
+        limit = rules.overload_multiple * self._warmth(server) * bearable
+        most = max(1.0, COLD_BURST * limit * rules.overload_window_us)
+        share = (
+            COLD_SHARE
+            if self._guide is None
+            else COLD_SHARE * self._guide.slow_start_ratio(server.name, self._now)
+        )
         filled = share * limit * max(self._now - server.allowance_at, 0)
         server.allowance = min(server.allowance + filled, most)
         server.allowance_at = self._now
@@ -1312,7 +1345,7 @@
             elif index == _IDLE:
                 server = self._numbered[what]
                 server.idle = 0
-                self._actions.append(CloseIdle(server.name))
+                self._actions.append(CloseIdleConnections(server.name))
             elif what == _ASK:
                 self._ask()
             elif what != _BEAT and not any(each.started for each in self._requests[what].attempts):
@@ -1357,5 +1390,5 @@
 _TURN = -2  # the agenda's mark for a key whose rest ends
 _BEAT = -2  # the agenda's mark for the beat that tells of stalls
 _ASK = -1  # the agenda's mark for discovery; requests are never negative
-_CONNECTED = (Outcome.DELIVERED, Outcome.ERROR, Outcome.FULL)  # the connection is still there after these
-_MAY_RUN_ON = (Outcome.EXPIRED, Outcome.DROPPED, Outcome.CANCELLED)  # the key rests after these
+_CONNECTED = (Outcome.DELIVERED, Outcome.ERROR, Outcome.REJECTED)  # the connection is still there after these
+_MAY_RUN_ON = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CANCELLED)  # the key rests after these
--- a/topazbank/budget/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Fleet-wide budgets, divided among the sidecars: docs/design/budgets.md."""
--- a/topazbank/tier/__main__.py
+++ b/topazbank/cluster/__main__.py
@@ -1,4 +1,4 @@
-"""Prints the tier as a sidecar sees it: `python -m topazbank.tier show HOST:PORT`.
+"""Prints the tier as a sidecar sees it: `python -m topazbank.cluster show HOST:PORT`.
 
 The sidecar's operator file must allow it: `[admin]` with `roster = true`.
 """
@@ -47,7 +47,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="topazbank.tier", description=(__doc__ or "").split("\n")[0])
+    parser = argparse.ArgumentParser(prog="topazbank.cluster", description=(__doc__ or "").split("\n")[0])
     parser.add_argument("what", choices=["show"])
     parser.add_argument("address", metavar="HOST:PORT", help="where the sidecar listens for clients")
     given = parser.parse_args(argv)
--- a/topazbank/tier/mend.py
+++ b/topazbank/cluster/anti_entropy.py
@@ -12,10 +12,10 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from topazbank.tier.member import Record, mark_of
-from topazbank.tier.rules import MEND_DATAGRAMS, Rules
-from topazbank.tier.table import Table
-from topazbank.tier.wire import Message, records_in
+from topazbank.cluster.member import MemberRecord, mark_of
+from topazbank.cluster.member_table import Table
+from topazbank.cluster.rules import MEND_DATAGRAMS, Rules
+from topazbank.cluster.wire import Message, records_in
 
 PARTS_AT_ONCE = 4  # of those that differ
 CORRECTIONS_MOST = 64  # waiting to be told
@@ -26,7 +26,7 @@
 class Reply:
     """One datagram: records, or a part whose sums are sent."""
 
-    records: Sequence[Record] = ()
+    records: Sequence[MemberRecord] = ()
     want: tuple[int, int] | None = None
     part: tuple[int, int] | None = None
 
@@ -76,7 +76,7 @@
             del self._corrections[each]
         return found
 
-    def replies(self, message: Message, own: Record, chance: random.Random) -> list[Reply]:
+    def replies(self, message: Message, own: MemberRecord, chance: random.Random) -> list[Reply]:
         """What a message with sums or with a wish is answered by: MEND_DATAGRAMS at most."""
         made: list[Reply] = []
         if message.want is not None:
@@ -92,7 +92,7 @@
                 made += self._part(depth + 1, prefix << 4 | number, message.parts.sums[number], own)
         return made[:MEND_DATAGRAMS]
 
-    def _part(self, depth: int, prefix: int, theirs: int, own: Record) -> list[Reply]:
+    def _part(self, depth: int, prefix: int, theirs: int, own: MemberRecord) -> list[Reply]:
         records = list(self._table.within(depth, prefix, own))
         if len(records) > 3 * self._room and depth < 11:
             return [Reply(part=(depth, prefix))]
@@ -102,6 +102,6 @@
             return []
         return [Reply((), (depth, prefix)), *self._chunks(records)]
 
-    def _chunks(self, records: Sequence[Record]) -> list[Reply]:
+    def _chunks(self, records: Sequence[MemberRecord]) -> list[Reply]:
         room = max(self._room, 1)
         return [Reply(records[at : at + room]) for at in range(0, len(records), room)]
--- a/topazbank/tier/detector.py
+++ b/topazbank/cluster/failure_detector.py
@@ -7,7 +7,7 @@
 
 The way: SWIM's probes, direct and through others, with Lifeguard's doubts of oneself, and two things of our own: who
 has heard a suspect vouches for it, so that one who can speak and not hear stays unsure rather than gone; and nobody is
-called gone while less than half of the tier is here.  docs/design/tier.md weighs the others.
+called gone while less than half of the tier is here.  docs/design/cluster.md weighs the others.
 """
 
 from __future__ import annotations
@@ -16,11 +16,12 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, replace
 
-from topazbank.core.net import Address
-from topazbank.tier.health import Health
-from topazbank.tier.member import INCARNATION_MOST, Record, State, mark_of
-from topazbank.tier.mend import Mender
-from topazbank.tier.rules import (
+from topazbank.cluster.anti_entropy import Mender
+from topazbank.cluster.gossip import Key, Spread
+from topazbank.cluster.health import Health
+from topazbank.cluster.member import INCARNATION_MOST, MemberRecord, MemberState, mark_of
+from topazbank.cluster.member_table import Table
+from topazbank.cluster.rules import (
     AGAIN_HOLD_US,
     AGAIN_MOST,
     AGAIN_SPAN_US,
@@ -33,10 +34,9 @@
     TOMB_EVERY,
     Rules,
 )
-from topazbank.tier.spread import Key, Spread
-from topazbank.tier.suspicion import Suspicion
-from topazbank.tier.table import Table
-from topazbank.tier.wire import Kind, Message, records_in
+from topazbank.cluster.suspicion import Suspicion
+from topazbank.cluster.wire import Kind, Message, records_in
+from topazbank.core.net import Address
 
 ASKED_MOST = 64  # probes made for others that are under way
 LATE_MOST = 32  # failed probes whose late answers are recognised
@@ -61,9 +61,9 @@
 
     at: int
     ident: int
-    old: State | None  # None: not known before
-    new: State | None  # None: forgotten
-    record: Record
+    old: MemberState | None  # None: not known before
+    new: MemberState | None  # None: forgotten
+    record: MemberRecord
     why: str
 
 
@@ -96,10 +96,10 @@
     life: int
     incarnation: int
     count: int
-    records: Sequence[Record] = ()
+    records: Sequence[MemberRecord] = ()
 
 
-class Detector:
+class FailureDetector:
     """One member's part in a tier."""
 
     def __init__(
@@ -162,7 +162,7 @@
         for record in before.records:
             if record.ident != self.me:
                 self.table.put(now, record)
-                if record.state is State.SUSPECTED:
+                if record.state is MemberState.SUSPECTED:
                     self.suspicions[record.ident] = Suspicion(now, self._mark, False)
         self._began = now - JOINING_US  # it has joined long ago
         self._tell_of(self.me)
@@ -170,9 +170,11 @@
     # -- What others read ------------------------------------------------------------------------------
 
     @property
-    def own(self) -> Record:
+    def own(self) -> MemberRecord:
         """This member as it tells of itself."""
-        return Record(self.me, self.life, self.incarnation, State.LEFT if self.left else State.HERE)
+        return MemberRecord(
+            self.me, self.life, self.incarnation, MemberState.LEFT if self.left else MemberState.HERE
+        )
 
     @property
     def size(self) -> int:
@@ -197,7 +199,7 @@
         for ident, since in reversed(self.table.gone.items()):  # the latest first: the others don't count
             if now - since >= BASE_SPAN_US:
                 break
-            lost += self.table.records[ident].state is State.GONE
+            lost += self.table.records[ident].state is MemberState.GONE
         return self.size + lost
 
     def hears_nobody(self, now: int) -> bool:
@@ -317,7 +319,7 @@
 
     def _try_the_gone(self, now: int) -> None:
         """Probe one that is gone, and one seed that never answered: a split heals by this, and a late start joins."""
-        lost = [ident for ident in self.table.gone if self.table.records[ident].state is State.GONE]
+        lost = [ident for ident in self.table.gone if self.table.records[ident].state is MemberState.GONE]
         if lost:
             record = self.table.records[self._chance.choice(lost)]
             to = self._address_of(record)
@@ -345,7 +347,7 @@
         self._probe = (self._probe + 1) & 0xFFFFFFFF
         return self._probe
 
-    def _begin_probe(self, now: int, target: Record, counts: bool = True) -> None:
+    def _begin_probe(self, now: int, target: MemberRecord, counts: bool = True) -> None:
         """`counts`: its failure is one more reason to suspect."""
         to = self._address_of(target)
         if to is None:
@@ -383,7 +385,7 @@
         record = self.table.records.get(ident)
         return self._address_of(record) if record is not None else None
 
-    def _address_of(self, record: Record) -> Address | None:
+    def _address_of(self, record: MemberRecord) -> Address | None:
         return self._book.get(record.ident) or record.address
 
     # -- Messages --------------------------------------------------------------------------------------
@@ -396,7 +398,7 @@
         if message.sender != self.me:
             self._hear(now, message, source)
         elif message.life > self.life:
-            self._own_name(now, Record(self.me, message.life, message.incarnation))
+            self._own_name(now, MemberRecord(self.me, message.life, message.incarnation))
         for record in message.news:
             self._learn(now, record, message.sender, source)
         if message.sender != self.me and self.taken_by is None:
@@ -408,7 +410,7 @@
     def _hear(self, now: int, message: Message, source: Address) -> None:
         """Whoever writes is there, unless this is an old message."""
         known = self.table.records.get(message.sender)
-        said = Record(message.sender, message.life, message.incarnation, State.HERE, source)
+        said = MemberRecord(message.sender, message.life, message.incarnation, MemberState.HERE, source)
         life, count = self._counts.get(message.sender, (0, -1))
         if (message.life, message.count) <= (life, count) or (
             known is not None and message.life < known.life
@@ -492,21 +494,21 @@
 
     # -- What is learnt --------------------------------------------------------------------------------
 
-    def _learn(self, now: int, record: Record, teller: int, source: Address) -> None:
+    def _learn(self, now: int, record: MemberRecord, teller: int, source: Address) -> None:
         if record.ident == self.me:
             self._own_name(now, record)
             return
         if record.address is None and record.ident == teller:
             record = replace(record, address=source)
         known = self.table.records.get(record.ident)
-        if record.state is State.HEARD:
+        if record.state is MemberState.HEARD:
             if known is not None and (record.life, record.incarnation) >= (known.life, known.incarnation):
                 self._word(now, record.ident, now - record.about * 1000)
             return
         if known is None:
             if record.counts:  # of who is not known nobody needs to hear that it is gone
                 self._take(now, record, "told")
-        elif record.state is State.SUSPECTED and known.counts and record.same_as(known):
+        elif record.state is MemberState.SUSPECTED and known.counts and record.same_as(known):
             if self.suspicions[record.ident].joins(record.about):
                 self._tell_of(record.ident)
         elif record.newer_than(known):
@@ -514,28 +516,33 @@
         elif known.newer_than(record) and self.taken_by is None and teller in self.table.records:
             self.mender.correct(record.ident)  # the teller knows less: it hears so with the next message
 
-    def _take(self, now: int, record: Record, why: str) -> None:
+    def _take(self, now: int, record: MemberRecord, why: str) -> None:
         """Hold a newer record, or what of it may be believed."""
         known = self.table.records.get(record.ident)
         again = known is not None and record.life == known.life
-        if record.state is State.SUSPECTED:
+        if record.state is MemberState.SUSPECTED:
             self._suspect(now, record, record.about, mine=False)
             return
-        if record.state is State.GONE and again and known is not None and known.counts:
+        if record.state is MemberState.GONE and again and known is not None and known.counts:
             fresh = now - self._words.get(record.ident, -self.rules.forget_us) < self.rules.suspicion_us(
                 self.size
             )
             if (fresh and self.rules.vouching) or self.is_doubting(now) or self.was_held(now):
                 # It is told of its death first, by being probed, and may take that back.
-                self._suspect(now, replace(record, state=State.SUSPECTED), record.about, mine=True)
+                self._suspect(now, replace(record, state=MemberState.SUSPECTED), record.about, mine=True)
                 return
         self._hold(now, record, why)
 
-    def _hold(self, now: int, record: Record, why: str) -> None:
+    def _hold(self, now: int, record: MemberRecord, why: str) -> None:
         known = self.table.records.get(record.ident)
         if record.address is None and known is not None:
             record = replace(record, address=known.address)
-        if known is not None and known.state is State.GONE and record.counts and record.life == known.life:
+        if (
+            known is not None
+            and known.state is MemberState.GONE
+            and record.counts
+            and record.life == known.life
+        ):
             self._came_back(now, record.ident)
         if not self.table.put(now, record):
             return
@@ -552,7 +559,7 @@
         times, at = self._returns.get(ident, (0, 0))
         self._returns[ident] = (times + 1 if now - at < AGAIN_SPAN_US << min(times, AGAIN_MOST) else 1, now)
 
-    def _suspect(self, now: int, record: Record, witness: int, mine: bool) -> None:
+    def _suspect(self, now: int, record: MemberRecord, witness: int, mine: bool) -> None:
         suspicion = self.suspicions.get(record.ident)
         known = self.table.records.get(record.ident)
         if (
@@ -562,12 +569,17 @@
             or known.life != record.life
         ):
             if known is None:
-                self._note(now, record.ident, None, State.SUSPECTED, record, "told")
-            elif known.state is not State.SUSPECTED:
+                self._note(now, record.ident, None, MemberState.SUSPECTED, record, "told")
+            elif known.state is not MemberState.SUSPECTED:
                 self._note(
-                    now, record.ident, known.state, State.SUSPECTED, record, "no answer" if mine else "told"
+                    now,
+                    record.ident,
+                    known.state,
+                    MemberState.SUSPECTED,
+                    record,
+                    "no answer" if mine else "told",
                 )
-            held = replace(record, state=State.SUSPECTED, about=witness)
+            held = replace(record, state=MemberState.SUSPECTED, about=witness)
             if held.address is None and known is not None:
                 held = replace(held, address=known.address)
             if not self.table.put(now, held):
@@ -609,11 +621,11 @@
                 self._give_up(now, ident, "not heard for long")
 
     def _give_up(self, now: int, ident: int, why: str) -> None:
-        self._hold(now, replace(self.table.records[ident], state=State.GONE, about=self._mark), why)
+        self._hold(now, replace(self.table.records[ident], state=MemberState.GONE, about=self._mark), why)
 
     # -- Oneself ---------------------------------------------------------------------------------------
 
-    def _own_name(self, now: int, record: Record) -> None:
+    def _own_name(self, now: int, record: MemberRecord) -> None:
         """What others say of this one: it is taken back where it is wrong."""
         if record.life > self.life:
             if now - self._began < JOINING_US:
@@ -624,15 +636,17 @@
                 self._tell_of(self.me)
             elif self.taken_by is None and record.counts:
                 self.taken_by = record.life
-                self._note(now, self.me, State.HERE, State.LEFT, record, "another process has this name")
+                self._note(
+                    now, self.me, MemberState.HERE, MemberState.LEFT, record, "another process has this name"
+                )
             return
-        if record.life < self.life or record.state is State.HEARD:
+        if record.life < self.life or record.state is MemberState.HEARD:
             return
-        if record.state is State.LEFT:
+        if record.state is MemberState.LEFT:
             self.life, self.incarnation = self.life + 1, 0
             self._tell_of(self.me)
-        elif record.state is not State.HERE and record.incarnation >= self.incarnation:
-            if record.state is State.SUSPECTED and now - self._doubts_until > 0:
+        elif record.state is not MemberState.HERE and record.incarnation >= self.incarnation:
+            if record.state is MemberState.SUSPECTED and now - self._doubts_until > 0:
                 self.health.worse()
             self.incarnation = max(self.incarnation, record.incarnation)
             self._raise(now)
@@ -680,7 +694,7 @@
     def _tell_of(self, ident: int, urgent: bool = True) -> None:
         self.spread.put((ident, False), self._told_most(), urgent)
 
-    def _record(self, now: int, key: Key) -> Record | None:
+    def _record(self, now: int, key: Key) -> MemberRecord | None:
         """The news of a member as it stands now."""
         ident, heard = key
         if ident == self.me:
@@ -691,7 +705,7 @@
         at = self._words.get(ident)
         if at is None or ident not in self.suspicions:
             return None
-        return replace(record, state=State.HEARD, about=min(max((now - at) // 1000, 0), 0xFFFF))
+        return replace(record, state=MemberState.HEARD, about=min(max((now - at) // 1000, 0), 0xFFFF))
 
     def _send(
         self,
@@ -702,7 +716,7 @@
         target: int = 0,
         *,
         about: int = 0,
-        records: Iterable[Record] = (),
+        records: Iterable[MemberRecord] = (),
         parts: tuple[int, int] | None = None,
         want: tuple[int, int] | None = None,
     ) -> None:
@@ -713,7 +727,7 @@
         first = list(records)
         for ident in (target, about):
             told = self.table.records.get(ident)
-            if told is not None and told.state is not State.HERE and told not in first:
+            if told is not None and told.state is not MemberState.HERE and told not in first:
                 first.append(told)
         for ident in self.mender.corrections(max(room - len(first), 0)):
             known = self.own if ident == self.me else self.table.records.get(ident)
@@ -721,7 +735,7 @@
                 first.append(known)
         said = {each.ident for each in first}
         for each in self.spread.take(max(room - len(first), 0), lambda key: self._record(now, key)):
-            if each.state is State.HEARD or each.ident not in said:
+            if each.state is MemberState.HEARD or each.ident not in said:
                 first.append(each)
         self._count += 1
         made = self.table.parts(*parts, self.own) if parts is not None else None
@@ -746,7 +760,13 @@
         )
 
     def _note(
-        self, now: int, ident: int, old: State | None, new: State | None, record: Record, why: str
+        self,
+        now: int,
+        ident: int,
+        old: MemberState | None,
+        new: MemberState | None,
+        record: MemberRecord,
+        why: str,
     ) -> None:
         if len(self.changes) < CHANGES_MOST:
             self.changes.append(Change(now, ident, old, new, record, why))
--- a/topazbank/tier/spread.py
+++ b/topazbank/cluster/gossip.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from topazbank.tier.member import Record
+from topazbank.cluster.member import MemberRecord
 
 Key = tuple[int, bool]  # a member's ident, and whether this is that somebody has heard it
 
@@ -33,9 +33,9 @@
         if urgent or is_new:
             queue.move_to_end(key, last=False)
 
-    def take(self, most: int, record: Callable[[Key], Record | None]) -> list[Record]:
+    def take(self, most: int, record: Callable[[Key], MemberRecord | None]) -> list[MemberRecord]:
         """Up to so many records to tell now; `record` makes one, or None where there is nothing to say any more."""
-        taken: list[Record] = []
+        taken: list[MemberRecord] = []
         for queue in (self._urgent, self._usual):
             for _ in range(len(queue)):  # each once, also where it goes to the end
                 if len(taken) >= most:
--- a/topazbank/tier/member.py
+++ b/topazbank/cluster/member.py
@@ -19,7 +19,7 @@
 LIFE_MOST = 0xFFFFFFFFFFFF
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """What a record says; of the same incarnation the higher one holds."""
 
     HERE = 0
@@ -30,34 +30,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Record:
+class MemberRecord:
     """One word on one member.  Frozen: many views share it."""
 
     ident: int
     life: int
     incarnation: int
-    state: State = State.HERE
+    state: MemberState = MemberState.HERE
     address: Address | None = None
     about: int = 0  # SUSPECTED: who suspects (16 bits of its ident); HEARD: milliseconds since
 
-    def newer_than(self, other: Record) -> bool:
+    def newer_than(self, other: MemberRecord) -> bool:
         """Whether this word holds against another on the same member."""
         return self._order() > other._order()
 
-    def same_as(self, other: Record) -> bool:
+    def same_as(self, other: MemberRecord) -> bool:
         return self._order() == other._order()
 
     def _order(self) -> tuple[int, bool, int, int]:
-        return (self.life, self.state is State.LEFT, self.incarnation, self.state)
+        return (self.life, self.state is MemberState.LEFT, self.incarnation, self.state)
 
     @property
     def counts(self) -> bool:
         """Whether a member of which this is said may be there."""
-        return self.state in (State.HERE, State.SUSPECTED)
+        return self.state in (MemberState.HERE, MemberState.SUSPECTED)
 
 
 @dataclass(frozen=True, slots=True)
-class Lives:
+class Generations:
     """What a member knows of lives: its own, and whose it knows to be over, each by ident and life."""
 
     own: tuple[int, int]
@@ -69,7 +69,7 @@
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=IDENT_BYTES).digest(), "big")
 
 
-def mark_of(record: Record) -> int:
+def mark_of(record: MemberRecord) -> int:
     """32 bits of who a member is by now, for digests: equal views have equal sums of them, whatever they suspect."""
     mixed = (
         record.ident ^ (record.life * 0x9E3779B97F4A7C15) ^ (record.incarnation << 17)
--- a/topazbank/tier/table.py
+++ b/topazbank/cluster/member_table.py
@@ -5,9 +5,9 @@
 import random
 from collections.abc import Iterable, Iterator, Mapping
 
-from topazbank.tier.member import Record, State, mark_of
-from topazbank.tier.rules import MEMBERS_MOST
-from topazbank.tier.wire import FANOUT, Parts
+from topazbank.cluster.member import MemberRecord, MemberState, mark_of
+from topazbank.cluster.rules import MEMBERS_MOST
+from topazbank.cluster.wire import FANOUT, Parts
 
 _BITS = 48
 
@@ -19,13 +19,13 @@
 
     def __init__(self, chance: random.Random) -> None:
         self._chance = chance
-        self.records: dict[int, Record] = {}
+        self.records: dict[int, MemberRecord] = {}
         self.gone: dict[int, int] = {}  # those of whom GONE or LEFT is said, and since when
         self.counted = 0  # the others
         self.digest = 0  # the sum of their marks
         self._turns: list[int] = []  # whose turns to be probed come, the last one first
 
-    def put(self, now: int, record: Record) -> bool:
+    def put(self, now: int, record: MemberRecord) -> bool:
         """Hold this word; False where there is no room for one more member."""
         old = self.records.get(record.ident)
         if old is None and len(self.records) >= MEMBERS_MOST and not self._drop_one():
@@ -60,7 +60,7 @@
             self.counted -= 1
             self.digest ^= mark_of(record)
 
-    def settle(self, known: Mapping[int, Record], digest: int, me: int) -> None:
+    def settle(self, known: Mapping[int, MemberRecord], digest: int, me: int) -> None:
         """Hold these at once, but the own one; `digest`: the sum of all their marks.  All of them count."""
         self.records = dict(known)
         own = self.records.pop(me, None)
@@ -68,7 +68,7 @@
         self.digest = digest ^ (mark_of(own) if own is not None else 0)
         self._turns.clear()
 
-    def next_turn(self) -> Record | None:
+    def next_turn(self) -> MemberRecord | None:
         """Whom to probe next: each once in a round, every round in an order of its own."""
         for again in (False, True):
             while self._turns:
@@ -81,7 +81,7 @@
             self._chance.shuffle(self._turns)
         return None
 
-    def some(self, count: int, without: Iterable[int] = ()) -> list[Record]:
+    def some(self, count: int, without: Iterable[int] = ()) -> list[MemberRecord]:
         """Up to so many members that are here, by chance."""
         barred = set(without)
         if not self.counted:
@@ -92,9 +92,9 @@
             drawn = list(self.records)
             self._chance.shuffle(drawn)
         found = [self.records[each] for each in drawn if each not in barred]
-        return [each for each in found if each.state is State.HERE][:count]
+        return [each for each in found if each.state is MemberState.HERE][:count]
 
-    def within(self, depth: int, prefix: int, own: Record) -> Iterator[Record]:
+    def within(self, depth: int, prefix: int, own: MemberRecord) -> Iterator[MemberRecord]:
         """The records, the own one among them, whose ident begins with these groups of four bits."""
         shift = _BITS - 4 * depth
         for each in self.records.values():
@@ -103,7 +103,7 @@
         if own.ident >> shift == prefix:
             yield own
 
-    def parts(self, depth: int, prefix: int, own: Record) -> Parts:
+    def parts(self, depth: int, prefix: int, own: MemberRecord) -> Parts:
         """The digest of one part, in its parts."""
         sums = [0] * FANOUT
         shift = _BITS - 4 * (depth + 1)
--- a/topazbank/tier/rules.py
+++ b/topazbank/cluster/rules.py
@@ -1,6 +1,6 @@
 """The figures that a tier runs by, and the times that follow from them; no I/O, microseconds.
 
-docs/design/tier.md has the arithmetic.
+docs/design/cluster.md has the arithmetic.
 """
 
 from __future__ import annotations
--- a/topazbank/tier/service.py
+++ b/topazbank/cluster/service.py
@@ -10,17 +10,17 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from topazbank.budget.service import BudgetService, is_word
-from topazbank.core.driver import Config
+from topazbank.balancing.fleet import FleetQuota
+from topazbank.cluster.failure_detector import Before, Change, FailureDetector, Out
+from topazbank.cluster.member import GONE_TOLD, Generations, MemberRecord, MemberState, ident_of
+from topazbank.cluster.rules import Rules
+from topazbank.cluster.view import Answer, View
+from topazbank.cluster.wire import BadMessage, decode, encode
+from topazbank.core.driver import SidecarConfig
 from topazbank.core.net import Address
-from topazbank.interface import Spending
-from topazbank.operator import Tiering
-from topazbank.sight.others import Others
-from topazbank.tier.detector import Before, Change, Detector, Out
-from topazbank.tier.member import GONE_TOLD, Lives, Record, State, ident_of
-from topazbank.tier.rules import Rules
-from topazbank.tier.view import Answer, View
-from topazbank.tier.wire import BadMessage, decode, encode
+from topazbank.estimation.fleet_size import FleetSize
+from topazbank.operator_config import Tiering
+from topazbank.quota.service import QuotaService, is_word
 
 log = logging.getLogger(__name__)
 
@@ -29,14 +29,14 @@
 CHANGES_KEPT = 512  # the latest, for `show`
 
 
-class TierService:
+class ClusterService:
     """One process's part in the tier."""
 
     def __init__(
         self,
         given: Tiering,
-        config: Config,
-        others: Others,
+        config: SidecarConfig,
+        others: FleetSize,
         known: Mapping[str, Any],
         clock: Callable[[], int] = lambda: time.monotonic_ns() // 1000,
         wall: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
@@ -48,11 +48,11 @@
         assert config.tier is not None
         self._clock = clock
         self._others = others
-        self._told = config.settings.group_size
+        self._told = config.settings.fleet_size
         self._key = given.key.encode()
         members = config.tier.members
         listen = config.tier.listen
-        number = members.index(listen) if listen in members else config.settings.me
+        number = members.index(listen) if listen in members else config.settings.instance
         self.name = given.name or str(number)
         self._names = {ident_of(self.name): self.name}
         book: dict[int, Address] = {}
@@ -70,7 +70,9 @@
         )
         before = before_from(known)
         me = ident_of(self.name)
-        self.detector = Detector(me, wall(), clock(), rules, seeds, book, config.seed & 0xFFFFFFFF, before)
+        self.detector = FailureDetector(
+            me, wall(), clock(), rules, seeds, book, config.seed & 0xFFFFFFFF, before
+        )
         self.view = View(self.detector)
         self._allowed = self.detector.addresses()  # as of when the members last changed
         self._stale = False
@@ -81,7 +83,7 @@
         self._second, self._lines, self._heard = 0, 0, 0
         self._sent = 0
         self._resting = False
-        self.budgets: BudgetService | None = None  # whose words come to the same address
+        self.budgets: QuotaService | None = None  # whose words come to the same address
 
     # -- Life ------------------------------------------------------------------------------------------
 
@@ -199,7 +201,7 @@
             f"tier: {name} is {(new or 'forgotten').lower()}, was {(old or 'unknown').lower()}: {change.why}"
         )
         number = self._numbers.get(change.ident)
-        if number is not None and change.new in (State.GONE, State.LEFT):
+        if number is not None and change.new in (MemberState.GONE, MemberState.LEFT):
             self._others.gone(number)
 
     def _log(self, text: str) -> None:
@@ -236,11 +238,11 @@
         """Where the member of this name is by now; None: it is not known."""
         return self.detector.address_of(ident_of(name))
 
-    def spending(self, offset_us: int) -> Spending | None:
+    def spending(self, offset_us: int) -> FleetQuota | None:
         """What the decision module may spend by; `offset_us`: of its clock beyond this one's."""
         return self.budgets.spending(offset_us) if self.budgets is not None else None
 
-    def lives(self) -> Lives:
+    def lives(self) -> Generations:
         """For planners: this one, and the latest of whom it can tell that they are gone."""
         detector, now = self.detector, self._clock()
         gone: list[tuple[int, int]] = []
@@ -249,7 +251,7 @@
                 break
             if self.view.of(now, ident) is Answer.NOT_HERE:
                 gone.append((ident, detector.table.records[ident].life))
-        return Lives((detector.me, detector.life), tuple(gone))
+        return Generations((detector.me, detector.life), tuple(gone))
 
     def show(self) -> dict[str, Any]:
         """For operators."""
@@ -295,8 +297,13 @@
     """What a process before this one handed over; None where that is not whole."""
     try:
         records = tuple(
-            Record(
-                int(ident), int(life), int(inc), State(state), tuple(address) if address else None, int(about)
+            MemberRecord(
+                int(ident),
+                int(life),
+                int(inc),
+                MemberState(state),
+                tuple(address) if address else None,
+                int(about),
             )
             for ident, life, inc, state, address, about in known["records"]
         )
--- a/topazbank/tier/suspicion.py
+++ b/topazbank/cluster/suspicion.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from topazbank.tier.rules import WITNESSES, Rules
+from topazbank.cluster.rules import WITNESSES, Rules
 
 _WITNESSES_KEPT = 4 * WITNESSES  # beyond that one more changes nothing
 
--- a/topazbank/tier/view.py
+++ b/topazbank/cluster/view.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from topazbank.tier.detector import BASE_SPAN_US, Detector
-from topazbank.tier.member import Record, State
-from topazbank.tier.rules import JOINING_US
+from topazbank.cluster.failure_detector import BASE_SPAN_US, FailureDetector
+from topazbank.cluster.member import MemberRecord, MemberState
+from topazbank.cluster.rules import JOINING_US
 
 SETTLED_PERIODS = 3  # for so long a process that was cut off goes on to say so
 
@@ -32,7 +32,7 @@
 
     ident: int
     answer: Answer
-    record: Record
+    record: MemberRecord
     age_us: int | None  # since its last word; None: none was had
     suspected_us: int | None  # since when it is suspected
     witnesses: tuple[int, ...] = ()  # 16 bits of the ident of each who suspects it
@@ -43,7 +43,7 @@
 
     __slots__ = ("_calm_at", "_detector", "_number", "_seen", "cut_off")
 
-    def __init__(self, detector: Detector) -> None:
+    def __init__(self, detector: FailureDetector) -> None:
         self._detector = detector
         self._number = 0
         self._seen: tuple[int, int, int, bool] | None = None
@@ -107,11 +107,11 @@
         record = detector.table.records.get(ident)
         if record is None:
             return Answer.CANT_TELL
-        if record.state is State.LEFT:
+        if record.state is MemberState.LEFT:
             return Answer.NOT_HERE  # its own word, whoever else is heard
-        if record.state is State.GONE:
+        if record.state is MemberState.GONE:
             return Answer.CANT_TELL if self.cut_off else Answer.NOT_HERE
-        if record.state is State.SUSPECTED or detector.hold_until(ident) > now:
+        if record.state is MemberState.SUSPECTED or detector.hold_until(ident) > now:
             return Answer.CANT_TELL
         return Answer.CANT_TELL if self.cut_off else Answer.HERE
 
--- a/topazbank/tier/wire.py
+++ b/topazbank/cluster/wire.py
@@ -16,9 +16,9 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
+from topazbank.cluster.member import INCARNATION_MOST, MemberRecord, MemberState
+from topazbank.core.checksum import CHECKSUM_BYTES, with_checksum, without_checksum
 from topazbank.core.net import Address
-from topazbank.core.seal import CHECK, opened, sealed
-from topazbank.tier.member import INCARNATION_MOST, Record, State
 
 MAGIC = 0xD7  # apart from the first byte of what `sight.hearsay` writes, which comes to the same address
 VERSION = 1
@@ -67,14 +67,14 @@
     target: int = 0  # 0: whoever gets it
     digest: int = 0
     size: int = 1  # members that the sender counts, itself included
-    news: tuple[Record, ...] = ()
+    news: tuple[MemberRecord, ...] = ()
     parts: Parts | None = None
     want: tuple[int, int] | None = None  # depth and prefix of the records that the sender lacks
 
 
 def records_in(datagram: int, parts: bool = False, want: bool = False) -> int:
     """How many records a datagram of this many bytes has room for, beside the sections named."""
-    left = datagram - _HEAD.size - CHECK - _SECTION.size - 1
+    left = datagram - _HEAD.size - CHECKSUM_BYTES - _SECTION.size - 1
     left -= (_SECTION.size + _PARTS.size) * parts + (_SECTION.size + _WANT.size) * want
     return max(left // _RECORD.size, 0)
 
@@ -104,16 +104,16 @@
         data += _section(_PARTS_SECTION, packed)
     if message.want is not None:
         data += _section(_WANT_SECTION, _WANT.pack(*message.want))
-    return sealed(data, key)
+    return with_checksum(data, key)
 
 
 def decode(data: bytes, key: bytes = b"") -> Message:
     """Read a message; raise BadMessage where it is not whole and of this major version."""
-    if len(data) < _HEAD.size + CHECK or data[0] != MAGIC:
+    if len(data) < _HEAD.size + CHECKSUM_BYTES or data[0] != MAGIC:
         raise BadMessage("no message of a tier")
     if data[1] != VERSION:
         raise BadMessage(f"version {data[1]}, not {VERSION}")
-    body = opened(data, key)
+    body = without_checksum(data, key)
     if body is None:
         raise BadMessage("damaged, or of another key")
     _, _, kind, _, sender, life, incarnation, count, probe, target, digest, size = _HEAD.unpack_from(body)
@@ -130,8 +130,8 @@
     return _SECTION.pack(kind, len(content)) + content
 
 
-def _sections(body: bytes) -> tuple[tuple[Record, ...], Parts | None, tuple[int, int] | None]:
-    news: tuple[Record, ...] = ()
+def _sections(body: bytes) -> tuple[tuple[MemberRecord, ...], Parts | None, tuple[int, int] | None]:
+    news: tuple[MemberRecord, ...] = ()
     parts: Parts | None = None
     want: tuple[int, int] | None = None
     at = _HEAD.size
@@ -159,14 +159,14 @@
     return news, parts, want
 
 
-def _news(content: bytes) -> tuple[Record, ...]:
+def _news(content: bytes) -> tuple[MemberRecord, ...]:
     if not content or content[0] < _RECORD.size or (len(content) - 1) % content[0]:
         raise BadMessage("records of another length")
-    found: Sequence[Record | None] = [_read(content, at) for at in range(1, len(content), content[0])]
+    found: Sequence[MemberRecord | None] = [_read(content, at) for at in range(1, len(content), content[0])]
     return tuple(each for each in found if each is not None)
 
 
-def _record(record: Record) -> bytes:
+def _record(record: MemberRecord) -> bytes:
     host, port = record.address or ("0.0.0.0", 0)
     try:
         packed = socket.inet_aton(host)
@@ -183,12 +183,12 @@
     )
 
 
-def _read(content: bytes, at: int) -> Record | None:
+def _read(content: bytes, at: int) -> MemberRecord | None:
     ident, life, incarnation, state, host, port, about = _RECORD.unpack_from(content, at)
     address: Address | None = (socket.inet_ntoa(host), port) if port else None
     try:
-        known = State(state)
+        known = MemberState(state)
     except ValueError:
         return None  # a state of a later version
     who, since = int.from_bytes(ident, "big"), int.from_bytes(life, "big")
-    return Record(who, since, incarnation, known, address, about)
+    return MemberRecord(who, since, incarnation, known, address, about)
--- a/topazbank/config.py
+++ b/topazbank/config.py
@@ -6,19 +6,19 @@
 from collections.abc import Mapping
 from typing import Any
 
-from topazbank.core.driver import Config
-from topazbank.core.members import Told
+from topazbank.core.driver import SidecarConfig
+from topazbank.core.endpoint_source import EndpointList
+from topazbank.core.gossip_transport import GossipAddresses
 from topazbank.core.net import Address, parse_address
-from topazbank.core.peers import Tier
-from topazbank.membership.list_format import parse_list
-from topazbank.operator import Operator
-from topazbank.wirenames import settings_from_wire
+from topazbank.discovery.list_format import parse_list
+from topazbank.operator_config import OperatorConfig
+from topazbank.platform_names import settings_from_wire
 
 BAD_CONFIG = (OSError, ValueError, RecursionError)  # what reading one may raise
 _SOCKETS = 1024  # unless the configuration tells
 
 
-def read_config(environ: Mapping[str, str]) -> Config:
+def read_config(environ: Mapping[str, str]) -> SidecarConfig:
     """Read what the sidecar is told; raise ValueError or OSError, saying what is wrong."""
     path = environ.get("RELAY_CONFIG")
     if not path:
@@ -28,27 +28,27 @@
     if not isinstance(given, dict):
         raise ValueError("an object is needed")
     known = given.get("known")
-    return Config(
+    return SidecarConfig(
         listen=_address(environ.get("RELAY_LISTEN") or given.get("listen"), "listen"),
         discovery=_address(given.get("discovery") or environ.get("RELAY_DISCOVERY"), "discovery"),
         seed=_seed(given.get("seed", "0")),
         sockets=_sockets(given.get("limits")),
         settings=settings_from_wire(given.get("settings")),
-        known=Told(0, True, []) if known is None else parse_list(known),
+        known=EndpointList(0, True, []) if known is None else parse_list(known),
         tier=_tier(given),
         operator=_operator(environ.get("RELAY_OPERATOR") or given.get("operator")),
         folder=environ.get("TMPDIR") or None,
     )
 
 
-def check_tier(config: Config, operator: Operator) -> None:
+def check_tier(config: SidecarConfig, operator: OperatorConfig) -> None:
     """Whether membership among the sidecars, where it is on, has what it needs; raise ValueError, naming the field."""
     given = operator.tier
     if not given.on:
         return
     if config.tier is None:
         raise ValueError("tier.on: the configuration names no peer_listen, where other sidecars are heard")
-    if not config.settings.limits.may_message:
+    if not config.settings.limits.gossip:
         raise ValueError("tier.on: the settings do not allow messages between sidecars (bounds.mayTell)")
     if not given.name and not config.tier.members:
         raise ValueError("tier.name: wanted where the configuration names no peers, whose numbers are names")
@@ -63,14 +63,14 @@
     return None if value is None else _address(value, "operator")
 
 
-def _tier(given: dict[str, Any]) -> Tier | None:
+def _tier(given: dict[str, Any]) -> GossipAddresses | None:
     if given.get("peer_listen") is None:
         return None
     members = given.get("peers", [])
     if not isinstance(members, list):
         raise ValueError("peers: a list of addresses is needed")
     reaches_all = given.get("peers_all")
-    return Tier(
+    return GossipAddresses(
         listen=_address(given["peer_listen"], "peer_listen"),
         members=tuple(_address(each, f"peers[{number}]") for number, each in enumerate(members)),
         all=None if reaches_all is None else _address(reaches_all, "peers_all"),
--- a/topazbank/core/body.py
+++ b/topazbank/core/body.py
@@ -2,7 +2,7 @@
 
 A request's body is held until its last byte has come: its time counts from there, so that is when a node is chosen,
 and it can be passed on again as often as the rules allow.  An answer's first bytes are what counts, so it is passed on
-as it comes; whoever takes it slowly holds up what gives it (docs/design/operation.md weighs both).
+as it comes; whoever takes it slowly holds up what gives it (docs/design/operations.md weighs both).
 """
 
 from __future__ import annotations
--- a/topazbank/core/bounds.py
+++ b/topazbank/core/bounds.py
@@ -8,17 +8,17 @@
 import math
 from dataclasses import dataclass
 
-from topazbank.balancer import (
+from topazbank.balancing.balancer import (
     EXTRA_PER_REQUEST,
     EXTRA_SAVED,
     REACH,
     REACH_PER_BUSY,
 )
-from topazbank.interface import Settings
-from topazbank.sight import poll_schedule
-from topazbank.sight.hearsay import EVERY_LEAST_US, SENDERS_MOST
-from topazbank.sight.soundings import ASKED, can_tell
-from topazbank.tier.rules import HELPERS, SUSPECTS_PROBED, TOMB_EVERY, Rules
+from topazbank.balancing.settings import Settings
+from topazbank.cluster.rules import HELPERS, SUSPECTS_PROBED, TOMB_EVERY, Rules
+from topazbank.estimation import poll_schedule
+from topazbank.estimation.load_gossip import EVERY_LEAST_US, SENDERS_MOST
+from topazbank.estimation.startup_probes import ASKED, can_tell
 
 CHANCE = 4.0  # standard deviations allowed to what comes by chance
 PEAK_SPAN_S = 60.0
@@ -81,7 +81,7 @@
     goes to every watch, and so each news costs a call of each sidecar.
     """
     spread_s = max(
-        poll_schedule.first_call_spread(fleet.sidecars, fleet.settings.rules.ask_within_us) / 1e6, 1.0
+        poll_schedule.first_call_spread(fleet.sidecars, fleet.settings.rules.poll_within_us) / 1e6, 1.0
     )
     starting = 2.0 * fleet.sidecars / spread_s
     news = float(fleet.sidecars) if outage else 0.0
@@ -91,7 +91,7 @@
 
 def again_most_s(fleet: Fleet) -> float:
     """The longest wait between calls to a registry that fails, seconds."""
-    return poll_schedule.retry_gap_most(fleet.sidecars, fleet.settings.rules.ask_within_us) / 1e6
+    return poll_schedule.retry_gap_most(fleet.sidecars, fleet.settings.rules.poll_within_us) / 1e6
 
 
 def bounds(fleet: Fleet, seconds: float, starts: int = 0, outage: bool = False) -> dict[str, float]:
@@ -108,7 +108,7 @@
         failing = n * (1.0 + doublings) + list_calls_a_second(fleet, True) * seconds
     listeners = n - 1
     told = 0.0
-    if fleet.settings.limits.may_message and 0 < listeners < SENDERS_MOST:
+    if fleet.settings.limits.gossip and 0 < listeners < SENDERS_MOST:
         told = n * seconds * 1e6 / EVERY_LEAST_US
     return {
         "sends": attempts,
--- a/topazbank/core/call.py
+++ b/topazbank/core/call.py
@@ -1,6 +1,6 @@
 """What passes between fronts, driver and carriers; none of it knows a protocol.
 
-A front makes a `Call` of a client's bytes and turns its one `Answer` into bytes.  A carrier makes bytes of a call
+A front makes a `Call` of a client's bytes and turns its one `FinalAnswer` into bytes.  A carrier makes bytes of a call
 for a node and turns what happened into one `Outcome`, with the node's `Response` where there was one.
 """
 
@@ -12,8 +12,9 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto, unique
 
+from topazbank.balancing.events import Outcome
+from topazbank.balancing.settings import Idempotency, RequestClass, Settings
 from topazbank.core.body import Large, Spool, Stream
-from topazbank.interface import Outcome, Repeat, ServiceClass, Settings
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -26,7 +27,7 @@
 _VISIBLE = re.compile(r"[!-~]+")
 
 
-class BadCall(Exception):
+class InvalidRequest(Exception):
     """What can't be taken from a client; the status, HTTP's where there is one, tells why."""
 
     def __init__(self, status: int, why: str) -> None:
@@ -44,7 +45,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class FinalAnswer:
     """The one final answer of a call."""
 
     verdict: Verdict
@@ -54,7 +55,7 @@
     stream: Stream | None = None  # with SERVED: a large body, of which only the first bytes are here
 
 
-FAILED = Answer(Verdict.FAILED)
+FAILED = FinalAnswer(Verdict.FAILED)
 
 
 def _is_here() -> bool:
@@ -66,7 +67,7 @@
     """A client's request, whatever it came in; it is answered once."""
 
     ident: str
-    kind: ServiceClass
+    kind: RequestClass
     target: bytes  # path and query, as HTTP has them
     body: bytes
     tenant: str | None  # None where the settings name no tenants
@@ -75,7 +76,7 @@
     cost_us: int | None
     again: bool  # marked by the client as a retry
     idempotency_key: str | None
-    answer: Callable[[Answer], None]
+    answer: Callable[[FinalAnswer], None]
     caller: str | None = None  # the tenant's name as given
     about: Headers | None = None  # of the body: content-type, content-encoding
     headers: Headers | None = (
@@ -105,11 +106,11 @@
     stream: Stream | None = None  # the body, where it has only begun
 
 
-Ended = Callable[[Outcome, Response | None], None]  # hears an attempt's outcome, exactly once
+OutcomeCallback = Callable[[Outcome, Response | None], None]  # hears an attempt's outcome, exactly once
 
 
 @dataclass(slots=True)
-class Hooks:
+class RequestCallbacks:
     """What a front asks of the driver."""
 
     taken: Callable[[Call], None]
@@ -120,17 +121,17 @@
     spool: Spool = field(default_factory=lambda: Spool(None))  # where large bodies are kept
 
 
-class Rulebook:
+class RequestClasses:
     """What the settings say of calls, looked up by name; every front checks against it."""
 
     def __init__(self, settings: Settings) -> None:
         self.classes = {each.name: each for each in settings.classes}
         self._tenants = frozenset(each.name for each in settings.tenants)
 
-    def kind(self, name: str) -> ServiceClass:
+    def kind(self, name: str) -> RequestClass:
         kind = self.classes.get(name)
         if kind is None:
-            raise BadCall(400, "x-call-class is not known")
+            raise InvalidRequest(400, "x-call-class is not known")
         return kind
 
     def tenant(self, caller: str | None) -> str | None:
@@ -138,20 +139,20 @@
         if not self._tenants or caller is None:
             return None
         if caller not in self._tenants:
-            raise BadCall(400, "x-caller is not known")
+            raise InvalidRequest(400, "x-caller is not known")
         return caller
 
     @staticmethod
     def check(call: Call) -> None:
         """What a class says of its requests: how they come, and how long they may take."""
         if len(call.ident) > IDENT_MOST:
-            raise BadCall(400, "x-call-id is too long")
-        if call.kind.repeat is Repeat.SAFE and (call.body or call.large is not None):
-            raise BadCall(400, "a body belongs to no request that is safe to repeat")
-        if call.kind.repeat is Repeat.KEYED and not call.idempotency_key:
-            raise BadCall(400, "idempotency-key is missing")  # servers could not drop its repeats
+            raise InvalidRequest(400, "x-call-id is too long")
+        if call.kind.idempotency is Idempotency.IDEMPOTENT and (call.body or call.large is not None):
+            raise InvalidRequest(400, "a body belongs to no request that is safe to repeat")
+        if call.kind.idempotency is Idempotency.KEYED and not call.idempotency_key:
+            raise InvalidRequest(400, "idempotency-key is missing")  # servers could not drop its repeats
         if call.budget_us > OVER_DEADLINE * call.kind.deadline_us:
-            raise BadCall(400, "x-budget is longer than the deadline of the class")
+            raise InvalidRequest(400, "x-budget is longer than the deadline of the class")
 
 
 def is_visible(text: str) -> bool:
