--- a/topazbank/core/driver.py
+++ b/topazbank/core/driver.py
@@ -18,52 +18,51 @@
 from functools import partial
 from typing import Any, Protocol
 
-from topazbank.balancer import Balancer
-from topazbank.core.body import Spool
-from topazbank.core.call import FAILED, Answer, Call, Hooks, Response, Rulebook, Verdict
-from topazbank.core.counters import Counters
-from topazbank.core.list_follower import ListFollower
-from topazbank.core.listener import Frontend, Speaks
-from topazbank.core.members import Dialects, Source, Told
-from topazbank.core.net import Address
-from topazbank.core.nodes import Attempt, Carrier, Nodes, Slots, Terms
-from topazbank.core.peers import Peers, Tier
-from topazbank.core.request_rules import Denied, RequestRules
-from topazbank.core.timers import Timer, Timers
-from topazbank.core.trace import Trace
-from topazbank.interface import (
+from topazbank.balancing.actions import (
     Action,
-    AnswerStarted,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    Fail,
+    LogMessage,
+    Reject,
+    SendAttempt,
+    SendGossip,
+    SetTimer,
+    WatchEndpoints,
+)
+from topazbank.balancing.balancer import Balancer
+from topazbank.balancing.events import (
     AttemptEnded,
-    Cancel,
-    CloseIdle,
+    EndpointsUpdated,
     Event,
-    Fail,
-    FetchList,
-    Follow,
-    Guide,
-    ListedServer,
-    ListKind,
-    Log,
-    MessageReceived,
+    GossipReceived,
+    HealthCheckEnded,
     Outcome,
-    Probe,
-    ProbeEnded,
-    Refuse,
     RequestArrived,
-    RequestGone,
-    Send,
-    ServersListed,
-    SetTimer,
-    Settings,
-    Spending,
-    Tell,
+    RequestCancelled,
+    ResponseStarted,
+    ServerDescription,
     TimerFired,
+    UpdateKind,
 )
-from topazbank.interface import Discovery as DiscoveryMode
-from topazbank.operation.drain import Drain
-from topazbank.sight.others import Others
-from topazbank.tier.member import Lives
+from topazbank.balancing.fleet import FleetQuota, RoutingPlan
+from topazbank.balancing.settings import DiscoveryMode, Settings
+from topazbank.cluster.member import Generations
+from topazbank.core.body import Spool
+from topazbank.core.call import FAILED, Call, FinalAnswer, RequestCallbacks, RequestClasses, Response, Verdict
+from topazbank.core.counters import Counters
+from topazbank.core.endpoint_source import EndpointList, EndpointSource, ProtocolDefaults
+from topazbank.core.endpoint_watcher import EndpointWatcher
+from topazbank.core.endpoints import Attempt, AttemptDeadlines, ConnectionLimit, EndpointTable, UpstreamClient
+from topazbank.core.gossip_transport import GossipAddresses, GossipTransport
+from topazbank.core.listener import ConnectionFactory, Listener
+from topazbank.core.net import Address
+from topazbank.core.request_rules import Denied, RequestRules
+from topazbank.core.timers import Timer, Timers
+from topazbank.core.trace import Trace
+from topazbank.estimation.fleet_size import FleetSize
+from topazbank.operations.drain import Drain
 
 log = logging.getLogger(__name__)
 
@@ -114,7 +113,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
+class SidecarConfig:
     """All that a sidecar is told."""
 
     listen: Address
@@ -122,22 +121,24 @@
     seed: int
     sockets: int
     settings: Settings
-    known: Told
-    tier: Tier | None = None  # None: sidecars do not hear one another
+    known: EndpointList
+    tier: GossipAddresses | None = None  # None: sidecars do not hear one another
     operator: Address | None = None  # where operators call; None: nowhere
-    others: Others | None = None  # the size of the tier, as it is seen; None: nobody looks
+    others: FleetSize | None = None  # the size of the tier, as it is seen; None: nobody looks
     folder: str | None = None  # where one process of a sidecar hands over to the next; None: nowhere
     inherited: bool = False  # whether `known` is from the process before, in an upgrade
 
 
-class Observer(Guide, Protocol):
+class RequestObserver(RoutingPlan, Protocol):
     """What watches the sidecar's requests and may guide its decision module; none costs nothing."""
 
-    def start(self, ejected: Callable[[], Collection[str]], lives: Callable[[], Lives | None]) -> None: ...
+    def start(
+        self, ejected: Callable[[], Collection[str]], lives: Callable[[], Generations | None]
+    ) -> None: ...
 
     def stop(self) -> None: ...
 
-    def listed(self, servers: Sequence[ListedServer]) -> None: ...
+    def listed(self, servers: Sequence[ServerDescription]) -> None: ...
 
     def arrived(self, kind: str) -> None: ...
 
@@ -152,7 +153,7 @@
     def show(self) -> dict[str, Any]: ...
 
 
-class TierPart(Protocol):
+class ClusterMembership(Protocol):
     """What finds out who of the tier is here; none costs nothing."""
 
     def start(self, send: Callable[[Address, bytes], None]) -> None: ...
@@ -167,9 +168,9 @@
 
     def stop(self) -> None: ...
 
-    def lives(self) -> Lives: ...
+    def lives(self) -> Generations: ...
 
-    def spending(self, offset_us: int) -> Spending | None: ...
+    def spending(self, offset_us: int) -> FleetQuota | None: ...
 
     def show(self) -> dict[str, Any]: ...
 
@@ -177,18 +178,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wiring:
+class Components:
     """The protocols that a sidecar speaks: what makes its clients' connections, and its carriers by name."""
 
-    text: Speaks
-    binary: Speaks | None
-    carriers: Callable[[Settings, Slots], Mapping[str, Carrier]]
-    source: Callable[[Config, Callable[[Told | None], None]], Source]
+    text: ConnectionFactory
+    binary: ConnectionFactory | None
+    carriers: Callable[[Settings, ConnectionLimit], Mapping[str, UpstreamClient]]
+    source: Callable[[SidecarConfig, Callable[[EndpointList | None], None]], EndpointSource]
     show_roster: bool = False  # whether clients may ask for the list as it stands
-    dialects: Dialects = field(default_factory=Dialects)
-    observer: Callable[[Config, Callable[[], int]], Observer] | None = None
+    dialects: ProtocolDefaults = field(default_factory=ProtocolDefaults)
+    observer: Callable[[SidecarConfig, Callable[[], int]], RequestObserver] | None = None
     trace: Callable[[Balancer], Trace] | None = None
-    tier_part: Callable[[Config, Others, Mapping[str, Any]], TierPart] | None = None
+    tier_part: Callable[[SidecarConfig, FleetSize, Mapping[str, Any]], ClusterMembership] | None = None
 
 
 class Sidecar:
@@ -196,8 +197,8 @@
 
     def __init__(
         self,
-        config: Config,
-        wiring: Wiring,
+        config: SidecarConfig,
+        wiring: Components,
         clock: Clock | None = None,
         clients: socket.socket | None = None,
         peers: socket.socket | None = None,
@@ -222,47 +223,48 @@
         self._events: deque[Event] = deque()
         self._handling = False
         self.connections_most = half = max((config.sockets - _FDS_KEPT) // 2, 1)
-        self._nodes = Nodes(Slots(half), _PROBE_DIALS * settings.limits.dial_timeout_us / 1e6)
+        self._nodes = EndpointTable(
+            ConnectionLimit(half), _PROBE_DIALS * settings.limits.connect_timeout_us / 1e6
+        )
         for protocol, carrier in wiring.carriers(settings, self._nodes.slots).items():
             self._nodes.add(protocol, carrier)
         self._known = config.known
         self._inherited = config.inherited
         pushed = settings.discovery is DiscoveryMode.PUSHED
-        self.server_list = ListFollower(config.known, pushed, self._nodes, self._servers_listed)
+        self.server_list = EndpointWatcher(config.known, pushed, self._nodes, self._servers_listed)
         self.server_list.come_from(partial(wiring.source, self._with_others(config)), wiring.dialects)
-        told = config.tier is not None and settings.limits.may_message
+        told = config.tier is not None and settings.limits.gossip
         self._peers = None
-        self._tier_part: TierPart | None = None
+        self._tier_part: ClusterMembership | None = None
         if told and config.tier is not None:
             member = None
             if wiring.tier_part is not None:
                 self._tier_part = wiring.tier_part(config, self._balancer.others, tier or {})
                 member = self._tier_part.datagram
                 self._balancer.spending = self._tier_part.spending(self._clock.offset_us)
-            self._peers = Peers(config.tier, self._message, peers, member)
+            self._peers = GossipTransport(config.tier, self._message, peers, member)
         roster = self._show_roster if wiring.show_roster else None
         self.drain = Drain(max(each.deadline_us for each in settings.classes) / 1e6)
         self._looking: asyncio.TimerHandle | None = None  # at what holds, while the sidecar is emptied
         self._over = asyncio.Event()
         self._spool = Spool(config.folder)
         ready = self.drain.is_ready
-        hooks = Hooks(self._taken, self._gone, self._out.__contains__, ready, roster, self._spool)
-        rules = Rulebook(settings)
-        self.frontend = Frontend(
+        hooks = RequestCallbacks(self._taken, self._gone, self._out.__contains__, ready, roster, self._spool)
+        rules = RequestClasses(settings)
+        self.frontend = Listener(
             config.listen, half, hooks, rules, wiring.text, wiring.binary, clients, self.counters
         )
         self._carry: dict[type[Any], Callable[[Any], None]] = {
-            Send: self._send,
-            Refuse: self._refuse,
+            SendAttempt: self._send,
+            Reject: self._refuse,
             Fail: self._fail,
-            Cancel: self._cancel,
+            CancelAttempt: self._cancel,
             SetTimer: self._set_timer,
-            Probe: self._probe,
-            CloseIdle: lambda action: self._nodes.close_idle(action.server),
-            Follow: lambda action: self.server_list.source.follow(action.wanted),
-            FetchList: lambda _: self.server_list.source.fetch(),
-            Tell: self._tell,
-            Log: lambda action: log.info("%s", action.text),
+            CheckHealth: self._probe,
+            CloseIdleConnections: lambda action: self._nodes.close_idle(action.server),
+            WatchEndpoints: lambda action: self.server_list.source.follow(action.wanted),
+            SendGossip: self._tell,
+            LogMessage: lambda action: log.info("%s", action.text),
         }
 
     # -- Life -----------------------------------------------------------------------------------------
@@ -278,16 +280,19 @@
         `began` is called once requests are taken; `succeeded` says whether another process takes what is new.
         """
         if self._trace is not None:
-            classes = [(each.name, each.worth, each.aim_us) for each in self._settings.classes]
-            self._trace.begin(self._clock.now(), classes, self._settings.group_size)
+            classes = [
+                (each.name, each.priority_weight, each.latency_objective_us)
+                for each in self._settings.classes
+            ]
+            self._trace.begin(self._clock.now(), classes, self._settings.fleet_size)
         rules = self._settings.rules
         log.info(
             "list at the start: version %d, %d servers; ask within %.1f s, drain grace %.2f s, %d sidecars",
             self._known.version,
             len(self._known.lines),
-            rules.ask_within_us / 1e6,
+            rules.poll_within_us / 1e6,
             rules.drain_grace_us / 1e6,
-            self._settings.group_size,
+            self._settings.fleet_size,
         )
         self.server_list.begin(at_once=self._inherited)
         if self._peers is not None:
@@ -329,7 +334,7 @@
             asyncio.get_running_loop().create_task(self._resume(self._peers, self._tier_part))
 
     @staticmethod
-    async def _resume(peers: Peers, part: TierPart) -> None:
+    async def _resume(peers: GossipTransport, part: ClusterMembership) -> None:
         await peers.resume()
         part.resume()
 
@@ -342,13 +347,13 @@
         """Go on with discovery at another address; also where it is the same, asked for by name."""
         self.server_list.move(address)
 
-    def replace_source(self, config: Config, wiring: Wiring) -> None:
+    def replace_source(self, config: SidecarConfig, wiring: Components) -> None:
         """Turn to another source of the list; the list as it is holds until the new one has told a whole one."""
         log.info("the list comes from other sources now")
         self.server_list.come_from(partial(wiring.source, self._with_others(config)), wiring.dialects)
         self.server_list.replaced()
 
-    def _with_others(self, config: Config) -> Config:
+    def _with_others(self, config: SidecarConfig) -> SidecarConfig:
         return replace(config, others=self._balancer.others)
 
     def carry_out(self) -> None:
@@ -380,7 +385,7 @@
         return [self.frontend.sock, *([peers] if peers is not None else [])]
 
     @property
-    def known(self) -> Told:
+    def known(self) -> EndpointList:
         """The list as it was taken so far."""
         return self.server_list.known
 
@@ -471,9 +476,9 @@
             live.answered = live.call.over = True
         for live in lives:
             self._mark_answered(live)
-            self.handle(RequestGone(live.ident))
+            self.handle(RequestCancelled(live.ident))
 
-    def _answer(self, live: Live, answer: Answer) -> None:
+    def _answer(self, live: Live, answer: FinalAnswer) -> None:
         if live.answered:
             return
         if self._observer is not None:
@@ -498,10 +503,10 @@
             self._out.discard(live.call.ident)
             live.call.release()
 
-    def _refuse(self, action: Refuse) -> None:
+    def _refuse(self, action: Reject) -> None:
         live = self._live.get(action.request)
         if live is not None:
-            self._answer(live, Answer(Verdict.REFUSED, retry_after_us=action.retry_after_us))
+            self._answer(live, FinalAnswer(Verdict.REFUSED, retry_after_us=action.retry_after_us))
 
     def _fail(self, action: Fail) -> None:
         live = self._live.get(action.request)
@@ -510,7 +515,7 @@
 
     # -- Attempts -------------------------------------------------------------------------------------
 
-    def _send(self, action: Send) -> None:
+    def _send(self, action: SendAttempt) -> None:
         live = self._live.get(action.request)
         denied: Denied | None = Denied.OVER
         if live is not None:
@@ -527,14 +532,14 @@
         live.out[index] = None
         if self._observer is not None:
             self._observer.sent(action.server)
-        last = not 0 < action.until < live.answer_by
-        until = self._clock.on_loop(live.answer_by if last else action.until)
+        last = not 0 < action.give_up_at < live.answer_by
+        until = self._clock.on_loop(live.answer_by if last else action.give_up_at)
         ended = partial(self._attempt_ended, live, index, action.server, self._clock.now())
         try:
-            terms = Terms(until, last, self._clock.on_loop(action.write_by), self._request_rules)
+            terms = AttemptDeadlines(until, last, self._clock.on_loop(action.write_by), self._request_rules)
             attempt = self._nodes.send(action.server, live.call, terms, ended)
         except Exception:
-            ended(Outcome.DROPPED, None)  # a defect; nobody knows how far it went
+            ended(Outcome.CONNECTION_LOST, None)  # a defect; nobody knows how far it went
             raise
         if index in live.out:
             live.out[index] = attempt
@@ -548,8 +553,8 @@
             return
         elapsed = self._clock.now() - sent_at
         live.began = (index, elapsed)
-        self._answer(live, Answer(Verdict.SERVED, response.body, response.about, stream=response.stream))
-        self.handle(AnswerStarted(live.ident, index, server, elapsed))
+        self._answer(live, FinalAnswer(Verdict.SERVED, response.body, response.about, stream=response.stream))
+        self.handle(ResponseStarted(live.ident, index, server, elapsed))
 
     def _attempt_ended(
         self, live: Live, index: int, server: str, sent_at: int, outcome: Outcome, response: Response | None
@@ -558,7 +563,7 @@
             return
         del live.out[index]
         if outcome is Outcome.DELIVERED and response is not None:
-            self._answer(live, Answer(Verdict.SERVED, response.body, response.about))
+            self._answer(live, FinalAnswer(Verdict.SERVED, response.body, response.about))
         elapsed = self._clock.now() - sent_at
         if live.began is not None and live.began[0] == index:
             elapsed = live.began[1]
@@ -568,33 +573,33 @@
         self._forget_if_over(live)
         self.handle(AttemptEnded(live.ident, index, server, outcome, elapsed, live.answered, report))
 
-    def _cancel(self, action: Cancel) -> None:
+    def _cancel(self, action: CancelAttempt) -> None:
         live = self._live.get(action.request)
         attempt = live.out.get(action.attempt) if live is not None else None
         if attempt is not None:
             attempt.cancel(final=live is not None and live.answered)
 
-    def _probe(self, action: Probe) -> None:
+    def _probe(self, action: CheckHealth) -> None:
         self._nodes.probe(action.server, partial(self._probed, action.server, self._clock.now()))
 
     def _probed(self, server: str, sent_at: int, outcome: Outcome, response: Response | None) -> None:
         report = response.report if response is not None else None
-        self.handle(ProbeEnded(server, outcome, self._clock.now() - sent_at, report))
+        self.handle(HealthCheckEnded(server, outcome, self._clock.now() - sent_at, report))
 
-    def _tell(self, action: Tell) -> None:
+    def _tell(self, action: SendGossip) -> None:
         if self._peers is not None:
             self._peers.tell(action.receiver, action.payload)
 
     def _message(self, sender: int, payload: bytes) -> None:
-        self.handle(MessageReceived(sender, payload))
+        self.handle(GossipReceived(sender, payload))
 
     # -- Timers and the list --------------------------------------------------------------------------
 
     def _set_timer(self, action: SetTimer) -> None:
         asyncio.get_running_loop().call_later(action.in_us / 1e6, self.handle, TimerFired(action.token))
 
-    def _servers_listed(self, event: ServersListed) -> None:
-        if self._observer is not None and event.kind is not ListKind.FAILED:
+    def _servers_listed(self, event: EndpointsUpdated) -> None:
+        if self._observer is not None and event.kind is not UpdateKind.FAILED:
             self._observer.listed(event.servers)
         self.handle(event)
 
--- a/topazbank/core/listing.py
+++ b/topazbank/core/endpoint_list.py
@@ -7,45 +7,47 @@
 
 from __future__ import annotations
 
-from topazbank.core.members import Listed, Told, as_gone
-from topazbank.interface import ServerState
+from topazbank.balancing.events import ServerState
+from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, as_removed
 
 STEP = 100  # lines a step: about a millisecond
 
 
-class Listing:
+class PendingUpdates:
     """The list as it was taken so far, and what still waits."""
 
     def __init__(self) -> None:
         self.version = 0  # the newest that was told
         self.taken_version = 0  # the newest of which nothing waits any more
-        self._taken: dict[str, Listed] = {}
-        self._leaving: dict[str, Listed] = {}  # wait: nodes that take nothing new; at most one line a node
-        self._others: dict[str, Listed] = {}  # wait: the rest, likewise
+        self._taken: dict[str, DiscoveredServer] = {}
+        self._leaving: dict[
+            str, DiscoveredServer
+        ] = {}  # wait: nodes that take nothing new; at most one line a node
+        self._others: dict[str, DiscoveredServer] = {}  # wait: the rest, likewise
         self._told_at: dict[str, float] = {}  # when each node that is listed was last told of
         self._displaced: set[str] = set()  # names whose address another has; of those that are told still
 
-    def told(self, now: float, told: Told) -> None:
+    def told(self, now: float, told: EndpointList) -> None:
         """Hear a list or changes; they wait until they are taken."""
         self.version = told.version
         if told.complete:
             self._whole(now, told.lines)
             return
         for line in told.lines:
-            name = line.server.server
+            name = line.server.name
             self._wait(name, line)
-            if line.server.state is ServerState.GONE:
+            if line.server.state is ServerState.REMOVED:
                 self._told_at.pop(name, None)
             else:
                 self._told_at[name] = now
 
-    def _whole(self, now: float, lines: list[Listed]) -> None:
+    def _whole(self, now: float, lines: list[DiscoveredServer]) -> None:
         self._leaving.clear()
         self._others.clear()
-        listed = {line.server.server: line for line in lines}
+        listed = {line.server.name: line for line in lines}
         # Gone first.  The displaced come last: until their address is looked at anew they would count as there.
         for name in self._taken.keys() - listed.keys():
-            self._leaving[name] = as_gone(self._taken[name])
+            self._leaving[name] = as_removed(self._taken[name])
         for name in self._displaced & listed.keys():
             listed[name] = listed.pop(name)
         self._displaced &= listed.keys()
@@ -56,13 +58,13 @@
                 self._leaving[name] = line
         self._told_at = dict.fromkeys(listed, now)
 
-    def _wait(self, name: str, line: Listed) -> None:
+    def _wait(self, name: str, line: DiscoveredServer) -> None:
         self._leaving.pop(name, None)
         self._others.pop(name, None)
         ready = line.server.state is ServerState.READY
         (self._others if ready else self._leaving)[name] = line
 
-    def taken(self) -> list[Listed]:
+    def taken(self) -> list[DiscoveredServer]:
         """The list as it was taken so far."""
         return list(self._taken.values())
 
@@ -73,7 +75,7 @@
         """Whether a word on this node still waits."""
         return name in self._leaving or name in self._others
 
-    def take(self, most: int = STEP) -> list[Listed]:
+    def take(self, most: int = STEP) -> list[DiscoveredServer]:
         """The next lines that say something new, at most so many are looked at."""
         lines = []
         for _ in range(most):
@@ -85,7 +87,7 @@
             if self._taken.get(name) == line:
                 continue
             self._displaced.discard(name)
-            if line.server.state is ServerState.GONE:
+            if line.server.state is ServerState.REMOVED:
                 self._taken.pop(name, None)
             else:
                 self._taken[name] = line
--- a/topazbank/core/members.py
+++ b/topazbank/core/endpoint_source.py
@@ -6,40 +6,40 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
+from topazbank.balancing.events import ServerDescription, ServerState
+from topazbank.core.endpoints import HTTP
 from topazbank.core.net import Address
-from topazbank.core.nodes import HTTP
-from topazbank.interface import ListedServer, ServerState
 
 
 @dataclass(slots=True)
-class Listed:
+class DiscoveredServer:
     """A line of the list, with the address that the node has for this sidecar."""
 
-    server: ListedServer
+    server: ServerDescription
     address: Address | None
     protocol: str | None = None  # what it speaks; None where the entry does not say
 
 
-def as_gone(line: Listed) -> Listed:
+def as_removed(line: DiscoveredServer) -> DiscoveredServer:
     """The same node, told to have gone."""
     server = line.server
-    gone = ListedServer(
-        server.server, server.zone, server.kind, server.cell, ServerState.GONE, server.nominal
+    gone = ServerDescription(
+        server.name, server.zone, server.kind, server.cell, ServerState.REMOVED, server.nominal_capacity
     )
-    return Listed(gone, line.address, line.protocol)
+    return DiscoveredServer(gone, line.address, line.protocol)
 
 
 @dataclass(slots=True)
-class Told:
+class EndpointList:
     """What a source answered."""
 
     version: int
     complete: bool
-    lines: list[Listed]
+    lines: list[DiscoveredServer]
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class SourceStatus:
     """What a source can say of itself."""
 
     source: str
@@ -47,7 +47,7 @@
     heard_at: float | None  # when it last was, on the event loop's clock; None: never
 
 
-class Source(Protocol):
+class EndpointSource(Protocol):
     """A membership source; it tells each list, or None for a call that failed, to whoever made it."""
 
     def follow(self, wanted: bool) -> None:
@@ -61,7 +61,7 @@
 
     def stop(self) -> None: ...
 
-    def standing(self) -> tuple[Standing, ...]:
+    def standing(self) -> tuple[SourceStatus, ...]:
         """Whether it can know, and how old its word is; several, where it is made of several."""
 
     def source_of(self, name: str) -> str:
@@ -69,13 +69,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Dialects:
+class ProtocolDefaults:
     """Which protocol a node speaks: its entry's word, else its pod's, else the installation's default."""
 
     default: str = HTTP
     pods: Mapping[int, str] = field(default_factory=dict)
 
-    def of(self, line: Listed) -> str:
+    def of(self, line: DiscoveredServer) -> str:
         if line.protocol is not None:
             return line.protocol
         return self.pods.get(line.server.cell, self.default)
--- a/topazbank/core/list_follower.py
+++ b/topazbank/core/endpoint_watcher.py
@@ -13,56 +13,66 @@
 from dataclasses import replace
 from typing import Final
 
-from topazbank.core.listing import Listing
-from topazbank.core.members import Dialects, Listed, Source, Standing, Told
+from topazbank.balancing.events import EndpointsUpdated, ServerDescription, ServerState, UpdateKind
+from topazbank.core.endpoint_list import PendingUpdates
+from topazbank.core.endpoint_source import (
+    DiscoveredServer,
+    EndpointList,
+    EndpointSource,
+    ProtocolDefaults,
+    SourceStatus,
+)
+from topazbank.core.endpoints import HTTP, EndpointTable
 from topazbank.core.net import Address
-from topazbank.core.nodes import HTTP, Nodes
-from topazbank.interface import ListedServer, ListKind, ServersListed, ServerState
 
 log = logging.getLogger(__name__)
 
 PUSHED_AGAIN_S: Final = 0.2  # from a failed call to the agent until the next
 PUSHED_BESIDE_S: Final = 0.4  # from a call that it has not answered until one beside it: it answers at once
 
-Hear = Callable[[Told | None], None]
+Hear = Callable[[EndpointList | None], None]
 
 
-class ListFollower:
+class EndpointWatcher:
     """The list as it was taken so far, and the source that it comes from."""
 
     def __init__(
-        self, known: Told, pushed: bool, nodes: Nodes, take: Callable[[ServersListed], None]
+        self,
+        known: EndpointList,
+        pushed: bool,
+        nodes: EndpointTable,
+        take: Callable[[EndpointsUpdated], None],
     ) -> None:
         """`known`: the list as last held; `pushed`: whether an agent holds it; `take` hears of each step."""
-        self.listing = Listing()
+        self.listing = PendingUpdates()
         self._known = known
         self._pushed = pushed
         self._nodes = nodes
         self._take = take
-        self._dialects = Dialects()
-        self._source: Source | None = None
+        self._dialects = ProtocolDefaults()
+        self._source: EndpointSource | None = None
         self._sources = 0  # so far: what a former one tells late is not heard
         self._stepping = False  # whether the next step is due in the loop's next turn
         self._calling: asyncio.TimerHandle | None = None  # the next call to the agent
 
     @property
-    def source(self) -> Source:
+    def source(self) -> EndpointSource:
         assert self._source is not None
         return self._source
 
     @property
-    def known(self) -> Told:
+    def known(self) -> EndpointList:
         """The list as it was taken so far; its version is one of which nothing waits to be taken."""
-        return Told(self.listing.taken_version, True, self.listing.taken())
+        return EndpointList(self.listing.taken_version, True, self.listing.taken())
 
-    def come_from(self, make: Callable[[Hear], Source], dialects: Dialects) -> None:
+    def come_from(self, make: Callable[[Hear], EndpointSource], dialects: ProtocolDefaults) -> None:
         """Take this source from now on, in place of the one before."""
         if self._source is not None:
             self._source.stop()
         self._sources += 1
         number = self._sources
 
-        def hear(told: Told | None) -> None:
+        def hear(told: EndpointList | None) -> None:
             if number == self._sources:
                 self.told(told)
 
@@ -72,7 +82,7 @@
     def begin(self, at_once: bool) -> None:
         """Take the list of before the start, whole, as nobody waits yet; `at_once`: call for news now."""
         self.listing.told(asyncio.get_running_loop().time(), self._known)
-        self._take_lines(ListKind.REMEMBERED, self.listing.take(len(self._known.lines)))
+        self._take_lines(UpdateKind.CACHED, self.listing.take(len(self._known.lines)))
         if self._pushed:
             self._call_agent()
         elif at_once:
@@ -92,18 +102,18 @@
         self._end_calls()
         self.source.stop()
 
-    def told(self, told: Told | None) -> None:
+    def told(self, told: EndpointList | None) -> None:
         """Hear from the source: a list or changes, or None, a call that failed."""
         if told is not None:
             self._end_calls()
             self.listing.told(asyncio.get_running_loop().time(), told)
             self._take_step()
             return
-        self._take(ServersListed(ListKind.FAILED))
+        self._take(EndpointsUpdated(UpdateKind.FAILED))
         if self._pushed and self._calling is None:
             self._calling = asyncio.get_running_loop().call_later(PUSHED_AGAIN_S, self._call_agent)
 
-    def standing(self) -> tuple[Standing, ...]:
+    def standing(self) -> tuple[SourceStatus, ...]:
         return self.source.standing()
 
     # -- The agent that holds pushed lists ------------------------------------------------------------
@@ -122,7 +132,7 @@
 
     def _take_step(self) -> None:
         """Take some of what was told now, and the rest in the loop's next turns: requests go on between."""
-        self._take_lines(ListKind.CHANGES, self.listing.take())
+        self._take_lines(UpdateKind.DELTA, self.listing.take())
         if self.listing.waits() and not self._stepping:
             self._stepping = True
             asyncio.get_running_loop().call_soon(self._next_step)
@@ -131,27 +141,27 @@
         self._stepping = False
         self._take_step()
 
-    def _take_lines(self, kind: ListKind, lines: Sequence[Listed]) -> None:
+    def _take_lines(self, kind: UpdateKind, lines: Sequence[DiscoveredServer]) -> None:
         """Note the addresses first: the decision module may send on hearing of a server."""
         servers = [self._noted(line) for line in lines]
         for name in self._nodes.displace(self.listing.awaits):
             self.listing.displaced(name)
-            servers.append(ListedServer(name, state=ServerState.GONE))
-        self._take(ServersListed(kind, servers, self.listing.version))
+            servers.append(ServerDescription(name, state=ServerState.REMOVED))
+        self._take(EndpointsUpdated(kind, servers, self.listing.version))
 
-    def _noted(self, line: Listed) -> ListedServer:
+    def _noted(self, line: DiscoveredServer) -> ServerDescription:
         """Note what a line says of its server's connections; a defect there keeps no other line from being taken."""
         server, protocol = line.server, self._dialects.of(line)
         if not self._nodes.speaks(protocol):
             server, protocol = _not_spoken(server, protocol), HTTP
         try:
-            self._nodes.update(server.server, line.address, server.started_at, server.state, protocol)
+            self._nodes.update(server.name, line.address, server.started_at, server.state, protocol)
         except Exception:
             log.exception("could not take %.200r", line)
         return server
 
 
-def _not_spoken(server: ListedServer, protocol: str) -> ListedServer:
+def _not_spoken(server: ServerDescription, protocol: str) -> ServerDescription:
     """A server that nothing here can speak to takes nothing new."""
-    log.warning("%s speaks %.40r, which is not spoken here: nothing new goes there", server.server, protocol)
+    log.warning("%s speaks %.40r, which is not spoken here: nothing new goes there", server.name, protocol)
     return replace(server, state=ServerState.DRAINING) if server.state is ServerState.READY else server
--- a/topazbank/core/nodes.py
+++ b/topazbank/core/endpoints.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from topazbank.core.call import Call, Ended, Response
+from topazbank.balancing.events import Outcome, ServerState
+from topazbank.core.call import Call, OutcomeCallback, Response
 from topazbank.core.net import Address
 from topazbank.core.request_rules import RequestRules
 from topazbank.core.timers import Timer, Timers
-from topazbank.interface import Outcome, ServerState
 
 log = logging.getLogger(__name__)
 
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class AttemptDeadlines:
     """The times of an attempt, on the event loop's clock."""
 
     until: float  # when it is given up
@@ -52,7 +52,9 @@
 class Attempt:
     """One attempt or probe, from its start to its one outcome."""
 
-    def __init__(self, endpoint: Endpoint, terms: Terms, ended: Ended, call: Call | None = None) -> None:
+    def __init__(
+        self, endpoint: Endpoint, terms: AttemptDeadlines, ended: OutcomeCallback, call: Call | None = None
+    ) -> None:
         """`call`: of an attempt; a probe has none."""
         self.endpoint = endpoint
         self.until = terms.until
@@ -60,7 +62,7 @@
         self._rules = terms.rules
         self._let_go = False  # whether its first byte was let go to the server
         self.call = call
-        self.ended: Ended | None = ended
+        self.ended: OutcomeCallback | None = ended
         self.began: Callable[[Response], None] | None = (
             None  # hears of an answer that is passed on as it comes
         )
@@ -124,7 +126,7 @@
     attempt.unsend()
 
 
-class Carrier(Protocol):
+class UpstreamClient(Protocol):
     """What speaks one protocol to nodes."""
 
     def open(self, endpoint: Endpoint) -> None:
@@ -141,9 +143,11 @@
 
     def close_idle(self, endpoint: Endpoint) -> None: ...
 
-    def send(self, endpoint: Endpoint, call: Call, terms: Terms, ended: Ended) -> Attempt: ...
+    def send(
+        self, endpoint: Endpoint, call: Call, terms: AttemptDeadlines, ended: OutcomeCallback
+    ) -> Attempt: ...
 
-    def probe(self, endpoint: Endpoint, until: float, ended: Ended) -> Attempt: ...
+    def probe(self, endpoint: Endpoint, until: float, ended: OutcomeCallback) -> Attempt: ...
 
     def most_idle(self) -> int:
         """How many connections rest at the node where the most do."""
@@ -155,13 +159,13 @@
         """Close what is idle and wait for dials to end."""
 
 
-class Slots:
+class ConnectionLimit:
     """Connections to nodes, and dials under way, of all carriers together: guards the descriptors."""
 
     def __init__(self, most: int) -> None:
         self.most = most
         self.open = 0
-        self.carriers: list[Carrier] = []
+        self.carriers: list[UpstreamClient] = []
 
     def is_full(self) -> bool:
         return self.open >= self.most
@@ -184,18 +188,18 @@
         self.open -= 1
 
 
-class Nodes:
+class EndpointTable:
     """All nodes by name, each with the carrier of its protocol."""
 
-    def __init__(self, slots: Slots, probe_limit_s: float) -> None:
+    def __init__(self, slots: ConnectionLimit, probe_limit_s: float) -> None:
         self.slots = slots
         self.endpoints: dict[str, Endpoint] = {}  # of the nodes that the list holds now
         self._at: dict[Address, dict[str, Endpoint]] = {}  # the same, by address
         self._contested: set[Address] = set()  # where two listen, so the list says; not looked at yet
-        self._carriers: dict[str, Carrier] = {}
+        self._carriers: dict[str, UpstreamClient] = {}
         self._probe_limit_s = probe_limit_s
 
-    def add(self, protocol: str, carrier: Carrier) -> None:
+    def add(self, protocol: str, carrier: UpstreamClient) -> None:
         self._carriers[protocol] = carrier
         self.slots.carriers.append(carrier)
 
@@ -212,17 +216,17 @@
     ) -> None:
         """Note what the list says of a node; a new process or place makes its old connections useless."""
         known = self.endpoints.get(name)
-        if known is not None and known.protocol != protocol and state is not ServerState.GONE:
+        if known is not None and known.protocol != protocol and state is not ServerState.REMOVED:
             self._remove(known)  # what it speaks now is another process's
             known = None
         if known is None:
-            if state is not ServerState.GONE:
+            if state is not ServerState.REMOVED:
                 known = Endpoint(name, address or _NOWHERE, started_at, state, protocol)
                 self._carriers[protocol].open(known)
                 self.endpoints[name] = known
                 self._settle(known)
             return
-        if state is ServerState.GONE:
+        if state is ServerState.REMOVED:
             self._remove(known)
             return
         address = address or known.address
@@ -240,7 +244,7 @@
             self._carriers[protocol].withdraw(known)
 
     def _remove(self, endpoint: Endpoint) -> None:
-        endpoint.state = ServerState.GONE
+        endpoint.state = ServerState.REMOVED
         endpoint.left_at = endpoint.left_at or time.monotonic()
         carrier = self._carriers[endpoint.protocol]
         carrier.withdraw(endpoint)
@@ -280,12 +284,12 @@
             self._remove(each)
         return [each.name for each in former]
 
-    def send(self, name: str, call: Call, terms: Terms, ended: Ended) -> Attempt:
+    def send(self, name: str, call: Call, terms: AttemptDeadlines, ended: OutcomeCallback) -> Attempt:
         """Start an attempt; `ended` hears its outcome exactly once, maybe before this returns."""
         endpoint = self.endpoints[name]
         return self._carriers[endpoint.protocol].send(endpoint, call, terms, ended)
 
-    def probe(self, name: str, ended: Ended) -> Attempt:
+    def probe(self, name: str, ended: OutcomeCallback) -> Attempt:
         """Ask a node how it is."""
         endpoint = self.endpoints[name]
         until = asyncio.get_running_loop().time() + self._probe_limit_s
--- a/topazbank/core/peers.py
+++ b/topazbank/core/gossip_transport.py
@@ -10,13 +10,13 @@
 from typing import cast
 
 from topazbank.core.net import Address
-from topazbank.sight.hearsay import MESSAGE_MOST, VERSION
+from topazbank.estimation.load_gossip import MESSAGE_MOST, VERSION
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
-class Tier:
+class GossipAddresses:
     """Where the sidecars of a tier hear one another."""
 
     listen: Address  # where this one's messages come in, and from where its own leave
@@ -24,12 +24,12 @@
     all: Address | None = None  # one address that reaches every other
 
 
-class Peers(asyncio.DatagramProtocol):
+class GossipTransport(asyncio.DatagramProtocol):
     """Sends and hears messages; what can't be sent is lost, as any datagram may be."""
 
     def __init__(
         self,
-        tier: Tier,
+        tier: GossipAddresses,
         heard: Callable[[int, bytes], None],
         sock: socket.socket | None = None,
         member: Callable[[bytes, Address], None] | None = None,
--- a/topazbank/core/listener.py
+++ b/topazbank/core/listener.py
@@ -13,7 +13,7 @@
 import socket
 from collections.abc import Callable, Iterator
 
-from topazbank.core.call import Hooks, Rulebook
+from topazbank.core.call import RequestCallbacks, RequestClasses
 from topazbank.core.connection_states import (
     LIMITS_S,
     PARTIAL_STATES,
@@ -23,7 +23,7 @@
 )
 from topazbank.core.counters import Counters, Event, Violation
 from topazbank.core.net import Address, Reader, has_ended, is_quiet
-from topazbank.operation.drain import Orders
+from topazbank.operations.drain import Orders
 
 log = logging.getLogger(__name__)
 
@@ -72,7 +72,7 @@
     state = ConnectionState.NEW
     partial: PartialRequest | None = None  # the request that has begun to come, and is not here yet
 
-    def __init__(self, frontend: Frontend, sock: socket.socket) -> None:
+    def __init__(self, frontend: Listener, sock: socket.socket) -> None:
         self._frontend = frontend
         self.number = frontend.next_number()  # for the log
         self._sock = sock
@@ -161,7 +161,7 @@
         raise NotImplementedError
 
 
-Speaks = Callable[["Frontend", socket.socket], ClientConnection]
+ConnectionFactory = Callable[["Listener", socket.socket], ClientConnection]
 
 
 class Undecided(ClientConnection):
@@ -190,17 +190,17 @@
         return socket.create_server(address, family=family, backlog=_BACKLOG)
 
 
-class Frontend:
+class Listener:
     """Listens for the application, within a bound on its connections."""
 
     def __init__(
         self,
         address: Address,
         most: int,
-        hooks: Hooks,
-        rules: Rulebook,
-        text: Speaks,
-        binary: Speaks | None = None,
+        hooks: RequestCallbacks,
+        rules: RequestClasses,
+        text: ConnectionFactory,
+        binary: ConnectionFactory | None = None,
         sock: socket.socket | None = None,
         counters: Counters | None = None,
     ) -> None:
@@ -244,7 +244,7 @@
         """A number for a connection, unique in this process."""
         return next(self._numbers)
 
-    def speaks(self, first: int) -> Speaks:
+    def speaks(self, first: int) -> ConnectionFactory:
         """What a connection that begins with this byte speaks."""
         return self._binary if self._binary is not None and first >= _BINARY else self._text
 
--- a/topazbank/core/request_rules.py
+++ b/topazbank/core/request_rules.py
@@ -18,9 +18,10 @@
 from enum import Enum, unique
 from typing import Final, Protocol
 
+from topazbank.balancing.events import Outcome
+from topazbank.balancing.settings import Idempotency, Rules
 from topazbank.core.call import Call
 from topazbank.core.counters import Counters, Violation
-from topazbank.interface import Outcome, Repeat, Rules
 
 HELD_UP_S: Final = 0.15  # for so long a process may be held up between reading its clock and an effect
 ANSWER_SLACK_S: Final = 0.5  # after its time an answer earns nothing; from then on its request counts as lost
@@ -50,8 +51,8 @@
     def __init__(self, counters: Counters, rules: Rules) -> None:
         self._counters = counters
         self._drain_grace_s = rules.drain_grace_us / 1e6
-        unrun = (Outcome.DIAL_FAILED, Outcome.UNSENT)  # what proves that an attempt never ran
-        self._unrun = frozenset(unrun if rules.late_shedding else (*unrun, Outcome.FULL))
+        unrun = (Outcome.CONNECT_FAILED, Outcome.UNSENT)  # what proves that an attempt never ran
+        self._unrun = frozenset(unrun if rules.rejects_after_start else (*unrun, Outcome.REJECTED))
 
     def denied(self, call: Call, now: float) -> Denied | None:
         """Why nothing may be sent for a request now; None: it may."""
@@ -70,7 +71,7 @@
             self._counters.violated(Violation.SENT_FOR_NOBODY, f"request {call.ident} at {place.name}")
         if denied is None and now >= write_by:
             denied = Denied.TIME_UP
-        if denied is None and call.kind.repeat is Repeat.UNSAFE and call.unproven:
+        if denied is None and call.kind.idempotency is Idempotency.NON_IDEMPOTENT and call.unproven:
             self._counters.violated(Violation.UNSAFE_RESENT, f"request {call.ident} at {place.name}")
             denied = Denied.MAY_HAVE_RUN
         if denied is None and place.left_at is not None and now > place.left_at + self._drain_grace_s:
--- a/topazbank/core/trace.py
+++ b/topazbank/core/trace.py
@@ -13,25 +13,26 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from topazbank.balancer import Balancer
-from topazbank.interface import (
+from topazbank.balancing.actions import (
     Action,
+    CheckHealth,
+    CloseIdleConnections,
+    Fail,
+    Reject,
+    SendAttempt,
+    SendGossip,
+    WatchEndpoints,
+)
+from topazbank.balancing.balancer import Balancer
+from topazbank.balancing.events import (
     AttemptEnded,
-    CloseIdle,
+    EndpointsUpdated,
     Event,
-    Fail,
-    FetchList,
-    Follow,
-    ListKind,
-    Probe,
-    ProbeEnded,
-    Refuse,
+    HealthCheckEnded,
     RequestArrived,
-    RequestGone,
-    Send,
-    ServersListed,
+    RequestCancelled,
     ServerState,
-    Tell,
+    UpdateKind,
 )
 
 MARK = "@"  # begins each line, so that they are told from the log's
@@ -108,7 +109,7 @@
                 "arrived",
                 now,
                 event.request,
-                event.service_class,
+                event.request_class,
                 event.tenant,
                 event.client_retry,
                 event.remaining_us,
@@ -124,30 +125,30 @@
                 event.elapsed_us,
                 event.answered,
             )
-        elif isinstance(event, RequestGone):
+        elif isinstance(event, RequestCancelled):
             self._line("gone", now, event.request)
-        elif isinstance(event, ProbeEnded):
+        elif isinstance(event, HealthCheckEnded):
             self._line("probed", now, event.server, event.outcome.value, event.elapsed_us, event.report)
-        elif isinstance(event, ServersListed):
+        elif isinstance(event, EndpointsUpdated):
             ready = sum(each.state is ServerState.READY for each in event.servers)
-            kind = "failed" if event.kind is ListKind.FAILED else event.kind.value
+            kind = "failed" if event.kind is UpdateKind.FAILED else event.kind.value
             self._line("listed", now, kind, len(event.servers), ready)
         for action in actions:
             self._decided(now, action)
 
     def _decided(self, now: int, action: Action) -> None:
-        if isinstance(action, Send):
+        if isinstance(action, SendAttempt):
             self._line("send", now, action.request, action.server, *standing(self._balancer, action.server))
-        elif isinstance(action, Refuse | Fail):
-            what = "refuse" if isinstance(action, Refuse) else "fail"
+        elif isinstance(action, Reject | Fail):
+            what = "refuse" if isinstance(action, Reject) else "fail"
             self._line(what, now, action.request, view(self._balancer))
-        elif isinstance(action, Probe):
+        elif isinstance(action, CheckHealth):
             self._line("probe", now, action.server)
-        elif isinstance(action, Tell):
+        elif isinstance(action, SendGossip):
             self._line("tell", now, len(action.payload))
-        elif isinstance(action, Follow | FetchList):
+        elif isinstance(action, WatchEndpoints):
             self._line("follow", now)
-        elif isinstance(action, CloseIdle):
+        elif isinstance(action, CloseIdleConnections):
             self._line("close", now, action.server)
 
     def _line(self, what: str, now: int, *fields: Any) -> None:
--- a/topazbank/membership/both.py
+++ b/topazbank/discovery/combined.py
@@ -6,26 +6,26 @@
 from collections.abc import Callable, Mapping
 from functools import partial
 
-from topazbank.core.listing import Listing
-from topazbank.core.members import Source, Standing, Told
+from topazbank.core.endpoint_list import PendingUpdates
+from topazbank.core.endpoint_source import EndpointList, EndpointSource, SourceStatus
 from topazbank.core.net import Address
-from topazbank.membership.merge import Merge
+from topazbank.discovery.merge import Merge
 
 # Between the calls of a source that has failed while others answer: two fit before its news count as told, 6 s after it
 # could be reached.
 _AGAIN_S = 1.5
 _WAIT_S = 2.0  # how long the first list waits for all sources; the one of before the start holds meanwhile
 
-Make = Callable[[Callable[[Told | None], None]], Source]
+Make = Callable[[Callable[[EndpointList | None], None]], EndpointSource]
 
 
-class Several:
+class CombinedSource:
     """Sources by name, in their precedence."""
 
-    def __init__(self, makers: Mapping[str, Make], told: Callable[[Told | None], None]) -> None:
+    def __init__(self, makers: Mapping[str, Make], told: Callable[[EndpointList | None], None]) -> None:
         self._merge = Merge(list(makers))
         self._told = told
-        self._listings = {name: Listing() for name in makers}
+        self._listings = {name: PendingUpdates() for name in makers}
         self._whole = dict.fromkeys(makers, False)  # whether what waits there is of a whole list
         self._stepping: set[str] = set()  # sources whose next step is due in the loop's next turn
         self._failed: set[str] = set()  # sources that could not say when they were last asked
@@ -33,7 +33,7 @@
         self._waited: asyncio.TimerHandle | None = None
         self._calls: dict[str, asyncio.TimerHandle] = {}  # the next call of each source that was last in vain
 
-    def _heard(self, name: str, told: Told | None) -> None:
+    def _heard(self, name: str, told: EndpointList | None) -> None:
         if told is None:
             self._failed.add(name)
             self._pass_on(self._merge.cannot_know(name))
@@ -68,7 +68,7 @@
         listing = self._listings[name]
         lines = listing.take()
         if lines:
-            self._pass_on(self._merge.told(name, Told(listing.version, False, lines)))
+            self._pass_on(self._merge.told(name, EndpointList(listing.version, False, lines)))
         if listing.waits():
             if name not in self._stepping:
                 self._stepping.add(name)
@@ -81,7 +81,7 @@
         self._stepping.discard(name)
         self._step(name)
 
-    def _pass_on(self, news: Told | None) -> None:
+    def _pass_on(self, news: EndpointList | None) -> None:
         if news is not None:
             self._told(news)
 
@@ -110,7 +110,7 @@
             self._end_calls(name)
             source.stop()
 
-    def standing(self) -> tuple[Standing, ...]:
+    def standing(self) -> tuple[SourceStatus, ...]:
         return tuple(standing for each in self._sources.values() for standing in each.standing())
 
     def source_of(self, name: str) -> str:
--- a/topazbank/membership/list_format.py
+++ b/topazbank/discovery/list_format.py
@@ -8,19 +8,19 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from topazbank.core.members import Listed, Told
+from topazbank.balancing.events import ServerDescription, ServerState
+from topazbank.core.endpoint_source import DiscoveredServer, EndpointList
 from topazbank.core.net import Address, parse_address
-from topazbank.interface import ListedServer, ServerState
 
 log = logging.getLogger(__name__)
 
 _WHOLE_MOST = 2**52  # of a whole number in the list: in microseconds it must fit 64 bits
 _HALF = re.compile("[\ud800-\udfff]")
 _JUNK = (ValueError, TypeError, KeyError, AttributeError, OverflowError)  # what reading an entry may raise
-_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
+_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.REMOVED}
 
 
-def parse_list(given: object) -> Told:
+def parse_list(given: object) -> EndpointList:
     """Read discovery's form; a junk entry is skipped with a log line, a junk list is a ValueError."""
     if not isinstance(given, Mapping) or not isinstance(given.get("endpoints"), list):
         raise ValueError("a list of servers is an object with endpoints")
@@ -33,10 +33,10 @@
             lines.append(_listed(entry))
         except _JUNK as junk:
             log.warning("list entry skipped: %r: %.120r", junk, entry)
-    return Told(version, given.get("snapshot") is True, lines)
+    return EndpointList(version, given.get("snapshot") is True, lines)
 
 
-def _listed(entry: Mapping[str, Any]) -> Listed:
+def _listed(entry: Mapping[str, Any]) -> DiscoveredServer:
     name = entry["name"]
     if not _is_text(name) or not name:
         raise ValueError("name must be a text")
@@ -49,10 +49,10 @@
             raise
         # Guards a drain: skipped, the entry would leave its server in use.
         log.warning("of a list entry only the status is taken: %r: %.120r", junk, entry)
-        return Listed(ListedServer(name, state=state), None, None)
+        return DiscoveredServer(ServerDescription(name, state=state), None, None)
 
 
-def _described(entry: Mapping[str, Any], name: str, state: ServerState) -> Listed:
+def _described(entry: Mapping[str, Any], name: str, state: ServerState) -> DiscoveredServer:
     zone, kind, protocol = entry.get("zone", ""), entry.get("type", ""), entry.get("protocol")
     group, weight, since_ms = entry.get("group", 0), entry.get("weight", 1.0), entry.get("since_ms", 0)
     if not _is_text(zone) or not _is_text(kind) or not (protocol is None or _is_text(protocol)):
@@ -61,8 +61,8 @@
         raise ValueError("group and since_ms must be whole numbers")
     if isinstance(weight, bool) or not isinstance(weight, int | float) or not math.isfinite(weight):
         raise ValueError("weight must be a number")
-    server = ListedServer(name, zone, kind, group, state, float(weight), since_ms * 1000 or None)
-    return Listed(server, _place(entry.get("address"), state), protocol)
+    server = ServerDescription(name, zone, kind, group, state, float(weight), since_ms * 1000 or None)
+    return DiscoveredServer(server, _place(entry.get("address"), state), protocol)
 
 
 def _is_text(value: object) -> bool:
@@ -74,20 +74,20 @@
     return type(value) is int and abs(value) < _WHOLE_MOST
 
 
-def list_to_json(version: int, lines: Iterable[Listed]) -> dict[str, Any]:
+def list_to_json(version: int, lines: Iterable[DiscoveredServer]) -> dict[str, Any]:
     """A list in discovery's form: what `parse_list` reads."""
     return {"index": version, "snapshot": True, "endpoints": [_entry(each) for each in lines]}
 
 
-def _entry(line: Listed) -> dict[str, Any]:
+def _entry(line: DiscoveredServer) -> dict[str, Any]:
     server = line.server
     entry = {
-        "name": server.server,
+        "name": server.name,
         "zone": server.zone,
         "type": server.kind,
         "group": server.cell,
         "status": next(name for name, state in _STATES.items() if state is server.state),
-        "weight": server.nominal,
+        "weight": server.nominal_capacity,
         "since_ms": (server.started_at or 0) // 1000,
     }
     if line.address is not None:
--- a/topazbank/membership/merge.py
+++ b/topazbank/discovery/merge.py
@@ -10,8 +10,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from topazbank.core.members import Listed, Told, as_gone
-from topazbank.interface import ServerState
+from topazbank.balancing.events import ServerState
+from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, as_removed
 
 GONE_MOST = 10_000  # names told gone that a source remembers; the oldest are forgotten first
 
@@ -20,7 +20,7 @@
 class _Known:
     """What one source has told."""
 
-    lines: dict[str, Listed] = field(default_factory=dict)
+    lines: dict[str, DiscoveredServer] = field(default_factory=dict)
     gone: dict[str, None] = field(default_factory=dict)  # in the order that they went
     heard: bool = False  # whether a whole list of it has come, or it has said that it can't know
     told: bool = False  # whether a whole list of it has come
@@ -31,35 +31,35 @@
 
     def __init__(self, sources: Sequence[str]) -> None:
         self._known = {name: _Known() for name in sources}
-        self._told: dict[str, tuple[Listed, str]] = {}
+        self._told: dict[str, tuple[DiscoveredServer, str]] = {}
         self._begun = False
         self._version = 0
 
-    def told(self, source: str, told: Told) -> Told | None:
+    def told(self, source: str, told: EndpointList) -> EndpointList | None:
         """Hear one source; give what changes in the whole, or None where nothing does."""
         known = self._known[source]
-        touched = {line.server.server for line in told.lines}
+        touched = {line.server.name for line in told.lines}
         if told.complete:
             known.heard = known.told = True
             for name in known.lines.keys() - touched:
                 touched.add(name)
                 self._gone(known, name)
         for line in told.lines:
-            name = line.server.server
-            if line.server.state is ServerState.GONE:
+            name = line.server.name
+            if line.server.state is ServerState.REMOVED:
                 self._gone(known, name)
             else:
                 known.lines[name] = line
                 known.gone.pop(name, None)
         return self._news(touched)
 
-    def spoke(self, source: str) -> Told | None:
+    def spoke(self, source: str) -> EndpointList | None:
         """A source has told its whole list, in changes."""
         known = self._known[source]
         known.heard = known.told = True
         return self._news(set())
 
-    def cannot_know(self, source: str) -> Told | None:
+    def cannot_know(self, source: str) -> EndpointList | None:
         """A source can't say, or has been waited for long enough: the list begins without it."""
         self._known[source].heard = True
         return self._news(set())
@@ -71,7 +71,7 @@
         if len(known.gone) > GONE_MOST:
             del known.gone[next(iter(known.gone))]
 
-    def _news(self, touched: set[str]) -> Told | None:
+    def _news(self, touched: set[str]) -> EndpointList | None:
         if not self._begun:
             # The first word of one alone would empty the list of what another is about to tell.
             if not all(known.heard for known in self._known.values()):
@@ -92,14 +92,14 @@
                 lines.append(stands[0])
             elif before is not None:
                 del self._told[name]
-                lines.append(as_gone(before[0]))
+                lines.append(as_removed(before[0]))
         return self._next(False, lines) if lines else None
 
-    def _next(self, complete: bool, lines: list[Listed]) -> Told:
+    def _next(self, complete: bool, lines: list[DiscoveredServer]) -> EndpointList:
         self._version += 1
-        return Told(self._version, complete, lines)
+        return EndpointList(self._version, complete, lines)
 
-    def _stands(self, name: str) -> tuple[Listed, str] | None:
+    def _stands(self, name: str) -> tuple[DiscoveredServer, str] | None:
         """How a node stands, and by whose word."""
         for source, known in self._known.items():
             if name in known.lines:
--- a/topazbank/membership/registrar.py
+++ b/topazbank/discovery/registrar.py
@@ -1,7 +1,7 @@
 """Registers a process as a lodge node: an ephemeral node that is there while its session lives.
 
 As a library: `Registrar(ensemble, path, name, registration)`, `start()`, `leave()` before stopping, then `stop()`.
-As a command, beside a process that knows nothing of this: `python -m topazbank.membership.registrar --help`.
+As a command, beside a process that knows nothing of this: `python -m topazbank.discovery.registrar --help`.
 
 A lost session is not a dead process: after an expiry the node is registered again under a fresh session with the same
 incarnation, so nobody takes it for cold.  A node of a former session of ours is waited out, not overwritten: its
@@ -24,10 +24,10 @@
 from enum import Enum, unique
 
 from topazbank.core.net import parse_address
-from topazbank.membership import zkwire
-from topazbank.membership.roster import Registration
-from topazbank.membership.zkclient import Disconnected, Ensemble, Session, State, ZkError
-from topazbank.membership.zkwire import Code, Happened
+from topazbank.discovery import zkwire
+from topazbank.discovery.roster import Registration
+from topazbank.discovery.zkclient import Disconnected, Ensemble, Session, State, ZkError
+from topazbank.discovery.zkwire import Code, Happened
 
 log = logging.getLogger(__name__)
 
@@ -201,7 +201,7 @@
 
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(
-        prog="topazbank.membership.registrar", description=(__doc__ or "").split("\n")[0]
+        prog="topazbank.discovery.registrar", description=(__doc__ or "").split("\n")[0]
     )
     parser.add_argument("--ensemble", required=True, metavar="HOST:PORT,...")
     parser.add_argument("--path", default="/lodge/nodes")
--- a/topazbank/membership/registry.py
+++ b/topazbank/discovery/registry.py
@@ -11,12 +11,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from topazbank.core.members import Standing, Told
+from topazbank.core.endpoint_source import EndpointList, SourceStatus
 from topazbank.core.net import Address
+from topazbank.discovery.list_format import parse_list
+from topazbank.estimation import poll_schedule
+from topazbank.estimation.fleet_size import FleetSize
 from topazbank.http.connection import Connection, HttpResponse, connect, message
-from topazbank.membership.list_format import parse_list
-from topazbank.sight import poll_schedule
-from topazbank.sight.others import Others
 
 log = logging.getLogger(__name__)
 
@@ -36,11 +36,11 @@
 class Answered:
     """What came of one call."""
 
-    told: Told | None  # None: it failed
+    told: EndpointList | None  # None: it failed
     silent: bool = False  # and nothing came in its time
 
 
-class Discovery:
+class RegistrySource:
     """Follows the list while that is wanted; each call has a connection of its own.
 
     Two kinds of calls: polls, which do not wait, until one is answered; from then on a watch, which waits for news.
@@ -52,13 +52,13 @@
         self,
         address: Address,
         version: int,
-        told: Callable[[Told | None], None],
-        others: Others | None = None,
+        told: Callable[[EndpointList | None], None],
+        others: FleetSize | None = None,
         seed: int | None = None,
     ) -> None:
         """`version`: of the list as last held; `others`: that share the registry; `seed`: of what is chance."""
         self._address = address
-        self._others = others or Others(1)
+        self._others = others or FleetSize(1)
         self._random = random.Random(seed)
         self._version: int | None = version  # None: the whole list is needed, whatever was heard before
         self._told = told
@@ -107,8 +107,8 @@
         self._stopped = True
         self._end_calls()
 
-    def standing(self) -> tuple[Standing, ...]:
-        return (Standing("registry", not self._failed and self._heard_at is not None, self._heard_at),)
+    def standing(self) -> tuple[SourceStatus, ...]:
+        return (SourceStatus("registry", not self._failed and self._heard_at is not None, self._heard_at),)
 
     def source_of(self, name: str) -> str:
         return "registry"
@@ -195,11 +195,11 @@
         else:
             self._take(told)
 
-    def _take(self, told: Told) -> None:
+    def _take(self, told: EndpointList) -> None:
         self._version = told.version
         self._tell(told)
 
-    def _tell(self, told: Told | None) -> None:
+    def _tell(self, told: EndpointList | None) -> None:
         """Pass on what was heard; a defect there must not end the watch, as none would begin after it."""
         self._failed = told is None
         if told is not None:
@@ -229,7 +229,7 @@
         self._log_answer(told, loop.time() - began)
         return Answered(told)
 
-    def _log_answer(self, told: Told, took_s: float) -> None:
+    def _log_answer(self, told: EndpointList, took_s: float) -> None:
         """Log news, and the first answer after a failed call; a watch that ran out with nothing says nothing."""
         if told.version == self._version and not self._failed:
             return
@@ -246,7 +246,7 @@
         )  # fmt: skip
 
     @staticmethod
-    def _read(response: HttpResponse | None) -> Told:
+    def _read(response: HttpResponse | None) -> EndpointList:
         if response is None:
             raise ConnectionResetError("the connection broke")
         if response.status != 200:
--- a/topazbank/membership/roster.py
+++ b/topazbank/discovery/roster.py
@@ -1,6 +1,6 @@
 """What the ensemble's nodes mean for the list of servers; no I/O, time is an argument (seconds, monotonic).
 
-Four things are kept apart (the state table is in docs/design/membership.md): a node is *gone* when a live quorum says
+Four things are kept apart (the state table is in docs/design/discovery.md): a node is *gone* when a live quorum says
 so, *leaving* by its own word in its data, *unknown* while nobody can say, and the list is *empty* when a live quorum
 says that nothing is registered.  Unknown changes nothing: the last list holds, and ages.
 """
@@ -15,9 +15,9 @@
 from enum import Enum, unique
 from typing import Any
 
-from topazbank.core.members import Listed, as_gone
+from topazbank.balancing.events import ServerDescription, ServerState
+from topazbank.core.endpoint_source import DiscoveredServer, as_removed
 from topazbank.core.net import Address, parse_address
-from topazbank.interface import ListedServer, ServerState
 
 log = logging.getLogger(__name__)
 
@@ -154,7 +154,7 @@
 class Step:
     """What one event leads to."""
 
-    lines: list[Listed] = field(default_factory=list)  # that changed
+    lines: list[DiscoveredServer] = field(default_factory=list)  # that changed
     complete: bool = False  # whether `lines` is the whole list: who is missing is gone
     read: list[str] = field(default_factory=list)  # nodes whose data is to be read, with a watch
 
@@ -169,7 +169,7 @@
         self.version = 0  # of the list: counts what was told
         self._children_zxid = -1  # pzxid of the newest list of names
         self._begun = False  # whether a whole list was told
-        self._told: dict[str, Listed] = {}
+        self._told: dict[str, DiscoveredServer] = {}
         # The rest is kept so that one node's change costs the same however many there are.
         self._unread: set[str] = set()  # entries whose data is being read
         self._held_out: dict[str, float] = {}  # entries that flap, and until when
@@ -306,7 +306,7 @@
         self._held_out.pop(name, None)
         told = self._told.pop(name, None)
         if told is not None:
-            step.lines.append(as_gone(told))
+            step.lines.append(as_removed(told))
         if registration is not None:
             self._disclaim(name, registration.address, step)
 
@@ -319,7 +319,7 @@
         self._told[name] = line
         step.lines.append(line)
 
-    def _line(self, entry: Entry, now: float) -> Listed | None:
+    def _line(self, entry: Entry, now: float) -> DiscoveredServer | None:
         registration = entry.registration
         if registration is None:
             told = self._told.get(entry.name)
@@ -328,7 +328,7 @@
             return _takes_nothing_new(told)
         owns = self._owner.get(registration.address) == entry.name
         ready = owns and not registration.leaving and self._held_out.get(entry.name, 0.0) <= now
-        server = ListedServer(
+        server = ServerDescription(
             entry.name,
             registration.zone,
             registration.kind,
@@ -337,7 +337,7 @@
             registration.weight,
             registration.started_ms * 1000 or None,
         )
-        return Listed(server, registration.address, registration.protocol)
+        return DiscoveredServer(server, registration.address, registration.protocol)
 
     # -- Addresses, returns, starts --------------------------------------------------------------------
 
@@ -419,10 +419,10 @@
         return shown
 
 
-def _takes_nothing_new(told: Listed) -> Listed:
+def _takes_nothing_new(told: DiscoveredServer) -> DiscoveredServer:
     server = told.server
     state = ServerState.DRAINING
-    line = ListedServer(
-        server.server, server.zone, server.kind, server.cell, state, server.nominal, server.started_at
+    line = ServerDescription(
+        server.name, server.zone, server.kind, server.cell, state, server.nominal_capacity, server.started_at
     )
-    return Listed(line, told.address, told.protocol)
+    return DiscoveredServer(line, told.address, told.protocol)
--- a/topazbank/membership/zkclient.py
+++ b/topazbank/discovery/zkclient.py
@@ -1,6 +1,6 @@
 """A ZooKeeper session on the event loop: members tried in turn, watches set anew, reads that never go back.
 
-docs/design/membership.md weighs this against kazoo in its threads.
+docs/design/discovery.md weighs this against kazoo in its threads.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from enum import Enum, auto, unique
 
 from topazbank.core.net import Address
-from topazbank.membership import zkwire
-from topazbank.membership.zkwire import Acl, BadRecord, Code, Happened, Op, Record, Splitter, Stat
+from topazbank.discovery import zkwire
+from topazbank.discovery.zkwire import Acl, BadRecord, Code, Happened, Op, Record, Splitter, Stat
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/membership/zookeeper.py
+++ b/topazbank/discovery/zookeeper.py
@@ -13,11 +13,11 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from topazbank.core.members import Standing, Told
+from topazbank.core.endpoint_source import EndpointList, SourceStatus
 from topazbank.core.net import Address
-from topazbank.membership.roster import Knowledge, Roster, Step
-from topazbank.membership.zkclient import Disconnected, Ensemble, Session, State, ZkError
-from topazbank.membership.zkwire import Code, Happened
+from topazbank.discovery.roster import Knowledge, Roster, Step
+from topazbank.discovery.zkclient import Disconnected, Ensemble, Session, State, ZkError
+from topazbank.discovery.zkwire import Code, Happened
 
 log = logging.getLogger(__name__)
 
@@ -29,7 +29,11 @@
     """Follows the nodes below `path`; tells lists to `told`."""
 
     def __init__(
-        self, ensemble: Ensemble, path: str, told: Callable[[Told | None], None], seed: int | None = None
+        self,
+        ensemble: Ensemble,
+        path: str,
+        told: Callable[[EndpointList | None], None],
+        seed: int | None = None,
     ) -> None:
         self.roster = Roster()
         self.session = Session(ensemble, self._changed, self._watched, seed)
@@ -68,9 +72,9 @@
         if self._wake is not None:
             self._wake.cancel()
 
-    def standing(self) -> tuple[Standing, ...]:
+    def standing(self) -> tuple[SourceStatus, ...]:
         live = self.roster.knowledge is Knowledge.LIVE
-        return (Standing("zookeeper", live, self._now() if live else self.roster.heard_at),)
+        return (SourceStatus("zookeeper", live, self._now() if live else self.roster.heard_at),)
 
     def source_of(self, name: str) -> str:
         return "zookeeper"
@@ -176,7 +180,7 @@
         self._to_read.update(dict.fromkeys(step.read))
         self._read_more()
         if step.complete or step.lines:
-            self._told(Told(self.roster.version, step.complete, step.lines))
+            self._told(EndpointList(self.roster.version, step.complete, step.lines))
         self._set_wake()
 
     def _set_wake(self) -> None:
--- a/topazbank/sight/others.py
+++ b/topazbank/estimation/fleet_size.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 
-class Others:
+class FleetSize:
     """The size of the tier as it is safe to go by, and word of who is gone."""
 
     __slots__ = ("_forget", "most")
--- a/topazbank/sight/strain.py
+++ b/topazbank/estimation/load_estimator.py
@@ -12,7 +12,7 @@
 import math
 from collections import deque
 
-from topazbank.sight.fading import Rate
+from topazbank.estimation.decaying_sum import Rate
 
 MEDIAN_STEP = 0.04  # step of the running median: some 25 answers turn it round
 MEDIAN_STEP_MOST = 0.16  # where few come: a single answer is chance for a good part
@@ -95,9 +95,9 @@
         "spent",
     )
 
-    def __init__(self, longest_aim_us: int, late_worth: float = 0.0) -> None:
+    def __init__(self, longest_aim_us: int, late_value_ratio: float = 0.0) -> None:
         """`late_worth`: the part of its worth that a late answer keeps, in the mean of the classes."""
-        room = 1.0 + LATE_ROOM * late_worth
+        room = 1.0 + LATE_ROOM * late_value_ratio
         self._level, self._level_few = min(LEVEL * room, LEVEL_MOST), min(LEVEL_FEW * room, LEVEL_MOST)
         self._span_us = NEWS_AIMS * longest_aim_us
         self._felt_at = 0
@@ -111,13 +111,15 @@
         self.floor: float | None = None  # the least that median has been of late; None: no answer came yet
         self.cores: float | None = None  # how busy servers report their cores, on average; None: not at all
 
-    def sent(self, now: int, aim_us: int, chance: float) -> Verdict:
+    def sent(self, now: int, latency_objective_us: int, chance: float) -> Verdict:
         """An attempt leaves; `chance` is what `level` takes.  Its verdict is to be given to `answered` or closed."""
-        verdict = Verdict(now + int(self.level(chance) * aim_us), now + int(HOPELESS * aim_us))
-        waiting = self._waiting.get(aim_us)
+        verdict = Verdict(
+            now + int(self.level(chance) * latency_objective_us), now + int(HOPELESS * latency_objective_us)
+        )
+        waiting = self._waiting.get(latency_objective_us)
         if waiting is None:
-            waiting = self._waiting[aim_us] = deque(maxlen=UNJUDGED_MOST)
-            self._slow[aim_us] = deque(maxlen=UNJUDGED_MOST)
+            waiting = self._waiting[latency_objective_us] = deque(maxlen=UNJUDGED_MOST)
+            self._slow[latency_objective_us] = deque(maxlen=UNJUDGED_MOST)
         waiting.append(verdict)
         return verdict
 
@@ -133,13 +135,13 @@
     def mature(self, now: int) -> bool:
         """Judge what has been out for too long by now; say whether anything was."""
         before = self._over.count + self._hopeless.count
-        for aim_us, waiting in self._waiting.items():
+        for latency_objective_us, waiting in self._waiting.items():
             while waiting and (waiting[0].due <= now or not waiting[0].open):
                 verdict = waiting.popleft()
                 if verdict.open:
                     verdict.judged = True
                     self._over.add(now, 1.0)
-                    self._slow[aim_us].append(verdict)
+                    self._slow[latency_objective_us].append(verdict)
         for slow in self._slow.values():
             while slow and (slow[0].hopeless_due <= now or not slow[0].open):
                 verdict = slow.popleft()
@@ -203,9 +205,9 @@
         self._best = 0.0
         self._at = 0
 
-    def served(self, now: int, aim_us: int) -> None:
+    def served(self, now: int, latency_objective_us: int) -> None:
         """Note an answer that came in time."""
-        self._served.add(now, aim_us)
+        self._served.add(now, latency_objective_us)
 
     def least(self, now: int, capacity: float) -> float:
         """What may be in flight over what an answer takes of its aim, whatever late answers say.
--- a/topazbank/sight/hearsay.py
+++ b/topazbank/estimation/load_gossip.py
@@ -15,7 +15,7 @@
 import zlib
 from collections.abc import Iterable
 
-from topazbank.sight.others import Others
+from topazbank.estimation.fleet_size import FleetSize
 
 VERSION = 1
 MESSAGE_MOST = 256  # bytes, by the platform
@@ -47,7 +47,7 @@
         "_total",
     )
 
-    def __init__(self, price: float, others: Others) -> None:
+    def __init__(self, price: float, others: FleetSize) -> None:
         """`price`: points of service that a full message costs for each first try."""
         self._others = others
         others.when_gone(self._drop)
--- a/topazbank/sight/soundings.py
+++ b/topazbank/estimation/startup_probes.py
@@ -10,8 +10,8 @@
 
 from collections.abc import Mapping
 
-from topazbank.interface import ReportSource, Settings
-from topazbank.sight.others import Others
+from topazbank.balancing.settings import ReportSource, Settings
+from topazbank.estimation.fleet_size import FleetSize
 
 ASKED = 6  # servers probed at a start: half of them may be gone
 CROWDED_PART = 0.5  # of those that have not failed, this part crowded tells of a fleet that is full
@@ -22,15 +22,15 @@
 
 def can_tell(settings: Settings) -> bool:
     """Whether probes tell how full a server is, and there are others that may have filled it."""
-    probed = settings.limits.may_probe and settings.report_source is ReportSource.PROBES
-    return probed and settings.group_size > 1 and COLUMNS <= set(settings.report_columns)
+    probed = settings.limits.health_checks and settings.report_source is ReportSource.HEALTH_CHECKS
+    return probed and settings.fleet_size > 1 and COLUMNS <= set(settings.report_columns)
 
 
 class Soundings:
     """The probes of one start, and what they came to."""
 
-    def __init__(self, settings: Settings, others: Others) -> None:
-        aims = [each.aim_us for each in settings.classes]
+    def __init__(self, settings: Settings, others: FleetSize) -> None:
+        aims = [each.latency_objective_us for each in settings.classes]
         self._aim_us = sum(aims) / len(aims)
         self._longest_aim_us = max(aims)
         self._others = others
--- a/topazbank/sight/traffic.py
+++ b/topazbank/estimation/traffic_mix.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from topazbank.interface import ServiceClass, Settings
-from topazbank.sight.fading import Rate
+from topazbank.balancing.settings import RequestClass, Settings
+from topazbank.estimation.decaying_sum import Rate
 
 MIX_AIMS = 4.0  # what is asked is averaged over this many of the longest aim
 MIXES_MOST = (
@@ -17,7 +17,7 @@
 class Mix:
     """One tenant's traffic of one class."""
 
-    kind: ServiceClass
+    kind: RequestClass
     tenant: str | None
     rate: Rate
 
@@ -26,13 +26,13 @@
     """The traffic's mix.  Sidecars see different parts of it, so only proportions are compared."""
 
     def __init__(self, settings: Settings) -> None:
-        self._over_share_worth = settings.over_share_worth
+        self._over_share_worth = settings.over_share_weight
         self._tenants = {each.name: each for each in settings.tenants}
         self._all_shares = sum(each.share for each in settings.tenants) or 1.0
-        self._span_us = MIX_AIMS * max(each.aim_us for each in settings.classes)
+        self._span_us = MIX_AIMS * max(each.latency_objective_us for each in settings.classes)
         self._mixes: dict[tuple[str, str | None], Mix] = {}  # MIXES_MOST
 
-    def asked(self, now: int, kind: ServiceClass, tenant: str | None) -> Mix:
+    def asked(self, now: int, kind: RequestClass, tenant: str | None) -> Mix:
         """Note a request; give the mix that it belongs to."""
         mine = self._mixes.get((kind.name, tenant))
         if mine is None:
@@ -62,6 +62,6 @@
     def _worth(self, mix: Mix, asked: float, all_asked: float) -> float:
         tenant = self._tenants.get(mix.tenant or "")
         if tenant is None or asked <= 0.0:
-            return mix.kind.worth
+            return mix.kind.priority_weight
         inside = min(1.0, all_asked * tenant.share / self._all_shares / asked)
-        return mix.kind.worth * (inside + (1.0 - inside) * self._over_share_worth)
+        return mix.kind.priority_weight * (inside + (1.0 - inside) * self._over_share_worth)
--- a/topazbank/http/client.py
+++ b/topazbank/http/client.py
@@ -13,14 +13,15 @@
 from dataclasses import dataclass, field
 from functools import partial
 
+from topazbank.balancing.events import Outcome, ServerState
+from topazbank.balancing.settings import Idempotency
 from topazbank.core.body import Stream
-from topazbank.core.call import BODY_MOST, Call, Ended, Response
+from topazbank.core.call import BODY_MOST, Call, OutcomeCallback, Response
+from topazbank.core.endpoints import Attempt, AttemptDeadlines, ConnectionLimit, Endpoint
 from topazbank.core.net import is_up, new_socket
-from topazbank.core.nodes import Attempt, Endpoint, Slots, Terms
 from topazbank.core.reports import parse_probe, parse_report
 from topazbank.core.timers import Timer, Timers
 from topazbank.http.connection import ABOUT_BODY, Connection, HttpResponse, connect, message
-from topazbank.interface import Outcome, Repeat, ServerState
 
 log = logging.getLogger(__name__)
 
@@ -43,7 +44,12 @@
     """One attempt or probe over HTTP, from the dial to its one outcome."""
 
     def __init__(
-        self, endpoint: Endpoint, order: Order, terms: Terms, ended: Ended, call: Call | None = None
+        self,
+        endpoint: Endpoint,
+        order: Order,
+        terms: AttemptDeadlines,
+        ended: OutcomeCallback,
+        call: Call | None = None,
     ) -> None:
         super().__init__(endpoint, terms, ended, call)
         self.generation = endpoint.generation
@@ -56,7 +62,7 @@
 
     def let_go(self, outcome: Outcome) -> None:
         self.pool.dialling.discard(self)
-        if outcome in (Outcome.EXPIRED, Outcome.CANCELLED, Outcome.DIAL_FAILED, Outcome.UNSENT):
+        if outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.CONNECT_FAILED, Outcome.UNSENT):
             if self.connection is not None:
                 self.connection.abort()  # this is how an attempt is given up
             if self.dial is not None:
@@ -70,19 +76,19 @@
 def judge(response: HttpResponse | None, written: bool, spoilt: bool) -> Outcome:
     """What an ended exchange proves: it never ran only if that is certain."""
     if response is None and not written:
-        return Outcome.DIAL_FAILED
+        return Outcome.CONNECT_FAILED
     if response is None:
-        return Outcome.ERROR if spoilt else Outcome.DROPPED  # who answers with noise is still there
+        return Outcome.ERROR if spoilt else Outcome.CONNECTION_LOST  # who answers with noise is still there
     if response.status == 200:
         return Outcome.DELIVERED
     if response.status in (503, 504) and response.header(b"x-rejected") == "1":
-        return Outcome.FULL
+        return Outcome.REJECTED
     return Outcome.ERROR
 
 
 def write_request(call: Call, left_s: float) -> bytes:
     """What an attempt sends: the client's request, with the time that is left for it."""
-    safe = call.kind.repeat is Repeat.SAFE
+    safe = call.kind.idempotency is Idempotency.IDEMPOTENT
     headers = [
         *(call.headers if call.headers is not None else _headers(call)),
         (b"X-Budget", b"%.6f" % left_s),
@@ -112,11 +118,11 @@
     return headers + (call.about or [])
 
 
-class HttpCarrier:
+class HttpUpstreamClient:
     """All HTTP connections to nodes, within the bound that `slots` keeps for all carriers."""
 
     def __init__(
-        self, dial_limit_s: float, idle_s: float, slots: Slots, columns: Collection[str] = ()
+        self, dial_limit_s: float, idle_s: float, slots: ConnectionLimit, columns: Collection[str] = ()
     ) -> None:
         self._dial_limit = dial_limit_s
         self._idle_s = idle_s * (1.0 - _IDLE_MARGIN)
@@ -138,7 +144,7 @@
 
     def withdraw(self, endpoint: Endpoint) -> None:
         """A slow dial may outlast the grace."""
-        self._take_back(endpoint, Outcome.DIAL_FAILED)
+        self._take_back(endpoint, Outcome.CONNECT_FAILED)
 
     def _take_back(self, endpoint: Endpoint, outcome: Outcome) -> None:
         """Close what is idle, and end what waits for a dial."""
@@ -146,14 +152,16 @@
         for exchange in list(endpoint.pool.dialling):
             exchange.end(outcome)
 
-    def send(self, endpoint: Endpoint, call: Call, terms: Terms, ended: Ended) -> Exchange:
+    def send(
+        self, endpoint: Endpoint, call: Call, terms: AttemptDeadlines, ended: OutcomeCallback
+    ) -> Exchange:
         """Start an attempt; giving one up closes its connection, whether it was the last or not."""
         return self._start(Exchange(endpoint, partial(write_request, call), terms, ended, call))
 
-    def probe(self, endpoint: Endpoint, until: float, ended: Ended) -> Exchange:
+    def probe(self, endpoint: Endpoint, until: float, ended: OutcomeCallback) -> Exchange:
         target = b"/stats" if self._columns else b"/health/live"
         data = message(b"GET %b HTTP/1.1" % target, [(b"Host", endpoint.name.encode())])
-        exchange = Exchange(endpoint, lambda _: data, Terms(until), ended)
+        exchange = Exchange(endpoint, lambda _: data, AttemptDeadlines(until), ended)
         exchange.probing = True
         return self._start(exchange)
 
@@ -188,7 +196,7 @@
     def _time_up(exchange: Exchange) -> None:
         connection = exchange.connection
         exchange.end(
-            Outcome.EXPIRED if connection is not None and connection.written else Outcome.DIAL_FAILED
+            Outcome.TIMED_OUT if connection is not None and connection.written else Outcome.CONNECT_FAILED
         )
 
     @staticmethod
@@ -198,7 +206,7 @@
         Guards a busy sidecar against taking its own lag for dead servers.  The attempt's end bounds it still.
         """
         if exchange.connection is None and not is_up(sock):
-            exchange.end(Outcome.DIAL_FAILED)
+            exchange.end(Outcome.CONNECT_FAILED)
 
     def _take_idle(self, pool: Pool) -> Connection | None:
         """The last used of those that have rested; others make room for a new one, however little room there is.
@@ -237,7 +245,7 @@
             connection = await connect(endpoint.address, BODY_MOST, self._dial_limit, sock)
         except OSError as fault:
             log.debug("no connection to %s: %r", endpoint.name, fault)
-            exchange.end(Outcome.DIAL_FAILED)
+            exchange.end(Outcome.CONNECT_FAILED)
             return False
         connection.on_lost = self._slots.give
         exchange.dial = None  # it is this task, which has done its work
@@ -281,7 +289,7 @@
         """A large answer has ended."""
         connection.on_stream_end = lambda whole: None
         self._put_back(exchange, connection)
-        broken = Outcome.CANCELLED if stream.given_up else Outcome.DROPPED
+        broken = Outcome.CANCELLED if stream.given_up else Outcome.CONNECTION_LOST
         exchange.end(Outcome.DELIVERED if whole else broken, Response(b"", None, exchange.report))
 
     def _neutral(self, exchange: Exchange, outcome: Outcome, response: HttpResponse) -> Response:
@@ -318,5 +326,5 @@
                 connection.abort()
             pool.idle = []
             for exchange in list(pool.dialling):
-                exchange.end(Outcome.DIAL_FAILED)
+                exchange.end(Outcome.CONNECT_FAILED)
         await asyncio.gather(*dials, return_exceptions=True)
--- a/topazbank/http/connection.py
+++ b/topazbank/http/connection.py
@@ -15,7 +15,7 @@
 from topazbank.core.body import LARGE_MOST, Stream
 from topazbank.core.call import Headers
 from topazbank.core.net import Address, Reader, is_quiet, new_socket
-from topazbank.http.whole import read_response
+from topazbank.http.fast_parser import read_response
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/http/whole.py
+++ b/topazbank/http/fast_parser.py
@@ -2,7 +2,8 @@
 
 Most messages are: one read holds all of it and nothing else, framed by one content-length or by none, with nothing
 said of the connection.  These are read here in a fraction of the time that h11 takes; whatever else a message may be
-is h11's to read and to judge.  Nothing is taken here that h11 would read another way (tests/test_whole.py compares).
+is h11's to read and to judge.  Nothing is taken here that h11 would read another way:
+tests/test_fast_parser.py compares the two.
 """
 
 from __future__ import annotations
--- a/topazbank/http/request_reading.py
+++ b/topazbank/http/request_reading.py
@@ -7,11 +7,11 @@
 
 import h11
 
+from topazbank.balancing.settings import Idempotency
 from topazbank.core.body import Large
-from topazbank.core.call import Answer, BadCall, Call, Headers, Rulebook, target_key
+from topazbank.core.call import Call, FinalAnswer, Headers, InvalidRequest, RequestClasses, target_key
 from topazbank.http.connection import ABOUT_BODY, end_to_end
-from topazbank.http.whole import RequestHead
-from topazbank.interface import Repeat
+from topazbank.http.fast_parser import RequestHead
 
 _SINGLE = frozenset(  # headers that mean one thing: given twice, they may mean another to a server
     (
@@ -30,7 +30,10 @@
 
 
 def parse_call(
-    head: h11.Request | RequestHead, body: bytes | Large, rules: Rulebook, answer: Callable[[Answer], None]
+    head: h11.Request | RequestHead,
+    body: bytes | Large,
+    rules: RequestClasses,
+    answer: Callable[[FinalAnswer], None],
 ) -> Call:
     """Read a request of a client; raise BadCall where it makes no sense or breaks the settings."""
     given: dict[bytes, str] = {}
@@ -38,16 +41,16 @@
     target = own_form(head.target)
     for name, value in headers:
         if name in _SINGLE and name in given:
-            raise BadCall(400, f"{name.decode()} stands twice")
+            raise InvalidRequest(400, f"{name.decode()} stands twice")
         given[name] = value.decode("latin-1").strip()
     for name in (b"x-call-id", b"x-call-class", b"x-budget"):
         if not given.get(name):
-            raise BadCall(400, f"{name.decode()} is missing")
+            raise InvalidRequest(400, f"{name.decode()} is missing")
     budget = _number(given[b"x-budget"], "x-budget")
     cost = given.get(b"x-call-cost")
     kind = rules.kind(given[b"x-call-class"])
-    if head.method != (b"GET" if kind.repeat is Repeat.SAFE else b"POST"):
-        raise BadCall(405, "not the method of the class")
+    if head.method != (b"GET" if kind.idempotency is Idempotency.IDEMPOTENT else b"POST"):
+        raise InvalidRequest(405, "not the method of the class")
     caller = given.get(b"x-caller") or None
     if b"host" not in given:
         headers.append((b"host", b"sidecar"))  # HTTP/1.0 allows none, HTTP/1.1 needs one
@@ -91,7 +94,7 @@
 
 def _number(text: str, name: str) -> float:
     if not _NUMBER.fullmatch(text):
-        raise BadCall(400, f"{name}: a number is needed")
+        raise InvalidRequest(400, f"{name}: a number is needed")
     return float(text)
 
 
--- a/topazbank/http/server.py
+++ b/topazbank/http/server.py
@@ -16,19 +16,19 @@
 from topazbank.core.call import (
     API_PATH,
     BODY_MOST,
-    Answer,
-    BadCall,
     Call,
+    FinalAnswer,
     Headers,
+    InvalidRequest,
     Verdict,
 )
 from topazbank.core.connection_states import ConnectionState, PartialRequest
 from topazbank.core.counters import Event
-from topazbank.core.listener import ClientConnection, Frontend
+from topazbank.core.listener import ClientConnection, Listener
 from topazbank.core.net import has_ended
 from topazbank.http.connection import data_of, message
+from topazbank.http.fast_parser import RequestHead, read_request
 from topazbank.http.request_reading import ident_in, is_whole, own_form, parse_call
-from topazbank.http.whole import RequestHead, read_request
 
 log = logging.getLogger(__name__)
 
@@ -43,7 +43,7 @@
 class HttpConnection(ClientConnection):
     """One HTTP connection of a client; it carries one request at a time."""
 
-    def __init__(self, frontend: Frontend, sock: socket.socket) -> None:
+    def __init__(self, frontend: Listener, sock: socket.socket) -> None:
         super().__init__(frontend, sock)
         self._h11 = h11.Connection(h11.SERVER)
         self._head: h11.Request | RequestHead | None = None
@@ -146,7 +146,7 @@
     def _time_out(self) -> None:
         """Its client has stopped in the middle of a request, or sends it too slowly."""
         self._frontend.counters.count(Event.REQUEST_TIMED_OUT)
-        self._reject(BadCall(408, "the request took too long to come"))
+        self._reject(InvalidRequest(408, "the request took too long to come"))
 
     def _fail_held(self) -> None:
         """Answer the held request now, as failed, since it may have run.
@@ -233,18 +233,18 @@
     def _take(self, read: Callable[[], None]) -> None:
         try:
             read()
-        except BadCall as bad:
+        except InvalidRequest as bad:
             self._reject(bad)
         except h11.RemoteProtocolError as broken:
-            self._reject(BadCall(400, str(broken)))
+            self._reject(InvalidRequest(400, str(broken)))
         except NoRoom as full:
-            self._reject(BadCall(503, str(full)))  # never sent on; there may be room a moment later
+            self._reject(InvalidRequest(503, str(full)))  # never sent on; there may be room a moment later
         except Exception:
             log.exception("a request could not be handled")  # a defect: its request fails, no other
             if self._head is None:
                 self.abort()  # it was answered already
             else:
-                self._reject(BadCall(500, "internal error"))
+                self._reject(InvalidRequest(500, "internal error"))
 
     def _next_event(self) -> bool:
         event = self._h11.next_event()
@@ -254,7 +254,7 @@
         elif isinstance(event, h11.Data):
             self._body.add(data_of(event))
             if len(self._body) > LARGE_MOST:
-                raise BadCall(413, "the body is too large")
+                raise InvalidRequest(413, "the body is too large")
         elif isinstance(event, h11.EndOfMessage):
             self._whole(self._body.whole())
             return False
@@ -262,12 +262,14 @@
 
     def _begin(self, head: h11.Request) -> None:
         if head.http_version not in (b"1.0", b"1.1"):
-            raise BadCall(505, "HTTP/1.1 is spoken here")
+            raise InvalidRequest(505, "HTTP/1.1 is spoken here")
         framing = {name: value for name, value in head.headers if name in _FRAMING}
         if b"transfer-encoding" in framing and (len(framing) > 1 or head.http_version != b"1.1"):
-            raise BadCall(400, "two ways to tell the body's end")  # one may hide a request in the other
+            raise InvalidRequest(
+                400, "two ways to tell the body's end"
+            )  # one may hide a request in the other
         if int(framing.get(b"content-length", b"0")) > LARGE_MOST:
-            raise BadCall(413, "the body is too large")
+            raise InvalidRequest(413, "the body is too large")
         if self._h11.they_are_waiting_for_100_continue and self._transport is not None:
             go_on = h11.InformationalResponse(status_code=100, headers=[])
             self._transport.write(self._h11.send(go_on) or b"")
@@ -290,18 +292,18 @@
         elif path == _ROSTER_PATH and self._frontend.hooks.roster is not None:
             self._answer(200, [(b"Content-Type", b"application/json")], self._frontend.hooks.roster())
         elif path != API_PATH and not path.startswith(API_PATH + b"/"):
-            raise BadCall(404, "no such path")
+            raise InvalidRequest(404, "no such path")
         else:
             call = parse_call(head, body, self._frontend.rules, self._answer_call)
             if self._frontend.hooks.is_out(call.ident):
-                raise BadCall(409, "x-call-id is that of another request, which is still out")
+                raise InvalidRequest(409, "x-call-id is that of another request, which is still out")
             call.has_left = self.has_left
             self._call = call
             self._frontend.move(self, ConnectionState.HOLDING)
             self._frontend.hooks.taken(call)
             self._see_behind()
 
-    def _reject(self, bad: BadCall) -> None:
+    def _reject(self, bad: InvalidRequest) -> None:
         """Turn the request away and end the connection: nothing more is expected of this client."""
         self._frontend.counters.count(Event.REQUEST_REJECTED)
         log.info("%s: request rejected: %s", self.describe(), bad)
@@ -309,7 +311,7 @@
         self._client_gone()
         self._answer(bad.status, [(b"Content-Type", b"text/plain")], f"{bad}\n".encode(), ends=True)
 
-    def _answer_call(self, answer: Answer) -> None:
+    def _answer_call(self, answer: FinalAnswer) -> None:
         if answer.verdict is Verdict.SERVED:
             if answer.stream is not None:
                 self._pass_on(answer.about or [], answer.stream)
--- a/topazbank/msgpackrpc/client.py
+++ b/topazbank/msgpackrpc/client.py
@@ -17,11 +17,12 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 
-from topazbank.core.call import Call, Ended
+from topazbank.balancing.events import Outcome, ServerState
+from topazbank.balancing.settings import Idempotency
+from topazbank.core.call import Call, OutcomeCallback
+from topazbank.core.endpoints import Attempt, AttemptDeadlines, ConnectionLimit, Endpoint
 from topazbank.core.net import Reader, has_ended, is_quiet, is_up, new_socket
-from topazbank.core.nodes import Attempt, Endpoint, Slots, Terms
 from topazbank.core.timers import Timers
-from topazbank.interface import Outcome, Repeat, ServerState
 from topazbank.msgpackrpc.codec import MSGID_MOST, Decoder, Junk, Reply, encode_request
 from topazbank.msgpackrpc.mapping import LIVE, STATS, read_reply, write_call
 
@@ -51,8 +52,8 @@
         self,
         endpoint: Endpoint,
         order: Order,
-        terms: Terms,
-        ended: Ended,
+        terms: AttemptDeadlines,
+        ended: OutcomeCallback,
         lodge: bool = False,
         call: Call | None = None,
     ) -> None:
@@ -77,16 +78,16 @@
             self.end(Outcome.UNSENT)
 
     def time_up(self) -> None:
-        self.end(Outcome.EXPIRED if self.written else Outcome.DIAL_FAILED)
+        self.end(Outcome.TIMED_OUT if self.written else Outcome.CONNECT_FAILED)
 
 
-_GIVEN_UP = (Outcome.EXPIRED, Outcome.CANCELLED, Outcome.DIAL_FAILED, Outcome.UNSENT)
+_GIVEN_UP = (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.CONNECT_FAILED, Outcome.UNSENT)
 
 
 class RpcNodeConnection(Reader):
     """One connection to a node, from its dial on."""
 
-    def __init__(self, carrier: RpcCarrier, endpoint: Endpoint, lodges: bool) -> None:
+    def __init__(self, carrier: RpcUpstreamClient, endpoint: Endpoint, lodges: bool) -> None:
         self.endpoint = endpoint
         self.lodges = lodges  # whether it carries calls of unsafe classes, or the others
         self.generation = endpoint.generation
@@ -196,7 +197,7 @@
             self._carrier.at_rest(self)
         elif attempt is self._writing:
             self._writing = None
-            self.end(Outcome.DROPPED)
+            self.end(Outcome.CONNECTION_LOST)
         elif self._out.pop(attempt.msgid, None) is not None:
             self._given_up[attempt.msgid] = None
             self._doubted = True
@@ -230,7 +231,7 @@
         if attempt is None and self._writing is not None and self._writing.msgid == reply.msgid:
             # Answered before it was whole, as a node does that turns away what is too long.
             self._writing.end(*read_reply(reply, self._carrier.columns))
-            self.end(Outcome.DROPPED)  # the rest of it is never written
+            self.end(Outcome.CONNECTION_LOST)  # the rest of it is never written
         elif attempt is not None:
             outcome, response = read_reply(reply, self._carrier.columns)
             self._carrier.at_rest(self)
@@ -262,7 +263,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.free_slot()
-        self.end(Outcome.DROPPED)
+        self.end(Outcome.CONNECTION_LOST)
 
     def free_slot(self) -> None:
         """Give its place back, once: a dial that is ended as it comes up ends twice."""
@@ -278,7 +279,7 @@
         for attempt in calls:
             attempt.connection = None
         for attempt in calls:
-            attempt.end(written if attempt.written else Outcome.DIAL_FAILED)
+            attempt.end(written if attempt.written else Outcome.CONNECT_FAILED)
 
     def withdraw(self, unwritten: Outcome) -> None:
         """Its node takes nothing new: what has not begun to be written never is."""
@@ -325,14 +326,14 @@
         return [*self.lodges, *self.others]
 
 
-class RpcCarrier:
+class RpcUpstreamClient:
     """All MessagePack-RPC connections to nodes, within the bound that `slots` keeps for all carriers."""
 
     def __init__(
         self,
         dial_limit_s: float,
         idle_s: float,
-        slots: Slots,
+        slots: ConnectionLimit,
         columns: Collection[str] = (),
         sharing: Sharing | None = None,
     ) -> None:
@@ -353,7 +354,7 @@
         self._take_back(endpoint, Outcome.UNSENT)
 
     def withdraw(self, endpoint: Endpoint) -> None:
-        self._take_back(endpoint, Outcome.DIAL_FAILED)
+        self._take_back(endpoint, Outcome.CONNECT_FAILED)
 
     @staticmethod
     def _take_back(endpoint: Endpoint, outcome: Outcome) -> None:
@@ -368,18 +369,22 @@
             if not connection.load:
                 connection.abort()
 
-    def send(self, endpoint: Endpoint, call: Call, terms: Terms, ended: Ended) -> RpcAttempt:
+    def send(
+        self, endpoint: Endpoint, call: Call, terms: AttemptDeadlines, ended: OutcomeCallback
+    ) -> RpcAttempt:
         order: Order = lambda msgid, left: write_call(msgid, call, left)  # noqa: E731
-        attempt = RpcAttempt(endpoint, order, terms, ended, call.kind.repeat is Repeat.UNSAFE, call)
+        attempt = RpcAttempt(
+            endpoint, order, terms, ended, call.kind.idempotency is Idempotency.NON_IDEMPOTENT, call
+        )
         if call.large is not None:
             attempt.end(Outcome.UNSENT)  # larger than a message may be: nodes that speak HTTP may take it
             return attempt
         return self._start(attempt)
 
-    def probe(self, endpoint: Endpoint, until: float, ended: Ended) -> RpcAttempt:
+    def probe(self, endpoint: Endpoint, until: float, ended: OutcomeCallback) -> RpcAttempt:
         method = STATS if self.columns else LIVE
         order: Order = lambda msgid, _: encode_request(msgid, method, [])  # noqa: E731
-        return self._start(RpcAttempt(endpoint, order, Terms(until), ended))
+        return self._start(RpcAttempt(endpoint, order, AttemptDeadlines(until), ended))
 
     def _start(self, attempt: RpcAttempt) -> RpcAttempt:
         loop = asyncio.get_running_loop()
@@ -429,7 +434,7 @@
         except OSError as fault:
             log.debug("no connection to %s: %r", endpoint.name, fault)
             connection.dial = None
-            connection.end(Outcome.DIAL_FAILED)
+            connection.end(Outcome.CONNECT_FAILED)
         finally:
             limit.cancel()
             if not made:
@@ -440,7 +445,7 @@
     def _dial_time_up(connection: RpcNodeConnection, sock: socket.socket) -> None:
         """End a dial, unless its connection is up and only this program has not come to look."""
         if not is_up(sock):
-            connection.end(Outcome.DIAL_FAILED)
+            connection.end(Outcome.CONNECT_FAILED)
 
     # -- Rest ------------------------------------------------------------------------------------------
 
@@ -480,5 +485,5 @@
         dials = [each.dial for pool in self._pools.values() for each in pool.all() if each.dial is not None]
         for pool in list(self._pools.values()):
             for connection in pool.all():
-                connection.end(Outcome.DIAL_FAILED)
+                connection.end(Outcome.CONNECT_FAILED)
         await asyncio.gather(*dials, return_exceptions=True)
--- a/topazbank/msgpackrpc/mapping.py
+++ b/topazbank/msgpackrpc/mapping.py
@@ -6,21 +6,21 @@
 from collections.abc import Callable, Collection, Mapping
 from typing import Any, cast
 
+from topazbank.balancing.events import Outcome
 from topazbank.core.call import (
     BODY_MOST,
-    Answer,
-    BadCall,
     Call,
+    FinalAnswer,
     Headers,
+    InvalidRequest,
+    RequestClasses,
     Response,
-    Rulebook,
     Verdict,
     is_target,
     is_visible,
     target_key,
 )
 from topazbank.core.reports import read_figures
-from topazbank.interface import Outcome
 from topazbank.msgpackrpc.codec import Odd, Reply, Request, encode_request, encode_response
 
 READY, LIVE, STATS = "health.ready", "health.live", "stats"  # methods that are no calls
@@ -33,13 +33,13 @@
 _PLAIN_MOST = 1024  # characters of a content type
 
 
-def read_call(request: Request, rules: Rulebook, answer: Callable[[Answer], None]) -> Call:
+def read_call(request: Request, rules: RequestClasses, answer: Callable[[FinalAnswer], None]) -> Call:
     """Read a client's request; raise BadCall where it makes no sense or breaks the settings."""
     if type(request.method) is not bytes:
-        raise BadCall(400, "method: a text is wanted")
+        raise InvalidRequest(400, "method: a text is wanted")
     kind = rules.classes.get(request.method.decode("latin-1"))
     if kind is None:
-        raise BadCall(404, "method: it names no class of calls")
+        raise InvalidRequest(404, "method: it names no class of calls")
     envelope, body = _params(request.params)
     caller = _visible(envelope, b"tenant")
     target = _target(envelope)
@@ -64,23 +64,25 @@
 
 def _params(params: object) -> tuple[dict[bytes, Any], bytes]:
     if type(params) is not list or not 1 <= len(params) <= 2:
-        raise BadCall(400, "params: an envelope and a body are wanted")
+        raise InvalidRequest(400, "params: an envelope and a body are wanted")
     envelope, body = params[0], params[1] if len(params) == 2 else None
     if isinstance(envelope, Odd) or type(envelope) is not dict:
-        raise BadCall(400, f"envelope: a map of texts is wanted, not {envelope!r:.40}")
+        raise InvalidRequest(400, f"envelope: a map of texts is wanted, not {envelope!r:.40}")
     for name, value in envelope.items():
         if type(value) not in _SCALARS:
-            raise BadCall(400, f"envelope.{name.decode('latin-1')!r:.40}: a text or a number is wanted")
+            raise InvalidRequest(
+                400, f"envelope.{name.decode('latin-1')!r:.40}: a text or a number is wanted"
+            )
     if body is not None and type(body) is not bytes:
-        raise BadCall(400, "body: a binary is wanted")
+        raise InvalidRequest(400, "body: a binary is wanted")
     if body is not None and len(body) > BODY_MOST:
-        raise BadCall(413, f"body: {BODY_MOST} bytes at most are wanted")
+        raise InvalidRequest(413, f"body: {BODY_MOST} bytes at most are wanted")
     return envelope, body or b""
 
 
 def _needed(value: str | None, name: str) -> str:
     if value is None:
-        raise BadCall(400, f"envelope.{name} is missing")
+        raise InvalidRequest(400, f"envelope.{name} is missing")
     return value
 
 
@@ -91,7 +93,7 @@
         return None
     text = value.decode("latin-1") if type(value) is bytes else ""
     if not is_visible(text):
-        raise BadCall(400, f"envelope.{name.decode()}: up to 256 visible ASCII characters are wanted")
+        raise InvalidRequest(400, f"envelope.{name.decode()}: up to 256 visible ASCII characters are wanted")
     return text
 
 
@@ -100,31 +102,31 @@
     if path is None:
         path = b"/api" if key is None else b"/api/" + key.encode()
     if type(path) is not bytes or not is_target(path):
-        raise BadCall(404, "envelope.path: a path below /api is wanted")
+        raise InvalidRequest(404, "envelope.path: a path below /api is wanted")
     return path
 
 
 def _budget(envelope: Mapping[bytes, Any]) -> float:
     value = envelope.get(b"budget")
     if type(value) not in (int, float):
-        raise BadCall(400, "envelope.budget: a number of seconds is wanted")
+        raise InvalidRequest(400, "envelope.budget: a number of seconds is wanted")
     seconds = cast(float, value)
     if not math.isfinite(seconds) or not 0 <= seconds < 1e9:
-        raise BadCall(400, "envelope.budget: a number of seconds from 0 on is wanted")
+        raise InvalidRequest(400, "envelope.budget: a number of seconds from 0 on is wanted")
     return seconds
 
 
 def _cost(envelope: Mapping[bytes, Any]) -> int | None:
     value = envelope.get(b"cost_us")
     if value is not None and (type(value) is not int or not 0 <= value <= _COST_MOST):
-        raise BadCall(400, "envelope.cost_us: a whole number of microseconds is wanted")
+        raise InvalidRequest(400, "envelope.cost_us: a whole number of microseconds is wanted")
     return value
 
 
 def _flag(envelope: Mapping[bytes, Any], name: bytes) -> bool:
     value = envelope.get(name)
     if value is not None and type(value) is not bool:
-        raise BadCall(400, f"envelope.{name.decode()}: true or false is wanted")
+        raise InvalidRequest(400, f"envelope.{name.decode()}: true or false is wanted")
     return bool(value)
 
 
@@ -169,7 +171,7 @@
             given[name.decode()] = value.decode("latin-1")
 
 
-def write_answer(msgid: int, answer: Answer) -> bytes:
+def write_answer(msgid: int, answer: FinalAnswer) -> bytes:
     """A call's final answer as a response."""
     if answer.verdict is Verdict.SERVED:
         result: dict[str, Any] = {"body": answer.body}
@@ -182,7 +184,7 @@
     return encode_response(msgid, [_FAILED, "failed", {}], None)
 
 
-def write_rejection(msgid: int, bad: BadCall) -> bytes:
+def write_rejection(msgid: int, bad: InvalidRequest) -> bytes:
     return encode_response(msgid, [bad.status, str(bad), {}], None)
 
 
@@ -207,4 +209,4 @@
     said: dict[bytes, Any] = error[2]
     response = Response(b"", None, read_figures(said.get(b"load"), columns))
     turned_away = type(error[0]) is int and error[0] in _TURNED_AWAY and said.get(b"rejected") is True
-    return (Outcome.FULL if turned_away else Outcome.ERROR), response
+    return (Outcome.REJECTED if turned_away else Outcome.ERROR), response
--- a/topazbank/msgpackrpc/server.py
+++ b/topazbank/msgpackrpc/server.py
@@ -13,10 +13,10 @@
 from functools import partial
 from typing import ClassVar
 
-from topazbank.core.call import FAILED, Answer, BadCall, Call, Verdict
+from topazbank.core.call import FAILED, Call, FinalAnswer, InvalidRequest, Verdict
 from topazbank.core.connection_states import ConnectionState, PartialRequest
 from topazbank.core.counters import Event
-from topazbank.core.listener import ClientConnection, Frontend
+from topazbank.core.listener import ClientConnection, Listener
 from topazbank.core.net import has_ended
 from topazbank.msgpackrpc.codec import (
     MSGID_MOST,
@@ -49,7 +49,7 @@
 
     _waiting_in_all: ClassVar[int] = 0  # bytes of answers that wait on connections whose clients read slowly
 
-    def __init__(self, frontend: Frontend, sock: socket.socket) -> None:
+    def __init__(self, frontend: Listener, sock: socket.socket) -> None:
         super().__init__(frontend, sock)
         self._decoder = Decoder()
         self._calls: dict[int, Call] = {}  # those out, by message id; CALLS_MOST
@@ -104,7 +104,7 @@
     def _time_out(self) -> None:
         """Its client has stopped in the middle of a message, or sends it too slowly."""
         self._frontend.counters.count(Event.REQUEST_TIMED_OUT)
-        self._break("half a message", BadCall(408, "the message took too long to come"))
+        self._break("half a message", InvalidRequest(408, "the message took too long to come"))
         if not self._told_off:
             self._fail_held()
 
@@ -155,7 +155,7 @@
                     return
         except Junk as junk:
             self._coming = None
-            self._break(str(junk), BadCall(413 if junk.too_long else 400, str(junk)), junk.msgid)
+            self._break(str(junk), InvalidRequest(413 if junk.too_long else 400, str(junk)), junk.msgid)
             return
         self._note_partial(count, begins=taken > 0)
         if self._broken:
@@ -209,26 +209,28 @@
             self._break("a message id that is still out")
             return
         if not 0 <= msgid <= MSGID_MOST:
-            self._write(write_rejection(msgid, BadCall(400, "msgid: a 32-bit unsigned number is wanted")))
+            self._write(
+                write_rejection(msgid, InvalidRequest(400, "msgid: a 32-bit unsigned number is wanted"))
+            )
             return
         if request.method == READY.encode():
             ready = self._frontend.hooks.ready()
             self._write(
                 encode_response(msgid, None, {"ready": True})
                 if ready
-                else write_rejection(msgid, BadCall(503, "draining"))
+                else write_rejection(msgid, InvalidRequest(503, "draining"))
             )
             return
         try:
             call = read_call(request, self._frontend.rules, partial(self._answer, msgid))
             if self._frontend.stopped:
                 self._write(
-                    write_answer(msgid, Answer(Verdict.REFUSED))
+                    write_answer(msgid, FinalAnswer(Verdict.REFUSED))
                 )  # never sent on; another sidecar may
                 return
             if self._frontend.hooks.is_out(call.ident):
-                raise BadCall(409, "envelope.id is that of another call, which is still out")
-        except BadCall as bad:
+                raise InvalidRequest(409, "envelope.id is that of another call, which is still out")
+        except InvalidRequest as bad:
             log.info("call rejected: %s", bad)
             self._write(write_rejection(msgid, bad))
             return
@@ -242,9 +244,9 @@
             if msgid in self._calls:
                 self._calls.pop(msgid)
                 self._frontend.hooks.gone([call])
-                self._write(write_rejection(msgid, BadCall(500, "internal error")))
+                self._write(write_rejection(msgid, InvalidRequest(500, "internal error")))
 
-    def _break(self, why: str, bad: BadCall | None = None, msgid: int | None = None) -> None:
+    def _break(self, why: str, bad: InvalidRequest | None = None, msgid: int | None = None) -> None:
         """Read no more: what is out is answered, then the connection ends."""
         if self._broken:
             return
@@ -268,7 +270,7 @@
 
     # -- What goes -------------------------------------------------------------------------------------
 
-    def _answer(self, msgid: int, answer: Answer) -> None:
+    def _answer(self, msgid: int, answer: FinalAnswer) -> None:
         if self._calls.pop(msgid, None) is None:
             return
         self._write(write_answer(msgid, answer))
--- a/topazbank/operation/desk.py
+++ b/topazbank/operations/admin_api.py
@@ -1,7 +1,7 @@
 """Where operators call: one line to a connection, one line back that begins with 200 or 400.
 
 It runs in a thread of its own: an answer is owed in a second under any load, and a loop that is behind with requests
-comes too late.  docs/design/operation.md weighs that.  What an order changes is changed at once, under the machine's
+comes too late.  docs/design/operations.md weighs that.  What an order changes is changed at once, under the machine's
 lock; the loop is woken to carry it out.
 """
 
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 
 from topazbank.core.net import Address
-from topazbank.operation.drain import Drain, Stage
+from topazbank.operations.drain import Drain, Stage
 
 log = logging.getLogger(__name__)
 
@@ -70,7 +70,7 @@
     answered: bool = False
 
 
-class Desk:
+class AdminApi:
     """Listens for operators, in a thread."""
 
     def __init__(self, address: Address, answer: Callable[[bytes], str]) -> None:
--- a/topazbank/operation/handover.py
+++ b/topazbank/operations/handover.py
@@ -6,7 +6,7 @@
 and its end tells each of the other's.  Where that does not work (no such path, a hung or another version's process, a
 platform without Unix sockets) the new process listens beside the old one by SO_REUSEPORT.
 
-docs/design/operation.md weighs the ways.
+docs/design/operations.md weighs the ways.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Any
 
-from topazbank.operation.upgrade import HEAD, BadSnapshot, length_of, pack, unpack
+from topazbank.operations.upgrade import HEAD, BadSnapshot, length_of, pack, unpack
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/operation/service.py
+++ b/topazbank/operations/service.py
@@ -9,16 +9,16 @@
 from pathlib import Path
 from typing import Any
 
-from topazbank.core.driver import Config, Sidecar, Wiring
-from topazbank.membership.list_format import list_to_json, parse_list
-from topazbank.operation.desk import Calls, Desk
-from topazbank.operation.handover import Handover, inherit
-from topazbank.operation.upgrade import parts
+from topazbank.core.driver import Components, Sidecar, SidecarConfig
+from topazbank.discovery.list_format import list_to_json, parse_list
+from topazbank.operations.admin_api import AdminApi, Calls
+from topazbank.operations.handover import Handover, inherit
+from topazbank.operations.upgrade import parts
 
 log = logging.getLogger(__name__)
 
 
-def path_of(config: Config) -> Path | None:
+def path_of(config: SidecarConfig) -> Path | None:
     """Where a sidecar at this address hands over; None: nowhere."""
     if not config.folder:
         return None
@@ -28,7 +28,7 @@
 class Service:
     """One process of a sidecar, from its start to its end."""
 
-    def __init__(self, config: Config, wiring: Wiring) -> None:
+    def __init__(self, config: SidecarConfig, wiring: Components) -> None:
         """Take over from the process before, if one is there; raise OSError where an address can't be listened at."""
         path = path_of(config)
         self._before = inherit(path)
@@ -51,10 +51,10 @@
         if self._before.link is not None:
             held = (known.get("clients"), known.get("nodes"))
             self._bound([parts(self.sidecar.connections_most, _count(each)).new for each in held])
-        self._desk: Desk | None = None
+        self._desk: AdminApi | None = None
         if config.operator is not None:
             # Both clocks are the monotonic one; the desk's thread has no loop.
-            self._desk = Desk(config.operator, Calls(self.sidecar.drain, self._changed).answer)
+            self._desk = AdminApi(config.operator, Calls(self.sidecar.drain, self._changed).answer)
         self._loop: asyncio.AbstractEventLoop | None = None
 
     async def run(self, stop: asyncio.Event) -> None:
@@ -105,7 +105,7 @@
         self.sidecar.bound(most[0], most[1])
 
 
-def _told(config: Config, known: Mapping[str, Any]) -> Config:
+def _told(config: SidecarConfig, known: Mapping[str, Any]) -> SidecarConfig:
     """The configuration with the list as the process before had it, where that is one."""
     try:
         return replace(config, known=parse_list(known.get("list")), inherited=True)
--- a/topazbank/operator.py
+++ b/topazbank/operator_config.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from topazbank.budget.rules import RATE, THOUSANDTHS, Budget
+from topazbank.balancing.fleet import HEALTH_CHECKS, RETRIES, TENANT_REQUESTS
+from topazbank.core.endpoints import HTTP, MSGPACK_RPC, PROTOCOLS
 from topazbank.core.net import Address, parse_address
-from topazbank.core.nodes import HTTP, MSGPACK_RPC, PROTOCOLS
-from topazbank.interface import PROBES, RETRIES, TENANT
+from topazbank.quota.rules import RATE, THOUSANDTHS, Quota
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tiering:
-    """Membership among the sidecars: docs/operators/tier.md."""
+    """Membership among the sidecars: docs/operators/cluster.md."""
 
     on: bool = False
     name: str = ""  # of this sidecar among them; by default its number in the configuration's `peers`
@@ -92,15 +92,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Budgeted:
-    """One budget of the whole fleet, and what it is of: docs/operators/budgets.md."""
+    """One budget of the whole fleet, and what it is of: docs/operators/quotas.md."""
 
-    budget: Budget
+    budget: Quota
     of: str
     tenant: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
+class OperatorConfig:
     """All that the operator file sets."""
 
     msgpack_rpc: MsgpackRpc = field(default_factory=MsgpackRpc)
@@ -116,18 +116,18 @@
     show_roster: bool = False  # GET /admin/roster on the one listener
 
 
-def read_operator(path: str | None) -> Operator:
+def read_operator_config(path: str | None) -> OperatorConfig:
     """Read the operator file; raise ValueError or OSError, naming the field and what was wanted."""
     if path is None:
-        return Operator()
+        return OperatorConfig()
     with open(path, "rb") as file:
         try:
-            return operator_from(tomllib.load(file))
+            return operator_config_from(tomllib.load(file))
         except ValueError as bad:
             raise ValueError(f"{path}: {bad}") from None
 
 
-def operator_from(given: Mapping[str, Any]) -> Operator:
+def operator_config_from(given: Mapping[str, Any]) -> OperatorConfig:
     """Check what the file holds; a name that is not known is an error, since it would set nothing."""
     known = ("msgpack_rpc", "nodes", "membership", "planning", "tier", "budgets", "admin", "trace")
     top = _Table("", given, known)
@@ -143,7 +143,7 @@
         connections_per_node=rpc.whole("connections_per_node", 64, 1, 4096),
     )
     default, pods = nodes.protocol("protocol", HTTP), nodes.pods("pods")
-    operator = Operator(
+    operator = OperatorConfig(
         made,
         default,
         pods,
@@ -232,12 +232,14 @@
 def _budget(name: str, given: Any) -> Budgeted:
     table = _Table(f"budgets.{name}.", given, BUDGET_FIELDS)
     of = table.text("of", "")
-    if of not in (RETRIES, PROBES, TENANT):
-        raise ValueError(f"budgets.{name}.of: {RETRIES}, {PROBES} or {TENANT} is wanted, not {of!r:.40}")
+    if of not in (RETRIES, HEALTH_CHECKS, TENANT_REQUESTS):
+        raise ValueError(
+            f"budgets.{name}.of: {RETRIES}, {HEALTH_CHECKS} or {TENANT_REQUESTS} is wanted, not {of!r:.40}"
+        )
     tenant = table.text("tenant", "")
-    if (of == TENANT) is not bool(tenant):
+    if (of == TENANT_REQUESTS) is not bool(tenant):
         raise ValueError(f"budgets.{name}.tenant: wanted of a tenant's budget, and of no other")
-    budget = Budget(
+    budget = Quota(
         name,
         RATE,
         table.whole("whole", 0, 0, AMOUNT_MOST),
--- a/topazbank/planning/election.py
+++ b/topazbank/planning/election.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-from topazbank.membership import zkwire
-from topazbank.membership.zkclient import Disconnected, Ensemble, Session, State, ZkError
-from topazbank.membership.zkwire import Code, Happened
+from topazbank.discovery import zkwire
+from topazbank.discovery.zkclient import Disconnected, Ensemble, Session, State, ZkError
+from topazbank.discovery.zkwire import Code, Happened
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/planning/forwarder.py
+++ b/topazbank/planning/forwarder.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable, Collection, Mapping, Sequence
 from typing import Any
 
+from topazbank.balancing.events import ServerDescription, ServerState
+from topazbank.cluster.member import Generations
 from topazbank.core.net import Address
-from topazbank.interface import ListedServer, ServerState
 from topazbank.planning.link import PERIOD_MOST, PlannerLink
 from topazbank.planning.plan import Follower, Plan, S
 from topazbank.planning.summary import Collector
 from topazbank.planning.wire import encode_summary
-from topazbank.tier.member import Lives
 
 PERIOD = S // 10  # between summaries until a planner asks for another
 JITTER = 0.1  # of a period: forwarders that started together spread out
@@ -31,11 +31,11 @@
         self._links = [PlannerLink(each, now, self._hear, seed + n) for n, each in enumerate(planners)]
         self._timer: asyncio.TimerHandle | None = None
         self._ejected: Callable[[], Collection[str]] = tuple
-        self._lives: Callable[[], Lives | None] = lambda: None
+        self._lives: Callable[[], Generations | None] = lambda: None
 
     # -- What the driver tells --------------------------------------------------------------------------
 
-    def start(self, ejected: Callable[[], Collection[str]], lives: Callable[[], Lives | None]) -> None:
+    def start(self, ejected: Callable[[], Collection[str]], lives: Callable[[], Generations | None]) -> None:
         """Begin to tell planners; `ejected` gives the nodes that the decision module leaves alone.
 
         `lives`: what is known of the tier, None where this sidecar is in none.
@@ -49,12 +49,12 @@
         for link in self._links:
             link.stop()
 
-    def listed(self, servers: Sequence[ListedServer]) -> None:
+    def listed(self, servers: Sequence[ServerDescription]) -> None:
         for each in servers:
             if each.state is ServerState.READY:
-                self._ready.add(each.server)
+                self._ready.add(each.name)
             else:
-                self._ready.discard(each.server)
+                self._ready.discard(each.name)
         if servers:
             self.follower.listed(self._ready)
 
@@ -77,14 +77,14 @@
 
     # -- The guide -------------------------------------------------------------------------------------
 
-    def drawn(self, now: int, chance: Callable[[], float]) -> Sequence[str]:
-        return self.follower.drawn(now, chance)
+    def sample(self, now: int, chance: Callable[[], float]) -> Sequence[str]:
+        return self.follower.sample(now, chance)
 
-    def room(self, server: str) -> float:
-        return self.follower.room(server)
+    def capacity(self, server: str) -> float:
+        return self.follower.capacity(server)
 
-    def cold(self, server: str, now: int) -> float:
-        return self.follower.cold(server, now)
+    def slow_start_ratio(self, server: str, now: int) -> float:
+        return self.follower.slow_start_ratio(server, now)
 
     # -- Planners --------------------------------------------------------------------------------------
 
--- a/topazbank/planning/plan.py
+++ b/topazbank/planning/plan.py
@@ -197,7 +197,7 @@
 
     # -- The guide -------------------------------------------------------------------------------------
 
-    def drawn(self, now: int, chance: Callable[[], float]) -> Sequence[str]:
+    def sample(self, now: int, chance: Callable[[], float]) -> Sequence[str]:
         trust = self.trust(now)
         if trust <= 0.0 or (trust < 1.0 and chance() >= trust):
             return ()
@@ -210,11 +210,11 @@
     def _wait(self, name: str) -> float:
         return self._shares[name].wait
 
-    def room(self, server: str) -> float:
+    def capacity(self, server: str) -> float:
         share = self._shares.get(server)
         return share.room if share is not None else float("inf")
 
-    def cold(self, server: str, now: int) -> float:
+    def slow_start_ratio(self, server: str, now: int) -> float:
         share = self._shares.get(server)
         if share is None or share.cold >= 1.0:
             return 1.0
--- a/topazbank/planning/server.py
+++ b/topazbank/planning/server.py
@@ -18,12 +18,12 @@
 
 import msgpack
 
+from topazbank.balancing.events import ServerState
 from topazbank.core.driver import Clock
-from topazbank.core.members import Listed, Source, Told
+from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, EndpointSource
 from topazbank.core.net import Address
-from topazbank.interface import ServerState
-from topazbank.operator import ZOOKEEPER, Operator, read_operator
-from topazbank.planning.lead import StaticLead
+from topazbank.operator_config import ZOOKEEPER, OperatorConfig, read_operator_config
+from topazbank.planning.leadership import StaticLead
 from topazbank.planning.planner import Member, Planner
 from topazbank.planning.wire import DOCUMENT_MOST, STATUS, SUMMARY, BadDocument, decode_summary, encode_plan
 
@@ -34,7 +34,7 @@
 LOOK_S = 0.1  # how often it is looked at who leads
 COLD_US = 22_000_000  # a node is warm so long after its start
 
-MakeSource = Callable[[Callable[[Told | None], None]], Source]
+MakeSource = Callable[[Callable[[EndpointList | None], None]], EndpointSource]
 
 
 class PlannerServer:
@@ -50,7 +50,7 @@
         self.connections: set[_Connection] = set()
         self.bytes_in = self.bytes_out = 0
         self._static = StaticLead(name, rank, self.clock.now()) if rank is not None else None
-        self._listed: dict[str, Listed] = {}
+        self._listed: dict[str, DiscoveredServer] = {}
         self._source = make_source(self._told)
         self._server: asyncio.Server | None = None
         self._looking: asyncio.TimerHandle | None = None
@@ -91,7 +91,7 @@
 
     # -- Nodes -----------------------------------------------------------------------------------------
 
-    def _told(self, told: Told | None) -> None:
+    def _told(self, told: EndpointList | None) -> None:
         if told is None:
             self._source.fetch()
             return
@@ -99,9 +99,9 @@
             self._listed.clear()
         for line in told.lines:
             if line.server.state is ServerState.READY:
-                self._listed[line.server.server] = line
+                self._listed[line.server.name] = line
             else:
-                self._listed.pop(line.server.server, None)
+                self._listed.pop(line.server.name, None)
         members = {name: _member(line) for name, line in self._listed.items()}
         self.planner.members(self.clock.now(), members)
 
@@ -125,9 +125,11 @@
         }
 
 
-def _member(line: Listed) -> Member:
+def _member(line: DiscoveredServer) -> Member:
     started = line.server.started_at
-    return Member(line.server.server, line.server.nominal, started + COLD_US if started is not None else 0)
+    return Member(
+        line.server.name, line.server.nominal_capacity, started + COLD_US if started is not None else 0
+    )
 
 
 class _Connection(asyncio.Protocol):
@@ -193,7 +195,7 @@
 # -- The command -------------------------------------------------------------------------------------
 
 
-async def serve(operator: Operator, name: str, registry: Address | None) -> int:
+async def serve(operator: OperatorConfig, name: str, registry: Address | None) -> int:
     from topazbank.wiring import membership_source
 
     given = operator.planning
@@ -207,7 +209,7 @@
     await server.start(given.listen)
     election = None
     if not by_rank:
-        from topazbank.membership.zkclient import Ensemble
+        from topazbank.discovery.zkclient import Ensemble
         from topazbank.planning.election import Election
 
         place = operator.membership.zookeeper
@@ -239,7 +241,7 @@
     from topazbank.core.net import parse_address
 
     try:
-        operator = read_operator(given.operator)
+        operator = read_operator_config(given.operator)
         registry = parse_address(given.registry) if given.registry else None
         if operator.planning.listen is None:
             raise ValueError("planning.listen: where this planner listens is wanted")
--- a/topazbank/planning/summary.py
+++ b/topazbank/planning/summary.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from topazbank.tier.member import Lives
+from topazbank.cluster.member import Generations
 
 NODES_MOST = 64  # nodes that a summary tells of: those that were most used; 40 bytes or so each
 BUCKETS = 32  # of a sketch of times
@@ -74,7 +74,7 @@
     classes: dict[str, tuple[int, int, int]] = field(default_factory=dict)  # arrived, served, turned away
     nodes: dict[str, NodeUse] = field(default_factory=dict)  # NODES_MOST
     times: Sketch = field(default_factory=Sketch)
-    lives: Lives | None = None  # None: it takes no part in a tier
+    lives: Generations | None = None  # None: it takes no part in a tier
 
 
 class Collector:
--- a/topazbank/planning/wire.py
+++ b/topazbank/planning/wire.py
@@ -12,9 +12,9 @@
 
 import msgpack
 
+from topazbank.cluster.member import GONE_TOLD, Generations
 from topazbank.planning.plan import SHARES_MOST, Plan, Share
 from topazbank.planning.summary import BUCKETS, NODES_MOST, NodeUse, Sketch, Summary
-from topazbank.tier.member import GONE_TOLD, Lives
 
 VERSION = 1
 DOCUMENT_MOST = 64 * 1024  # bytes: 256 shares or 64 nodes with names of 200 characters
@@ -162,7 +162,7 @@
     )
 
 
-def _lives(given: object) -> Lives:
+def _lives(given: object) -> Generations:
     if not isinstance(given, list) or not 1 <= len(given) <= 1 + GONE_TOLD:
         raise BadDocument(f"tier: itself and {GONE_TOLD} others at most are wanted")
     pairs = []
@@ -170,7 +170,7 @@
         if not isinstance(each, list) or len(each) != 2:
             raise BadDocument("tier: pairs of an ident and a life are wanted")
         pairs.append((_whole(each[0], "ident"), _whole(each[1], "life")))
-    return Lives(pairs[0], tuple(pairs[1:]))
+    return Generations(pairs[0], tuple(pairs[1:]))
 
 
 def _counts(given: object) -> tuple[int, int, int]:
--- /dev/null
+++ b/topazbank/quota/__init__.py
@@ -0,0 +1,1 @@
+"""Fleet-wide budgets, divided among the sidecars: docs/design/quotas.md."""
--- a/topazbank/budget/__main__.py
+++ b/topazbank/quota/__main__.py
@@ -1,7 +1,7 @@
 """Budgets of a fleet: what a process holds and keeps, and whether the parts ever passed the whole.
 
-python -m topazbank.budget show HOST:PORT
-python -m topazbank.budget audit FILE ... [--plot FILE.png]
+python -m topazbank.quota show HOST:PORT
+python -m topazbank.quota audit FILE ... [--plot FILE.png]
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 from collections.abc import Iterator, Sequence
 from typing import Any
 
-from topazbank.budget.audit import Account, BadLedger, audit, read
-from topazbank.budget.rules import RATE, THOUSANDTHS
-from topazbank.tier.__main__ import ask_tier
+from topazbank.cluster.__main__ import ask_tier
+from topazbank.quota.audit import Account, BadLedger, audit, read
+from topazbank.quota.rules import RATE, THOUSANDTHS
 
 
 def amount(value: int, kind: str) -> str:
@@ -87,7 +87,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="topazbank.budget", description=(__doc__ or "").split("\n")[0])
+    parser = argparse.ArgumentParser(prog="topazbank.quota", description=(__doc__ or "").split("\n")[0])
     commands = parser.add_subparsers(dest="what", required=True)
     shown = commands.add_parser("show", help="what a sidecar holds and keeps by now")
     shown.add_argument("address", metavar="HOST:PORT", help="where the sidecar listens for clients")
--- a/topazbank/budget/audit.py
+++ b/topazbank/quota/audit.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from topazbank.budget.ledger import VERSION
-from topazbank.budget.rules import RATE, THOUSANDTHS
+from topazbank.quota.ledger import VERSION
+from topazbank.quota.rules import RATE, THOUSANDTHS
 
 BREACHES_KEPT = 20
 STEP_S = 0.25  # two steps of a ledger, and a little: what is spent in between is noted at their end
--- a/topazbank/budget/memory.py
+++ b/topazbank/quota/grant_store.py
@@ -12,7 +12,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import TypeVar
 
-from topazbank.budget.store import MARK_S, BadStore, Remembered, Row, Store
+from topazbank.quota.store import MARK_S, BadStore, Remembered, Row, Store
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/budget/lease.py
+++ b/topazbank/quota/lease.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass, field
 
-from topazbank.budget.rules import NOTHING, Part
+from topazbank.quota.rules import NOTHING, Part
 
 ASKED_MOST = 8  # questions whose answers may still come
 
--- a/topazbank/budget/holder.py
+++ b/topazbank/quota/lease_client.py
@@ -12,9 +12,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from topazbank.budget.lease import Ask, Given, Lease
-from topazbank.budget.purse import RatePurse, StockPurse
-from topazbank.budget.rules import RATE, RENEWALS, THOUSANDTHS, Budget
+from topazbank.quota.lease import Ask, Given, Lease
+from topazbank.quota.rules import RATE, RENEWALS, THOUSANDTHS, Quota
+from topazbank.quota.token_bucket import RatePurse, StockPurse
 
 ASKED_AT_ONCE = 3  # keepers that one holder asks
 HEADROOM = 1.25  # beyond what was wanted: growth is met before the next renewal
@@ -34,7 +34,7 @@
 class Holder:
     """What one life of a process holds of one budget."""
 
-    def __init__(self, budget: Budget, name: str, now: int) -> None:
+    def __init__(self, budget: Quota, name: str, now: int) -> None:
         self.budget = budget
         self.purse: RatePurse | StockPurse = (
             RatePurse(now, budget.floor, budget.drift_ppm)
--- a/topazbank/budget/keeper.py
+++ b/topazbank/quota/lease_server.py
@@ -12,9 +12,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from topazbank.budget.division import divide, step
-from topazbank.budget.lease import Ask, Given
-from topazbank.budget.rules import NOTHING, Budget, Part, total
+from topazbank.quota.fair_share import divide, step
+from topazbank.quota.lease import Ask, Given
+from topazbank.quota.rules import NOTHING, Part, Quota, total
 
 HOLDERS_MOST = 8192  # lives of holders that are counted; who comes beyond gets nothing
 ANSWERS_MOST = (
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        budget: Budget,
+        budget: Quota,
         slice_: Part,
         now: int,
         remembered: Iterable[tuple[Who, int, Part, int]] | None = None,
--- a/topazbank/budget/ledger.py
+++ b/topazbank/quota/ledger.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 from typing import Any
 
-from topazbank.budget.holder import Holder
-from topazbank.budget.keeper import Keeper
-from topazbank.budget.rules import Budget
+from topazbank.quota.lease_client import Holder
+from topazbank.quota.lease_server import Keeper
+from topazbank.quota.rules import Quota
 
 BYTES_MOST = 64 * 1024 * 1024
 VERSION = 1
@@ -29,7 +29,7 @@
         self._last: dict[str, Any] = {}
         self._name, self._life = name, life
 
-    def begins(self, now: int, budget: Budget) -> None:
+    def begins(self, now: int, budget: Quota) -> None:
         """This process may spend its floor from now on."""
         whole = {
             "whole": budget.amount,
--- a/topazbank/budget/rules.py
+++ b/topazbank/quota/rules.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Budget:
+class Quota:
     """One budget, as all of a fleet are told of it."""
 
     name: str
--- a/topazbank/budget/service.py
+++ b/topazbank/quota/service.py
@@ -11,17 +11,17 @@
 from pathlib import Path
 from typing import Any, BinaryIO
 
-from topazbank.budget.holder import Holder, Word
-from topazbank.budget.keeper import Keeper
-from topazbank.budget.lease import Given
-from topazbank.budget.ledger import Ledger
-from topazbank.budget.memory import Memory
-from topazbank.budget.rules import Budget
-from topazbank.budget.store import Remembered, Row, Store, slices_of
-from topazbank.budget.wire import MAGIC, BadWord, Envelope, Kind, decode, encode, mark_of
+from topazbank.balancing.fleet import TENANT_REQUESTS
+from topazbank.cluster.member import ident_of
 from topazbank.core.net import Address
-from topazbank.interface import TENANT
-from topazbank.tier.member import ident_of
+from topazbank.quota.grant_store import Memory
+from topazbank.quota.lease import Given
+from topazbank.quota.lease_client import Holder, Word
+from topazbank.quota.lease_server import Keeper
+from topazbank.quota.ledger import Ledger
+from topazbank.quota.rules import Quota
+from topazbank.quota.store import Remembered, Row, Store, slices_of
+from topazbank.quota.wire import MAGIC, BadWord, Envelope, Kind, decode, encode, mark_of
 
 log = logging.getLogger(__name__)
 
@@ -34,21 +34,23 @@
 
     def __init__(self, holders: Mapping[tuple[str, str | None], Holder], offset_us: int) -> None:
         """`holders`: by what they are of and the tenant; `offset_us`: of the module's clock beyond this one's."""
-        self._plain = {of: each.purse for (of, _), each in holders.items() if of != TENANT}
-        self._tenants = {tenant: each.purse for (of, tenant), each in holders.items() if of == TENANT}
+        self._plain = {of: each.purse for (of, _), each in holders.items() if of != TENANT_REQUESTS}
+        self._tenants = {
+            tenant: each.purse for (of, tenant), each in holders.items() if of == TENANT_REQUESTS
+        }
         self._offset = offset_us
 
-    def may(self, what: str, tenant: str | None, now: int) -> bool:
-        purse = self._tenants.get(tenant) if what == TENANT else self._plain.get(what)
+    def acquire(self, what: str, tenant: str | None, now: int) -> bool:
+        purse = self._tenants.get(tenant) if what == TENANT_REQUESTS else self._plain.get(what)
         return purse is None or purse.spend(now - self._offset)
 
 
-class BudgetService:
+class QuotaService:
     """One process's holders and keepers."""
 
     def __init__(
         self,
-        budgets: Sequence[tuple[Budget, str, str | None]],
+        budgets: Sequence[tuple[Quota, str, str | None]],
         name: str,
         address_of: Callable[[str], Address | None],
         now: Callable[[], int],
--- a/topazbank/budget/store.py
+++ b/topazbank/quota/store.py
@@ -17,8 +17,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from topazbank.budget.keeper import Who
-from topazbank.budget.rules import Part
+from topazbank.quota.lease_server import Who
+from topazbank.quota.rules import Part
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/budget/purse.py
+++ b/topazbank/quota/token_bucket.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Sequence
 
-from topazbank.budget.rules import Part
+from topazbank.quota.rules import Part
 
 _NANO = 1_000_000_000  # of a unit: a rate in thousandths a second over microseconds comes out even
 _NEVER = 1 << 62
--- a/topazbank/budget/wire.py
+++ b/topazbank/quota/wire.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from topazbank.budget.lease import Ask, Given
-from topazbank.budget.rules import Budget, Part
-from topazbank.core.seal import CHECK, opened, sealed
+from topazbank.core.checksum import CHECKSUM_BYTES, with_checksum, without_checksum
+from topazbank.quota.lease import Ask, Given
+from topazbank.quota.rules import Part, Quota
 
 MAGIC = 0xD9  # apart from the tier's and from hearsay's first bytes
 VERSION = 1
@@ -47,7 +47,7 @@
     given: Given | None = None
 
 
-def mark_of(budget: Budget) -> int:
+def mark_of(budget: Quota) -> int:
     """32 bits that stand for a budget: of another kind it is another."""
     data = f"{budget.kind}\0{budget.name}".encode()
     return int.from_bytes(hashlib.blake2b(data, digest_size=4).digest(), "big")
@@ -76,14 +76,18 @@
         min(want, _AMOUNT_MOST),
         lease,
     )
-    return sealed(body, key)
+    return with_checksum(body, key)
 
 
 def decode(data: bytes, key: bytes = b"") -> Envelope:
     """Read a word; raise BadWord where it is not whole and of this version."""
-    if not _BODY.size + CHECK <= len(data) <= DATAGRAM_MOST or data[0] != MAGIC or data[1] != VERSION:
+    if (
+        not _BODY.size + CHECKSUM_BYTES <= len(data) <= DATAGRAM_MOST
+        or data[0] != MAGIC
+        or data[1] != VERSION
+    ):
         raise BadWord("no word on a budget of this version")
-    body = opened(data, key)
+    body = without_checksum(data, key)
     if body is None:
         raise BadWord("damaged, or of another key")
     _, _, kind, _, sender, life, budget, number, held, amount, burst, want, lease = _BODY.unpack_from(body)
--- a/topazbank/wirehost.py
+++ b/topazbank/simulator_adapter.py
@@ -1,6 +1,6 @@
 """Puts balancers on the simulator's wire: a map of names, and no decision.
 
-Run as `python -m topazbank.wirehost`.  Input that breaks the wire's grammar ends the process with one line on
+Run as `python -m topazbank.simulator_adapter`.  Input that breaks the wire's grammar ends the process with one line on
 standard error and exit code 2.
 """
 
@@ -11,35 +11,36 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, TextIO
 
-from topazbank.balancer import Balancer
-from topazbank.interface import (
+from topazbank.balancing.actions import (
     Action,
-    AnswerStarted,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    Fail,
+    LogMessage,
+    Reject,
+    SendAttempt,
+    SendGossip,
+    SetTimer,
+    WatchEndpoints,
+)
+from topazbank.balancing.balancer import Balancer
+from topazbank.balancing.events import (
     AttemptEnded,
-    Cancel,
-    CloseIdle,
+    EndpointsUpdated,
     Event,
-    Fail,
-    FetchList,
-    Follow,
-    ListedServer,
-    ListKind,
-    Log,
-    MessageReceived,
+    GossipReceived,
+    HealthCheckEnded,
     Outcome,
-    Probe,
-    ProbeEnded,
-    Refuse,
     RequestArrived,
-    RequestGone,
-    Send,
-    ServersListed,
+    RequestCancelled,
+    ResponseStarted,
+    ServerDescription,
     ServerState,
-    SetTimer,
-    Tell,
     TimerFired,
+    UpdateKind,
 )
-from topazbank.wirenames import settings_from_wire
+from topazbank.platform_names import settings_from_wire
 
 
 class WireError(Exception):
@@ -47,23 +48,23 @@
 
 
 _LIST_KINDS = {
-    "delta": ListKind.CHANGES,
-    "full": ListKind.COMPLETE,
-    "cached": ListKind.REMEMBERED,
-    "failed": ListKind.FAILED,
+    "delta": UpdateKind.DELTA,
+    "full": UpdateKind.SNAPSHOT,
+    "cached": UpdateKind.CACHED,
+    "failed": UpdateKind.FAILED,
 }
 _STATES = {each.value: each for each in ServerState}
 _OUTCOMES = {
     "delivered": Outcome.DELIVERED,
     "app_error": Outcome.ERROR,
-    "shed": Outcome.FULL,
-    "expired": Outcome.EXPIRED,
-    "dial_failed": Outcome.DIAL_FAILED,
-    "dropped": Outcome.DROPPED,
+    "shed": Outcome.REJECTED,
+    "expired": Outcome.TIMED_OUT,
+    "dial_failed": Outcome.CONNECT_FAILED,
+    "dropped": Outcome.CONNECTION_LOST,
     "revoked": Outcome.CANCELLED,
     "unused": Outcome.UNSENT,
 }
-_HINT_VALID, _CLIENT_RETRY, _WRITE = 1, 2, 4
+_HINT_VALID, _CLIENT_RETRY = 1, 2
 _EVERY_PEER = -1
 
 
@@ -118,20 +119,20 @@
         raise WireError("hex digits are needed") from None
 
 
-def _listed(line: object) -> ListedServer:
+def _listed(line: object) -> ServerDescription:
     if not isinstance(line, list) or len(line) < 6:
         raise WireError("an entry of a server list has at least 6 values")
     nominal = line[5]
     if isinstance(nominal, bool) or not isinstance(nominal, (int, float)):
         raise WireError("a nominal figure must be a number")
     started = _optional_whole(line[6]) if len(line) > 6 else None
-    return ListedServer(
-        server=_text(line[0]),
+    return ServerDescription(
+        name=_text(line[0]),
         zone=_text(line[1]),
         kind=_text(line[2]),
         cell=_whole(line[3]),
         state=_word(line[4], _STATES),
-        nominal=float(nominal),
+        nominal_capacity=float(nominal),
         started_at=started or None,
     )
 
@@ -140,18 +141,17 @@
     flags = _whole(m[8])
     return RequestArrived(
         request=_whole(m[2]),
-        service_class=_text(m[3]),
+        request_class=_text(m[3]),
         tenant=None if m[4] is None or m[4] == 0 else _text(m[4]),
         key=_optional_whole(m[5]),
         remaining_us=_whole(m[6]),
         cost_us=_optional_whole(m[7]) if flags & _HINT_VALID else None,
         client_retry=bool(flags & _CLIENT_RETRY),
-        write=bool(flags & _WRITE),
     )
 
 
 def _started(m: list[Any]) -> Event:
-    return AnswerStarted(_whole(m[2]), _whole(m[3]), _text(m[5]), _whole(m[4]))
+    return ResponseStarted(_whole(m[2]), _whole(m[3]), _text(m[5]), _whole(m[4]))
 
 
 def _ended(m: list[Any]) -> Event:
@@ -168,7 +168,7 @@
 
 def _probed(m: list[Any]) -> Event:
     report = _report(m[5]) if len(m) > 5 else None
-    return ProbeEnded(_text(m[4]), _word(m[3], _OUTCOMES), _whole(m[2]), report)
+    return HealthCheckEnded(_text(m[4]), _word(m[3], _OUTCOMES), _whole(m[2]), report)
 
 
 # Event name -> least number of values (the name included) and how to read them.
@@ -176,25 +176,24 @@
     "WORK_ITEM": (9, _request),
     "FIRST": (6, _started),
     "ATTEMPT_END": (8, _ended),
-    "CLIENT_GONE": (3, lambda m: RequestGone(_whole(m[2]))),
+    "CLIENT_GONE": (3, lambda m: RequestCancelled(_whole(m[2]))),
     "WAKE": (3, lambda m: TimerFired(_text(m[2]))),
     "SAMPLED": (5, _probed),
-    "MEMO": (4, lambda m: MessageReceived(_whole(m[2]), _payload(m[3]))),
+    "MEMO": (4, lambda m: GossipReceived(_whole(m[2]), _payload(m[3]))),
 }
 
 # Action type -> how to write it, after the instance's name.
 _ACTIONS: dict[type[Any], tuple[str, Callable[[Any], list[Any]]]] = {
-    Send: ("ASSIGN", lambda a: [a.request, a.server, a.until]),
-    Refuse: ("NOT_NOW", lambda a: [a.request, a.retry_after_us]),
+    SendAttempt: ("ASSIGN", lambda a: [a.request, a.server, a.give_up_at]),
+    Reject: ("NOT_NOW", lambda a: [a.request, a.retry_after_us]),
     Fail: ("SURRENDER", lambda a: [a.request]),
-    Cancel: ("ABORT_ATTEMPT", lambda a: [a.request, a.attempt]),
+    CancelAttempt: ("ABORT_ATTEMPT", lambda a: [a.request, a.attempt]),
     SetTimer: ("REMIND", lambda a: [a.in_us, a.token]),
-    Probe: ("CHECK", lambda a: [a.server]),
-    CloseIdle: ("SHUT_IDLE", lambda a: [a.server]),
-    Tell: ("POST", lambda a: [_EVERY_PEER if a.receiver is None else a.receiver, a.payload.hex()]),
-    Follow: ("FOLLOW", lambda a: [a.wanted]),
-    FetchList: ("REFRESH", lambda a: []),
-    Log: ("REMARK", lambda a: [a.text]),
+    CheckHealth: ("CHECK", lambda a: [a.server]),
+    CloseIdleConnections: ("SHUT_IDLE", lambda a: [a.server]),
+    SendGossip: ("POST", lambda a: [_EVERY_PEER if a.receiver is None else a.receiver, a.payload.hex()]),
+    WatchEndpoints: ("FOLLOW", lambda a: [a.wanted]),
+    LogMessage: ("REMARK", lambda a: [a.text]),
 }
 
 
@@ -212,7 +211,7 @@
 
     def __init__(self) -> None:
         self._balancers: dict[str, Balancer] = {}
-        self._pages: dict[int, list[ListedServer]] = {}
+        self._pages: dict[int, list[ServerDescription]] = {}
         self._now = 0
         self._open = False
         self._reply: list[str] = []
@@ -276,14 +275,14 @@
             self._need(message, least)
             self._play(who, balancer, read(message))
 
-    def _targets(self, message: list[Any]) -> ServersListed:
+    def _targets(self, message: list[Any]) -> EndpointsUpdated:
         kind = _word(message[2], _LIST_KINDS)
-        if kind is ListKind.FAILED:
-            return ServersListed(kind)
+        if kind is UpdateKind.FAILED:
+            return EndpointsUpdated(kind)
         page = self._pages.get(_whole(message[3]))
         if page is None:
             raise WireError(f"TARGETS names list {message[3]}, which was not given")
-        return ServersListed(kind, page, _whole(message[4]))
+        return EndpointsUpdated(kind, page, _whole(message[4]))
 
     def _play(self, who: str, balancer: Balancer, event: Event) -> None:
         try:
--- a/topazbank/wiring.py
+++ b/topazbank/wiring.py
@@ -7,25 +7,25 @@
 from functools import partial
 from typing import Any
 
-from topazbank.core.driver import Config, Observer, TierPart, Wiring
-from topazbank.core.listener import Speaks
-from topazbank.core.members import Dialects, Source, Told
+from topazbank.balancing.settings import Settings
+from topazbank.core.driver import ClusterMembership, Components, RequestObserver, SidecarConfig
+from topazbank.core.endpoint_source import EndpointList, EndpointSource, ProtocolDefaults
+from topazbank.core.endpoints import HTTP, MSGPACK_RPC, ConnectionLimit, UpstreamClient
+from topazbank.core.listener import ConnectionFactory
 from topazbank.core.net import Address
-from topazbank.core.nodes import HTTP, MSGPACK_RPC, Carrier, Slots
 from topazbank.core.trace import Trace
-from topazbank.http.client import HttpCarrier
+from topazbank.discovery.combined import CombinedSource
+from topazbank.discovery.registry import RegistrySource
+from topazbank.estimation.fleet_size import FleetSize
+from topazbank.http.client import HttpUpstreamClient
 from topazbank.http.server import HttpConnection
-from topazbank.interface import Settings
-from topazbank.membership.both import Several
-from topazbank.membership.registry import Discovery
-from topazbank.operator import REGISTRY, ZOOKEEPER, Membership, Operator, Planning, ZooKeeper
-from topazbank.sight.others import Others
+from topazbank.operator_config import REGISTRY, ZOOKEEPER, Membership, OperatorConfig, Planning, ZooKeeper
 
 
-def wire(operator: Operator) -> Wiring:
+def wire(operator: OperatorConfig) -> Components:
     """The parts that the operator file asks for; raise ImportError where one's library is not installed."""
     rpc = operator.msgpack_rpc
-    binary: Speaks | None = None
+    binary: ConnectionFactory | None = None
     if rpc.clients:
         from topazbank.msgpackrpc.server import RpcConnection
 
@@ -34,19 +34,19 @@
     if rpc.nodes:
         import topazbank.msgpackrpc.client  # noqa: F401  # now, so that a library that lacks ends the start
 
-    def carriers(settings: Settings, slots: Slots) -> Mapping[str, Carrier]:
+    def carriers(settings: Settings, slots: ConnectionLimit) -> Mapping[str, UpstreamClient]:
         limits, columns = settings.limits, settings.report_columns
-        dial_s, idle_s = limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6
-        made: dict[str, Carrier] = {HTTP: HttpCarrier(dial_s, idle_s, slots, columns)}
+        dial_s, idle_s = limits.connect_timeout_us / 1e6, limits.idle_timeout_us / 1e6
+        made: dict[str, UpstreamClient] = {HTTP: HttpUpstreamClient(dial_s, idle_s, slots, columns)}
         if rpc.nodes:
-            from topazbank.msgpackrpc.client import RpcCarrier, Sharing
+            from topazbank.msgpackrpc.client import RpcUpstreamClient, Sharing
 
             sharing = Sharing(rpc.lodges_per_connection, rpc.others_per_connection, rpc.connections_per_node)
-            made[MSGPACK_RPC] = RpcCarrier(dial_s, idle_s, slots, columns, sharing)
+            made[MSGPACK_RPC] = RpcUpstreamClient(dial_s, idle_s, slots, columns, sharing)
         return made
 
-    dialects = Dialects(operator.protocol, operator.pods)
-    return Wiring(
+    dialects = ProtocolDefaults(operator.protocol, operator.pods)
+    return Components(
         HttpConnection,
         binary,
         carriers,
@@ -59,21 +59,23 @@
     )
 
 
-def _forwarding(given: Planning, config: Config, now: Callable[[], int]) -> Observer:
+def _forwarding(given: Planning, config: SidecarConfig, now: Callable[[], int]) -> RequestObserver:
     from topazbank.planning.forwarder import Forwarding
 
     name = given.name or f"f-{config.seed & 0xFFFFFFFFFFFFFFFF:016x}"
     return Forwarding(name, given.planners, now, config.seed)
 
 
-def _tier_part(given: Operator, config: Config, others: Others, known: Mapping[str, Any]) -> TierPart:
-    from topazbank.tier.service import TierService
+def _tier_part(
+    given: OperatorConfig, config: SidecarConfig, others: FleetSize, known: Mapping[str, Any]
+) -> ClusterMembership:
+    from topazbank.cluster.service import ClusterService
 
-    service = TierService(given.tier, config, others, known)
+    service = ClusterService(given.tier, config, others, known)
     if given.budgets:
-        from topazbank.budget.service import BudgetService
+        from topazbank.quota.service import QuotaService
 
-        service.budgets = BudgetService(
+        service.budgets = QuotaService(
             [(each.budget, each.of, each.tenant) for each in given.budgets],
             service.name,
             service.address_of,
@@ -86,10 +88,10 @@
     return service
 
 
-Hear = Callable[[Told | None], None]
+Hear = Callable[[EndpointList | None], None]
 
 
-def _source(membership: Membership, config: Config, told: Hear) -> Source:
+def _source(membership: Membership, config: SidecarConfig, told: Hear) -> EndpointSource:
     return membership_source(
         membership, config.discovery, told, config.known.version, config.seed, config.others
     )
@@ -101,28 +103,28 @@
     told: Hear,
     version: int = 0,
     seed: int | None = None,
-    others: Others | None = None,
-) -> Source:
+    others: FleetSize | None = None,
+) -> EndpointSource:
     """The sources that an operator file names; the registry alone is itself, as the platform has it."""
-    makers: dict[str, Callable[[Hear], Source]] = {
+    makers: dict[str, Callable[[Hear], EndpointSource]] = {
         REGISTRY: partial(_registry, registry, version, others, seed),
         ZOOKEEPER: partial(_zookeeper, membership.zookeeper, seed),
     }
     if membership.sources == (REGISTRY,):
         return makers[REGISTRY](told)
-    return Several({name: makers[name] for name in membership.sources}, told)
+    return CombinedSource({name: makers[name] for name in membership.sources}, told)
 
 
 def _registry(
-    address: Address | None, version: int, others: Others | None, seed: int | None, told: Hear
-) -> Source:
+    address: Address | None, version: int, others: FleetSize | None, seed: int | None, told: Hear
+) -> EndpointSource:
     assert address is not None
-    return Discovery(address, version, told, others, seed)
+    return RegistrySource(address, version, told, others, seed)
 
 
-def _zookeeper(given: ZooKeeper, seed: int | None, told: Hear) -> Source:
-    from topazbank.membership.zkclient import Ensemble
-    from topazbank.membership.zookeeper import ZooKeeperSource
+def _zookeeper(given: ZooKeeper, seed: int | None, told: Hear) -> EndpointSource:
+    from topazbank.discovery.zkclient import Ensemble
+    from topazbank.discovery.zookeeper import ZooKeeperSource
 
     ensemble = Ensemble(given.members, given.session_timeout_s, given.chroot, given.secret)
     return ZooKeeperSource(ensemble, given.path, told, seed)
