--- a/benchmarks/notification_delay.py
+++ b/benchmarks/notification_delay.py
@@ -91,7 +91,7 @@
     tasks = [asyncio.create_task(sidecar.run(asyncio.Event()))]
 
     def ready() -> set[str]:
-        servers = sidecar._balancer._servers.values()
+        servers = sidecar._balancer.servers.by_name.values()
         return {each.name for each in servers if each.state is ServerState.READY}
 
     everyone = {lodge.name for lodge, _ in nodes}
--- a/testbed/fleet/harness.py
+++ b/testbed/fleet/harness.py
@@ -261,14 +261,14 @@
                     "",
                     server.cell,
                     server.state,
-                    server.nominal,
+                    server.nominal_capacity,
                     server.started_at,
                 ),
                 each.address,
                 each.protocol,
             )
             for each in process.sidecar._nodes.endpoints.values()
-            if (server := process.sidecar._balancer._servers[each.name])
+            if (server := process.sidecar._balancer.servers.by_name[each.name])
         ]
         process.stop.set()
         await process.task
@@ -282,7 +282,7 @@
             return set()
         return {
             each.name
-            for each in process.sidecar._balancer._servers.values()
+            for each in process.sidecar._balancer.servers.by_name.values()
             if each.state is ServerState.READY
         }
 
--- a/tests/discovery/test_zookeeper.py
+++ b/tests/discovery/test_zookeeper.py
@@ -75,7 +75,7 @@
 
     @property
     def ready(self) -> set[str]:
-        servers = self.w.sidecar._balancer._servers.values()
+        servers = self.w.sidecar._balancer.servers.by_name.values()
         return {each.name for each in servers if each.state is ServerState.READY}
 
     @property
@@ -152,8 +152,8 @@
             await until(lambda: s.registrars[0].registered == 2 and s.ready == {"s-0"})
             assert heard[0] is Standing.OUT or heard[:2] == [Standing.UNKNOWN, Standing.OUT]
             assert heard[-1] is Standing.IN
-            server = s.w.sidecar._balancer._servers["s-0"]
-            assert not s.w.sidecar._balancer._is_cold(server)
+            server = s.w.sidecar._balancer.servers.by_name["s-0"]
+            assert not s.w.sidecar._balancer.slow_start.is_warming(server)
 
     play(scene())
 
@@ -172,8 +172,10 @@
             assert again.registered == 0 and again.standing is Standing.OUT
             s.ensemble.expire(former)
             await until(lambda: again.standing is Standing.IN and s.ready == {"s-0"})
-            server = s.w.sidecar._balancer._servers["s-0"]
-            assert server.started_at == started_ms * 1000 and s.w.sidecar._balancer._is_cold(server)
+            server = s.w.sidecar._balancer.servers.by_name["s-0"]
+            assert server.started_at == started_ms * 1000 and s.w.sidecar._balancer.slow_start.is_warming(
+                server
+            )
 
     play(scene())
 
@@ -189,7 +191,7 @@
                 assert (await s.w.ask(X_Call_Id=f"c-{number}"))[0] == 200
             assert len(s.w.servers[0].requests) == before
             await s.registrars[0].stop()
-            await until(lambda: set(s.w.sidecar._balancer._servers) == {"s-1"})
+            await until(lambda: set(s.w.sidecar._balancer.servers.by_name) == {"s-1"})
 
     play(scene())
 
--- a/tests/estimation/test_poll_schedule.py
+++ b/tests/estimation/test_poll_schedule.py
@@ -59,7 +59,7 @@
     assert min(b - a for a, b in pairwise(asked(stage))) >= most_s * S / 6 - 50 * MS  # also the first
     assert max(waits) <= most_s * S
     assert min(waits[4:]) >= 0.5 * most_s * S  # from the fifth on all are the longest, with chance
-    assert max(waits) < stage.balancer._settings.rules.poll_within_us
+    assert max(waits) < stage.balancer._context.settings.rules.poll_within_us
 
 
 @pytest.mark.parametrize("sidecars", [1, 40, 200, 3_000, 100_000])
--- a/tests/estimation/test_slow_start_share.py
+++ b/tests/estimation/test_slow_start_share.py
@@ -30,9 +30,9 @@
 def test_ties_count_what_others_hold_there_by_pace_and_not_by_warmth() -> None:
     stage = Stage()
     stage.servers([ServerDescription("10.0.1.1:80", "east", started_at=stage.now), *names(1)])
-    cold, warm = stage.balancer._servers["10.0.1.1:80"], stage.balancer._servers[names(1)[0]]
-    assert stage.balancer._rank(cold) == stage.balancer._rank(warm)
-    assert stage.balancer._odds(cold, 1.0) < stage.balancer._odds(warm, 1.0)
+    cold, warm = stage.balancer.servers.by_name["10.0.1.1:80"], stage.balancer.servers.by_name[names(1)[0]]
+    assert stage.balancer.selection._rank(cold) == stage.balancer.selection._rank(warm)
+    assert stage.balancer.selection._weight(cold, 1.0) < stage.balancer.selection._weight(warm, 1.0)
     stage.wait(4 * S)
     stage.request()  # warmth 0.52 by now: as likely as a warm one
-    assert stage.balancer._odds(cold, 1.0) == stage.balancer._odds(warm, 1.0)
+    assert stage.balancer.selection._weight(cold, 1.0) == stage.balancer.selection._weight(warm, 1.0)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -289,7 +289,7 @@
     )
     made = World(Sidecar(config, wire(operator)), servers, discovery)
     running = asyncio.create_task(made.sidecar.run(made.stop))
-    await until(lambda: made.sidecar._balancer._begun)
+    await until(lambda: made.sidecar._balancer._started)
     try:
         yield made
         broken = {name: count for name, count in made.sidecar.counters.show()["violations"].items() if count}
--- a/tests/msgpackrpc/simulated.py
+++ b/tests/msgpackrpc/simulated.py
@@ -365,7 +365,7 @@
         lives = [live for live in lives if live.call.kind.name != "pay"]
         if lives:
             live = lives[index % len(lives)]
-            self.sidecar._balancer._extra = 5.0  # so that its end draws again
+            self.sidecar._balancer.retries.budget = 5.0  # so that its end draws again
             self.sidecar._cancel(CancelAttempt(live.ident, next(iter(live.out))))
 
     def drain(self, node: Node) -> None:
--- a/tests/msgpackrpc/test_third_party.py
+++ b/tests/msgpackrpc/test_third_party.py
@@ -81,7 +81,7 @@
         config = SidecarConfig(("127.0.0.1", 0), ("127.0.0.1", 9), 7, 256, given, known)
         sidecar = Sidecar(config, wire(OperatorConfig(MsgpackRpc(clients=True, nodes=True))))
         running = asyncio.create_task(sidecar.run(asyncio.Event()))
-        await until(lambda: sidecar._balancer._begun)
+        await until(lambda: sidecar._balancer._started)
         where = sidecar.frontend.address
         asked = [ask(where, request("pay", body=b"%d" % n, X_Call_Id=f"c-{n}")) for n in range(10)]
         assert [each[2] for each in await asyncio.gather(*asked)] == [b"paid %d" % n for n in range(10)]
--- a/tests/msgpackrpc/test_upstream.py
+++ b/tests/msgpackrpc/test_upstream.py
@@ -533,7 +533,7 @@
             one.send(request("pay", body=b"x"))
             await until(w.sent)
             w.discovery.say(42, [w.servers[0].entry(protocol="smoke-signals")])
-            await until(lambda: w.sidecar._balancer._servers["s-0"].state is ServerState.DRAINING)
+            await until(lambda: w.sidecar._balancer.servers.by_name["s-0"].state is ServerState.DRAINING)
             assert (await w.ask(X_Call_Id="other"))[
                 0
             ] == 503  # nobody else is there, and nothing new goes to it
--- a/tests/test_any_sequence.py
+++ b/tests/test_any_sequence.py
@@ -111,8 +111,12 @@
             forgotten = maybe[0]["at"] + kind.idempotency_window_us
             assert self.now < action.write_by < forgotten, "sent, or to be written, after servers forgot"
             for each in maybe:
-                assert kind.idempotency_scope.value != "zone" or each["line"].zone == line.zone, "left the zone"
-                assert kind.idempotency_scope.value != "cell" or each["line"].cell == line.cell, "left the cell"
+                assert kind.idempotency_scope.value != "zone" or each["line"].zone == line.zone, (
+                    "left the zone"
+                )
+                assert kind.idempotency_scope.value != "cell" or each["line"].cell == line.cell, (
+                    "left the cell"
+                )
         earlier.append(
             {"server": action.server, "line": line, "at": self.now, "pending": True, "outcome": None}
         )
@@ -135,7 +139,10 @@
             maybe = [
                 each for each in request["attempts"] if each["pending"] or each["outcome"] not in self.proofs
             ]
-            whole = request["kind"].idempotency is Idempotency.KEYED and request["kind"].idempotency_scope.value == "all"
+            whole = (
+                request["kind"].idempotency is Idempotency.KEYED
+                and request["kind"].idempotency_scope.value == "all"
+            )
             assert not maybe or whole, "a refusal that may have run"
         request["over"] = True
 
@@ -144,11 +151,15 @@
         for request in self.requests.values():
             for each in request["attempts"]:
                 out[each["server"]] += each["pending"]
-        for name, server in self.balancer._servers.items():
+        for name, server in self.balancer.servers.by_name.items():
             assert server.in_flight == out[name], "the count of requests in flight is off"
-            assert 0 <= server.young <= server.in_flight, "the count of those whose aim is not past is off"
-        awake = (each for each in self.balancer._servers.values() if each.ejected_until is None)
-        assert self.balancer._young == sum(each.young for each in awake), "the running count is off"
+            assert 0 <= server.in_objective <= server.in_flight, (
+                "the count of those whose aim is not past is off"
+            )
+        awake = (each for each in self.balancer.servers.by_name.values() if each.ejected_until is None)
+        assert self.balancer.load.in_objective == sum(each.in_objective for each in awake), (
+            "the running count is off"
+        )
 
     def arrive(self, name: str, remaining_us: int, key: int | None) -> None:
         number, self.next = self.next, self.next + 1
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -46,7 +46,7 @@
 def test_changes_and_whole_lists_reach_the_balancer() -> None:
     async def scene() -> None:
         async with world(served, served) as w:
-            states = w.sidecar._balancer._servers
+            states = w.sidecar._balancer.servers.by_name
             first, second = w.servers
             w.discovery.say(42, [first.entry(status="leaving")])
             await until(lambda: states["s-0"].state is ServerState.DRAINING)
@@ -68,11 +68,11 @@
 def test_a_server_that_restarted_is_cold_from_then_on() -> None:
     async def scene() -> None:
         async with world(served) as w:
-            server = w.sidecar._balancer._servers["s-0"]
+            server = w.sidecar._balancer.servers.by_name["s-0"]
             since_ms = w.sidecar._clock.now() // 1000
             w.discovery.say(42, [w.servers[0].entry(since_ms=since_ms)])
             await until(lambda: server.started_at == since_ms * 1000)
-            assert w.sidecar._balancer._is_cold(server)
+            assert w.sidecar._balancer.slow_start.is_warming(server)
 
     play(scene())
 
@@ -93,7 +93,7 @@
         async with world(served, rules={"poll_within_us": 1 * S}) as w:
             w.discovery.answers.put_nowait(bad)
             await until(lambda: len(w.discovery.targets) == 2)
-            assert w.sidecar._balancer._failed_calls == 1
+            assert w.sidecar._balancer.polling._failed_polls == 1
             assert (await w.ask())[0] == 200
 
     play(scene())
@@ -223,7 +223,7 @@
             w.discovery.answers.put_nowait(b"")  # goes to a call that was given up
             for _ in range(times):
                 w.discovery.say(42, [w.servers[0].entry(status="leaving")])
-            await until(lambda: w.sidecar._balancer._servers["s-0"].state is ServerState.DRAINING)
+            await until(lambda: w.sidecar._balancer.servers.by_name["s-0"].state is ServerState.DRAINING)
 
     play(scene())
 
@@ -246,12 +246,14 @@
             await until(lambda: w.discovery.called(3))
             # What it held back counts as told then.
             assert asyncio.get_running_loop().time() - began < 0.3 + 2.0
-            assert w.sidecar._balancer._servers["s-0"].state is ServerState.READY  # of half a list nothing
+            assert (
+                w.sidecar._balancer.servers.by_name["s-0"].state is ServerState.READY
+            )  # of half a list nothing
             writer.write(answer(200, leaving)[-40:])  # late: nobody reads it
             w.discovery.answers.put_nowait(b"")  # goes to the call that was given up
             for _ in range(3):  # the machine may be slow, and more calls in vain
                 w.discovery.say(43, [w.servers[0].entry(status="leaving")])
-            await until(lambda: w.sidecar._balancer._servers["s-0"].state is ServerState.DRAINING)
+            await until(lambda: w.sidecar._balancer.servers.by_name["s-0"].state is ServerState.DRAINING)
 
     play(scene())
 
@@ -355,7 +357,7 @@
         async with world(served, discovery="pushed") as w:
             w.discovery.answers.put_nowait(answer(503, b""))
             w.discovery.say(42, [w.servers[0].entry(status="leaving")])
-            await until(lambda: w.sidecar._balancer._servers["s-0"].state is ServerState.DRAINING)
+            await until(lambda: w.sidecar._balancer.servers.by_name["s-0"].state is ServerState.DRAINING)
 
     play(scene())
 
@@ -441,7 +443,7 @@
         async with world(served, discovery="pushed") as w:
             w.discovery.answers.put_nowait(answer(200, bad))
             w.discovery.say(42, [w.servers[0].entry(status="leaving")])
-            await until(lambda: w.sidecar._balancer._servers["s-0"].state is ServerState.DRAINING)
+            await until(lambda: w.sidecar._balancer.servers.by_name["s-0"].state is ServerState.DRAINING)
 
     play(scene())
 
@@ -456,11 +458,11 @@
             old = w.servers[0]
             new = old.entry(name="s-new", since_ms=1_000)
             w.discovery.say(42, [new])
-            await until(lambda: list(w.sidecar._balancer._servers) == ["s-new"])
+            await until(lambda: list(w.sidecar._balancer.servers.by_name) == ["s-new"])
             await until(lambda: old.closed == 1)
             w.discovery.say(43, [new, old.entry()], snapshot=True)
             await until(lambda: len(w.discovery.targets) == 3)
-            assert list(w.sidecar._balancer._servers) == list(w.sidecar._nodes.endpoints) == ["s-new"]
+            assert list(w.sidecar._balancer.servers.by_name) == list(w.sidecar._nodes.endpoints) == ["s-new"]
             assert (await w.ask())[0] == 200 and len(old.writers) == 2
 
     play(scene())
@@ -473,7 +475,7 @@
     async def scene() -> None:
         async with world(served) as w:
             w.discovery.say(42, [w.servers[0].entry(status=status, address=None)])
-            servers = w.sidecar._balancer._servers
+            servers = w.sidecar._balancer.servers.by_name
             await until(lambda: "s-0" not in servers or servers["s-0"].state is ServerState.DRAINING)
             assert (await w.ask())[0] == 503
             assert not w.sent()
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -16,7 +16,6 @@
     LogMessage,
     Reject,
 )
-from topazbank.balancing.balancer import Server
 from topazbank.balancing.events import (
     HealthCheckEnded,
     Outcome,
@@ -24,6 +23,7 @@
     ServerDescription,
     UpdateKind,
 )
+from topazbank.balancing.servers import Server
 
 
 def test_the_least_busy_of_the_drawn_wins() -> None:
@@ -91,7 +91,7 @@
     again = stage.request("pay")
     assert stage.target(again) in names(2)
     stage.wait(S)
-    assert stage.balancer._busy(stage.balancer._servers[hung]) <= 1
+    assert stage.balancer.servers.by_name[hung].load(stage.now) <= 1
 
 
 def _with_one_hung(stage: Stage, rounds: int) -> tuple[str, list[int]]:
@@ -167,7 +167,7 @@
     for _ in range(200):
         stage.request("pay")
         stage.wait(15 * MS)
-    ejected = [each for each in stage.balancer._servers.values() if each.ejected_until is not None]
+    ejected = [each for each in stage.balancer.servers.by_name.values() if each.ejected_until is not None]
     assert len(ejected) <= 2
 
 
@@ -207,7 +207,7 @@
     for _ in range(400):
         stage.wait(MS)
         request = stage.request()
-        while stage.balancer._requests.get(request) is not None:
+        while stage.balancer.lifecycle.requests.get(request) is not None:
             stage.end(request, Outcome.CONNECTION_LOST)
     assert len(stage.sends()) <= 400 * 1.25 + 10
 
@@ -251,7 +251,10 @@
                 out.append(request)
         if tick % 2 and out:  # one answer for four requests, oldest first
             request = out.pop(0)
-            if request in stage.balancer._requests and not stage.balancer._requests[request].answered:
+            if (
+                request in stage.balancer.lifecycle.requests
+                and not stage.balancer.lifecycle.requests[request].answered
+            ):
                 stage.end(request, attempt=0)
 
 
@@ -272,10 +275,10 @@
     stage.serve(1)
     _overload(stage, 400)
     stage.wait(10 * S)
-    for request in list(stage.balancer._requests.values()):
+    for request in list(stage.balancer.lifecycle.requests.values()):
         for attempt in request.attempts:
             if attempt.pending:
-                stage.end(request.ident, Outcome.CANCELLED, attempt.index, answered=True)
+                stage.end(request.number, Outcome.CANCELLED, attempt.index, answered=True)
     stage.wait(11 * S)  # what was given up on counts for as long again
     stage.serve(600)  # a small window takes some aims to grow; a chance refusal meanwhile is no fault
     refused = len(stage.said(Reject))
@@ -295,7 +298,7 @@
     stage.wait(1800 * MS)
     for each in out:
         stage.end(each, Outcome.CANCELLED, answered=True)
-    stage.balancer._window = 4.0  # less than what it has given up on
+    stage.balancer.limit.limit = 4.0  # less than what it has given up on
     since = stage.now
     for _ in range(20):
         stage.wait(20 * MS)
@@ -308,13 +311,13 @@
     stage = Stage()
     stage.servers(names(8))
     out = [stage.request("pay") for _ in range(6)]
-    assert stage.balancer._young == 6
+    assert stage.balancer.load.in_objective == 6
     stage.wait(520 * MS)  # the aim is 500
-    assert stage.balancer._young == 0
-    assert sum(stage.balancer._busy(each) for each in stage.balancer._servers.values()) == 6
+    assert stage.balancer.load.in_objective == 0
+    assert sum(each.load(stage.now) for each in stage.balancer.servers.by_name.values()) == 6
     for each in out:
         stage.end(each)
-    assert stage.balancer._young == 0
+    assert stage.balancer.load.in_objective == 0
 
 
 def test_a_quiet_fleet_is_never_refused() -> None:
@@ -328,8 +331,8 @@
     stage = Stage()
     hung, _ = _with_one_hung(stage, 20)
     stage.servers([ServerDescription(hung, "east", started_at=stage.now)], UpdateKind.DELTA)
-    server = stage.balancer._servers[hung]
-    assert server.ejected_until is None and stage.balancer._is_cold(server)
+    server = stage.balancer.servers.by_name[hung]
+    assert server.ejected_until is None and stage.balancer.slow_start.is_warming(server)
 
 
 def test_heavy_requests_draw_slow_servers_less_than_light_ones_do(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -341,13 +344,13 @@
         ]
     )
     seen: list[float] = []
-    drawn = stage.balancer._drawn
+    drawn = stage.balancer.selection._sample
 
     def watch(pool: list[Server], odds: list[float], count: int) -> list[Server]:
         seen.append(odds[0] / odds[1])
         return drawn(pool, odds, count)
 
-    monkeypatch.setattr(stage.balancer, "_drawn", watch)
+    monkeypatch.setattr(stage.balancer.selection, "_sample", watch)
     for cost in (20 * MS, 20 * MS, 100 * MS):
         stage.end(stage.request(cost_us=cost))
     assert seen[2] < 0.5 * seen[0]
@@ -428,8 +431,8 @@
 def test_two_at_once_are_no_overload_for_a_small_balancer() -> None:
     stage = Stage()
     stage.servers(names(8))
-    stage.balancer._window = 1.0
-    stage.balancer._sized_at = stage.now
+    stage.balancer.limit.limit = 1.0
+    stage.balancer.limit._sized_at = stage.now
     for _ in range(10):
         pair = (stage.request(), stage.request())
         stage.wait(50 * MS)
@@ -496,11 +499,11 @@
         else:
             stage.serve(400, every_us, taking_us)
         request = stage.request()
-        server = stage.balancer._servers[stage.target(request)]
+        server = stage.balancer.servers.by_name[stage.target(request)]
         stage.wait(2 * taking_us)
-        before = server.pace
+        before = server.latency_ratio
         stage.end(request)
-        return server.pace - before
+        return server.latency_ratio - before
 
     assert change(400 * MS, 60 * MS, True) > 2 * change(5 * MS, 60 * MS, False) > 0.0
 
@@ -703,13 +706,13 @@
     stage = Stage(settings())
     stage.servers(names(4))
     stage.serve(200)
-    paces = {each.name: each.pace for each in stage.balancer._ready}
+    paces = {each.name: each.latency_ratio for each in stage.balancer.servers.ready}
     requests = [stage.request() for _ in range(8)]
     stalled(stage, 900 * MS)
     for each in requests:
         stage.end(each)
     stage.wait(100 * MS)
-    assert {each.name: each.pace for each in stage.balancer._ready} == paces
+    assert {each.name: each.latency_ratio for each in stage.balancer.servers.ready} == paces
     assert [each for each in stage.said(LogMessage) if "ejected" in each.text] == []
 
 
@@ -723,7 +726,7 @@
         held.append(stage.request())
         if len(held) > min(3 + count // 10, 30):  # in the end 600 ms each, at an aim of 500
             stage.end(held.pop(0), report={"util": 0.2})
-    assert stage.balancer._mean_load > 20.0
+    assert stage.balancer.load.mean > 20.0
     assert stage.said(Reject) == []
 
 
@@ -731,7 +734,7 @@
     stage = Stage(settings())
     stage.servers(names(4))
     stage.serve(200)
-    paces = {each.name: each.pace for each in stage.balancer._ready}
+    paces = {each.name: each.latency_ratio for each in stage.balancer.servers.ready}
     held = [stage.request() for _ in range(16)]
     for _ in held:  # a long queue of events: each comes soon after the one before, and no timer between
         stage.now += 40 * MS
@@ -739,7 +742,7 @@
     for each in held:
         stage.now += 5 * MS
         stage.end(each, Outcome.CONNECT_FAILED)
-    assert {each.name: each.pace for each in stage.balancer._ready} == paces
+    assert {each.name: each.latency_ratio for each in stage.balancer.servers.ready} == paces
     assert [each for each in stage.said(LogMessage) if "ejected" in each.text] == []
 
 
@@ -747,12 +750,12 @@
     stage = Stage(settings())
     stage.servers(names(4))
     stage.serve(200)
-    paces = {each.name: each.pace for each in stage.balancer._ready}
+    paces = {each.name: each.latency_ratio for each in stage.balancer.servers.ready}
     requests = [stage.request() for _ in range(8)]
     stage.wait(900 * MS)
     for each in requests:
         stage.end(each)
-    assert all(each.pace > paces[each.name] for each in stage.balancer._ready)
+    assert all(each.latency_ratio > paces[each.name] for each in stage.balancer.servers.ready)
 
 
 def test_back_from_a_stall_the_draw_spreads_over_all_zones_unprobed() -> None:
@@ -803,7 +806,7 @@
 def test_servers_full_of_a_class_are_left_alone_while_two_others_admit_it() -> None:
     stage = Stage()
     stage.servers(names(6))
-    admit = {each.name for each in stage.balancer._ready[:2]}
+    admit = {each.name for each in stage.balancer.servers.ready[:2]}
     fulls = 0
     for _ in range(60):
         stage.wait(40 * MS)
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -120,16 +120,17 @@
     while listing.waits():
         step()
     step()
-    assert {each.name: (each.state, each.zone, each.nominal) for each in stepped._servers.values()} == {
-        each.name: (each.state, each.zone, each.nominal_capacity) for each in expected.values()
-    }
+    assert {
+        each.name: (each.state, each.zone, each.nominal_capacity) for each in stepped.servers.by_name.values()
+    } == {each.name: (each.state, each.zone, each.nominal_capacity) for each in expected.values()}
     ready = sorted(
-        (each for each in stepped._servers.values() if each.state is READY), key=lambda each: each.place
+        (each for each in stepped.servers.by_name.values() if each.state is READY),
+        key=lambda each: each.order,
     )
-    assert stepped._ready == ready
-    assert stepped._near == [each for each in ready if each.zone == "east"]
-    assert stepped._ready_size == pytest.approx(sum(each.nominal for each in ready))
-    assert all(each.pace > 0.0 for each in ready)
+    assert stepped.servers.ready == ready
+    assert stepped.servers.ready_in_zone == [each for each in ready if each.zone == "east"]
+    assert stepped.servers.ready_capacity == pytest.approx(sum(each.nominal_capacity for each in ready))
+    assert all(each.latency_ratio > 0.0 for each in ready)
 
 
 # -- Addresses ---------------------------------------------------------------------------------------
--- a/tests/test_gossip_transport.py
+++ b/tests/test_gossip_transport.py
@@ -202,4 +202,4 @@
     stage = _talking()
     tag = tag_of(names(8)[0])
     stage.play(GossipReceived(0, bytes([VERSION]) + tag.to_bytes(2, "little") + b"\x09"))
-    assert stage.balancer._hearsay is not None and stage.balancer._hearsay.held(tag) == 0
+    assert stage.balancer.gossip._gossip is not None and stage.balancer.gossip._gossip.held(tag) == 0
--- a/tests/test_mixed_fleet.py
+++ b/tests/test_mixed_fleet.py
@@ -32,10 +32,10 @@
                 await each.start()
             pods = {each.name: number // 3 for number, each in enumerate(servers)}
             w.discovery.say(42, [each.entry(group=pods[each.name]) for each in servers], snapshot=True)
-            await until(lambda: len(w.sidecar._balancer._ready) == 6)
+            await until(lambda: len(w.sidecar._balancer.servers.ready) == 6)
             sent_again = 0
             for number in range(30):
-                w.sidecar._balancer._extra = 5.0  # the module's budget for sending again
+                w.sidecar._balancer.retries.budget = 5.0  # the module's budget for sending again
                 await w.ask(kind="amend", body=b"x", X_Call_Id=f"a-{number}")
                 hit = [
                     each.name
@@ -109,7 +109,7 @@
             assert all(each.requests for each in w.servers)
             leaving = w.servers[:2]
             w.discovery.say(43, [each.entry(status="leaving") for each in leaving])
-            await until(lambda: len(w.sidecar._balancer._ready) == 2)
+            await until(lambda: len(w.sidecar._balancer.servers.ready) == 2)
             before = [len(each.requests) for each in leaving]
             for number in range(20):
                 assert (await w.ask(X_Call_Id=f"d-{number}"))[0] == 200
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -284,7 +284,7 @@
             stage.wait(20 * MS)
             stage.end(stage.request(cost_us=served_us))
             stage.request(remaining_us=0, cost_us=200_000 - served_us)  # too late to be sent
-        rates.append(stage.balancer._bearable_by_mean())
+        rates.append(stage.balancer.slow_start._bearable_by_mean())
     assert 0.0 < rates[1] < 0.5 * rates[0]
 
 
@@ -302,13 +302,15 @@
 def test_the_gate_lets_nothing_out_to_a_draining_or_gone_server() -> None:
     stage = Stage()
     stage.servers(names(3))
-    request = stage.balancer._requests[stage.request()]
-    server = next(each for each in stage.balancer._servers.values() if each is not request.attempts[0].server)
+    request = stage.balancer.lifecycle.requests[stage.request()]
+    server = next(
+        each for each in stage.balancer.servers.by_name.values() if each is not request.attempts[0].server
+    )
     for state in (ServerState.DRAINING, ServerState.REMOVED):
         stage.drain(server.name, state)
-        assert not stage.balancer._send(request, server)
+        assert not stage.balancer.lifecycle._send(request, server)
     stage.servers([server.name], UpdateKind.DELTA)
-    assert stage.balancer._send(request, stage.balancer._servers[server.name])
+    assert stage.balancer.lifecycle._send(request, stage.balancer.servers.by_name[server.name])
 
 
 def test_what_has_gone_is_forgotten_once_nothing_of_it_is_out() -> None:
@@ -316,26 +318,30 @@
     stage = Stage()
     stage.servers(names(3))
     request = stage.request("pay")
-    taken = stage.balancer._requests[request].attempts[0].server
-    stage.balancer._eject(taken, "test")
+    taken = stage.balancer.lifecycle.requests[request].attempts[0].server
+    stage.balancer.ejection._eject(taken, "test")
     others = [each for each in names(3) if each != taken.name]
     stage.servers(others)
-    assert set(stage.balancer._servers) == set(names(3)) and not stage.balancer.ejected
+    assert set(stage.balancer.servers.by_name) == set(names(3)) and not stage.balancer.ejected
     stage.play(AttemptEnded(request, 0, taken.name, Outcome.CONNECTION_LOST, 1, False))
     stage.servers(others)
-    assert set(stage.balancer._servers) == set(others) == {s.name for s in stage.balancer._numbered.values()}
-    assert stage.balancer._young == 0
+    assert (
+        set(stage.balancer.servers.by_name)
+        == set(others)
+        == {s.name for s in stage.balancer.servers.by_number.values()}
+    )
+    assert stage.balancer.load.in_objective == 0
 
 
 def test_the_gate_lets_no_second_copy_out_where_only_one_is_allowed() -> None:
     for allowed in (False, True):
         stage = Stage(settings(limits={"hedging": allowed}))
         stage.servers(names(3))
-        request = stage.balancer._requests[stage.request()]
+        request = stage.balancer.lifecycle.requests[stage.request()]
         server = next(
-            each for each in stage.balancer._servers.values() if each is not request.attempts[0].server
+            each for each in stage.balancer.servers.by_name.values() if each is not request.attempts[0].server
         )
-        assert stage.balancer._send(request, server) is allowed
+        assert stage.balancer.lifecycle._send(request, server) is allowed
 
 
 # Order: requests with one key run one at a time, as taken
@@ -418,7 +424,7 @@
         stage.wait(10 * MS)
         stage.end(request, Outcome.DELIVERED if key % 2 else Outcome.CANCELLED, answered=True)
     stage.wait(200 * MS)
-    assert not stage.balancer._queues
+    assert not stage.balancer.ordering.queues
 
 
 # Full is no proof, where that is stated
@@ -455,15 +461,15 @@
 def test_the_gate_lets_nothing_out_of_turn() -> None:
     stage = ordered_stage()
     first, second = stage.request("save", key=5), stage.request("mark", key=5)
-    waiting = stage.balancer._requests[second]
-    server = next(iter(stage.balancer._servers.values()))
-    assert not stage.balancer._send(waiting, server)
+    waiting = stage.balancer.lifecycle.requests[second]
+    server = next(iter(stage.balancer.servers.by_name.values()))
+    assert not stage.balancer.lifecycle._send(waiting, server)
     stage.play(RequestCancelled(first))
-    assert not stage.balancer._send(waiting, server)
+    assert not stage.balancer.lifecycle._send(waiting, server)
     stage.end(first, Outcome.CANCELLED, answered=True)
-    assert not stage.balancer._send(waiting, server)
-    stage.balancer._now += 100 * MS
-    assert stage.balancer._send(waiting, server)
+    assert not stage.balancer.lifecycle._send(waiting, server)
+    stage.balancer._context.now += 100 * MS
+    assert stage.balancer.lifecycle._send(waiting, server)
 
 
 def test_broken_connections_alone_do_not_make_a_server_cold_and_failed_dials_do() -> None:
@@ -471,11 +477,11 @@
     for outcome, cold in ((Outcome.CONNECTION_LOST, False), (Outcome.CONNECT_FAILED, True)):
         stage = Stage()
         stage.servers(names(1))
-        server = stage.balancer._servers[names(1)[0]]
+        server = stage.balancer.servers.by_name[names(1)[0]]
         for _ in range(3):
             request = stage.request("pay")
             stage.play(AttemptEnded(request, 0, server.name, outcome, 1, False))
-        assert server.strikes == 3 and stage.balancer._is_cold(server) is cold
+        assert server.failures_in_row == 3 and stage.balancer.slow_start.is_warming(server) is cold
 
 
 def test_a_refusal_says_when_to_come_back_where_the_settings_allow_it() -> None:
@@ -493,7 +499,7 @@
     stage = Stage()
     stage.servers(names(8))
     stage.serve(60, every_us=10 * MS, taking_us=250 * MS)
-    assert stage.balancer._window == float("inf")
+    assert stage.balancer.limit.limit == float("inf")
 
 
 def test_a_new_balancer_in_a_jam_sizes_its_window_before_anything_is_late() -> None:
@@ -501,7 +507,7 @@
     stage = Stage()
     stage.servers(names(8))
     began = stage.now
-    while stage.balancer._window == float("inf") and stage.now < began + 2 * S:
+    while stage.balancer.limit.limit == float("inf") and stage.now < began + 2 * S:
         stage.wait(10 * MS)
         stage.request()
     assert stage.now - began < 500 * MS
--- a/tests/test_unreached.py
+++ b/tests/test_unreached.py
@@ -53,7 +53,9 @@
     stage = Stage()
     stage.servers(names(20))
     stage.serve(200, name="pay")
-    lost = {each.name for each in stage.balancer._ready[:10]}  # in the order in which they are drawn from
+    lost = {
+        each.name for each in stage.balancer.servers.ready[:10]
+    }  # in the order in which they are drawn from
     dials: dict[str, int] = {}
     while not ejected(stage):
         for name, count in lose(stage, lost, 1).items():
@@ -87,7 +89,7 @@
     stage.wait(2 * S)
     before = len(stage.said(LogMessage))
     lose(stage, {names(1)[0]}, 0)
-    stage.balancer._cut_off_at = stage.now
+    stage.balancer.ejection._unreachable_at = stage.now
     first, second = stage.request("pay"), stage.request("pay")
     full = stage.target(first)
     while stage.target(second) != full:
@@ -104,11 +106,11 @@
     )
     stage.servers(names(8))
     stage.serve(100, name="invoice")
-    server = stage.balancer._ready[0]
-    lost, server.unreached = server.name, 1
-    stage.balancer._now = stage.now
-    stage.balancer._eject(server, "dial_failed")
-    stage.balancer._turned_cold(server, stage.now)
+    server = stage.balancer.servers.ready[0]
+    lost, server.connect_failures_in_row = server.name, 1
+    stage.balancer._context.now = stage.now
+    stage.balancer.ejection._eject(server, "dial_failed")
+    stage.balancer.slow_start.begin(server, stage.now)
     assert server.ejected_until is not None
     for _ in range(120):
         stage.wait(50 * MS)
@@ -131,14 +133,14 @@
             break
     stage.play(HealthCheckEnded(lost, Outcome.DELIVERED, MS, {}))
     assert server.ejected_until is None
-    assert stage.balancer._is_cold(server)  # it may be another process by now
+    assert stage.balancer.slow_start.is_warming(server)  # it may be another process by now
 
 
 def test_a_server_that_errs_often_and_answers_between_is_left_after_two_errors_or_so() -> None:
     stage = Stage()
     stage.servers(names(6))
     stage.serve(200, name="pay")
-    bad = stage.balancer._ready[0].name
+    bad = stage.balancer.servers.ready[0].name
     met = errors = 0
     for _ in range(30):
         stage.wait(40 * MS)
@@ -170,10 +172,10 @@
     stage = Stage(settings(classes=[KEYED, UNSAFE]))
     stage.servers(names(6))
     stage.serve(100, name="invoice")
-    server = stage.balancer._ready[0]
-    server.erred = 2.0
-    stage.balancer._now = stage.now
-    stage.balancer._eject(server, "error")
+    server = stage.balancer.servers.ready[0]
+    server.error_score = 2.0
+    stage.balancer._context.now = stage.now
+    stage.balancer.ejection._eject(server, "error")
     stage.wait(5 * S)
     unsafe = stage.request("invoice")
     assert stage.target(unsafe) != server.name
--- /dev/null
+++ b/topazbank/balancing/attempt_outcomes.py
@@ -0,0 +1,180 @@
+"""What is learnt from the end of an attempt, and from attempts that take too long."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import Final
+
+from topazbank.balancing.agenda import Agenda, DeadlineKind
+from topazbank.balancing.concurrency_limit import BUSY_CPU_RATIO, LOST_SPENT_RATIO, ConcurrencyLimit
+from topazbank.balancing.context import DecisionContext
+from topazbank.balancing.events import AttemptEnded, Outcome
+from topazbank.balancing.health_checks import HealthChecks
+from topazbank.balancing.idle_connections import IdleConnections
+from topazbank.balancing.key_ordering import KeyOrdering
+from topazbank.balancing.load import OwnLoad
+from topazbank.balancing.outlier_ejection import (
+    EJECTION_OBJECTIVES,
+    EJECTION_OBJECTIVES_MAX,
+    OutlierEjection,
+)
+from topazbank.balancing.requests import Attempt, Request
+from topazbank.balancing.response_times import ResponseTimes
+from topazbank.balancing.retry_policy import RetryPolicy
+from topazbank.balancing.servers import RejectionBackoff, Server
+from topazbank.balancing.sparse_admission import SparseAdmission
+from topazbank.estimation.load_estimator import Strain
+
+CPU_RATIO_REPORTED_MAX: Final = 2.0  # a report of more than noise can make of a ratio is junk
+ABANDONED_RATIO: Final = (
+    1.0  # an abandoned attempt counts as in flight for as long again as it was waited for
+)
+SILENCE_RATIO: Final = 2.0  # overdue again by this factor, a server without a response is silent
+SILENCE_OBJECTIVE_RATIO: Final = 0.5  # but never before this part of the objective
+REJECTIONS_COUNTED_MAX: Final = 8
+
+
+class AttemptOutcomes:
+    """Hands what an attempt's end tells to whom it concerns."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        agenda: Agenda,
+        load: OwnLoad,
+        times: ResponseTimes,
+        limit: ConcurrencyLimit,
+        sparse: SparseAdmission,
+        estimator: Strain,
+        ejection: OutlierEjection,
+        retries: RetryPolicy,
+        ordering: KeyOrdering,
+        checks: HealthChecks,
+        connections: IdleConnections,
+    ) -> None:
+        self._context = context
+        self._agenda = agenda
+        self._load = load
+        self._times = times
+        self._limit = limit
+        self._sparse = sparse
+        self._estimator = estimator
+        self._ejection = ejection
+        self._retries = retries
+        self._ordering = ordering
+        self._checks = checks
+        self._connections = connections
+
+    # -- The end of an attempt ----------------------------------------------------------------------------
+
+    def ended(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
+        """Learn from the end of an attempt."""
+        outcome = event.outcome
+        attempt.pending = False
+        if outcome is Outcome.DELIVERED:
+            self._estimator.answered(self._context.now, attempt.timing)
+        elif outcome is not Outcome.TIMED_OUT:
+            attempt.timing.open = False
+        attempt.may_have_run = self._retries.may_have_run(outcome)
+        self._ordering.attempt_ended(request, outcome)
+        self._load.attempt_ended(attempt)
+        self._connections.attempt_ended(attempt.server, outcome)
+        self._ejection.attempt_ended(request, attempt, outcome)
+        self._read_report(event.report)
+        if outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED):
+            self._abandoned(request, attempt, event)
+        elif outcome is Outcome.ERROR:
+            self._times.failed(attempt.server, request)
+        elif outcome is Outcome.DELIVERED:
+            self._delivered(request, attempt, event.elapsed_us)
+        elif outcome is Outcome.REJECTED:
+            self._rejected(request, attempt.server, event.report)
+
+    def _read_report(self, report: Mapping[str, float] | None) -> None:
+        if not report:
+            return
+        cpu_ratio = report.get("util", CPU_RATIO_REPORTED_MAX)
+        if cpu_ratio < CPU_RATIO_REPORTED_MAX:
+            self._estimator.reported(min(max(cpu_ratio, 0.0), 1.0))
+
+    def _abandoned(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
+        """An attempt was given up: it may still run."""
+        if not (attempt.counted_late or request.answered or event.answered):
+            self._sparse.timed_out()
+        abandoned_until = self._context.now + int(ABANDONED_RATIO * event.elapsed_us)
+        attempt.server.abandoned_until.append(abandoned_until)
+        usual_us = self._times.usual_us(request) * attempt.server.latency_ratio
+        if event.elapsed_us > usual_us and not self._context.stall.behind:
+            self._times.follow_latency(attempt.server, request, event.elapsed_us)
+
+    def _delivered(self, request: Request, attempt: Attempt, elapsed_us: int) -> None:
+        objective_us = request.request_class.latency_objective_us
+        self._limit.delivered(objective_us, elapsed_us)
+        if self._context.stall.behind:
+            return  # how long it took tells of this process, not of the server
+        self._checks.learn(attempt, elapsed_us / objective_us)
+        self._times.responded(attempt.server, request, elapsed_us)
+        if not attempt.counted_late:
+            self._limit.observe(elapsed_us / objective_us)
+        attempt.server.backoffs.pop(request.flow, None)
+
+    def _rejected(self, request: Request, server: Server, report: Mapping[str, float] | None) -> None:
+        """Keep the request's flow away from a server that rejected it, longer each time.
+
+        Guards against servers that admit little of one class or tenant.  A rejection by a server with CPU to spare
+        tells of no overload.
+        """
+        backoff = server.backoffs.get(request.flow)
+        rejections = 0 if backoff is None else backoff.rejections
+        objectives = min(EJECTION_OBJECTIVES * 2**rejections, EJECTION_OBJECTIVES_MAX)
+        if not self._retries.may_run_again(request):
+            objectives = EJECTION_OBJECTIVES_MAX  # each further try would fail a request
+        wait_us = objectives * self._context.longest_objective_us * self._context.jitter()
+        until = self._context.now + int(wait_us)
+        server.backoffs[request.flow] = RejectionBackoff(until, min(rejections + 1, REJECTIONS_COUNTED_MAX))
+        if report is None or report.get("util", 1.0) >= BUSY_CPU_RATIO:
+            self._limit.observe(LOST_SPENT_RATIO)
+
+    # -- Attempts that take too long ----------------------------------------------------------------------
+
+    def overdue(self, request: Request, attempt: Attempt) -> bool:
+        """An attempt takes far longer than usual; whether its server is ejected as silent, so that it may be replaced.
+
+        Guards against servers that take work and answer nothing, long before timeouts would tell.
+        """
+        stall = self._context.stall
+        is_silent = self._ejection.is_silent(attempt)
+        if stall.behind:
+            # Its response may be among what came meanwhile.
+            self._look_again(stall.caught_up_at + self._context.settings.tick_us, request, attempt)
+            return False
+        stalled_us = stall.absent_us - attempt.stalled_before_us
+        waited_us = self._context.now - attempt.sent_at - stalled_us
+        self._compare_with_objective(request, attempt, waited_us, is_silent)
+        objective_us = request.request_class.latency_objective_us
+        overdue_us = self._times.overdue_us(request, attempt.server)
+        silence_us = max(SILENCE_RATIO * overdue_us, SILENCE_OBJECTIVE_RATIO * objective_us)
+        if is_silent and waited_us < silence_us:
+            self._look_again(self._context.now + int(silence_us) - waited_us, request, attempt)
+        elif is_silent:
+            self._ejection.silent_for_long(attempt)
+        return is_silent and attempt.server.ejected_until is not None
+
+    def _compare_with_objective(
+        self, request: Request, attempt: Attempt, waited_us: int, is_silent: bool
+    ) -> None:
+        """Count an attempt as late once its objective has passed: its end would tell of a surge too late."""
+        objective_us = request.request_class.latency_objective_us
+        if waited_us < objective_us:
+            self._look_again(self._context.now + objective_us - waited_us, request, attempt)
+            return
+        self._load.objective_passed(attempt)
+        if attempt.counted_late or attempt.server.ejected_until is not None:
+            return
+        attempt.counted_late = True
+        if self._estimator.cores is not None and is_silent:
+            self._estimator.reported(1.0)  # no response, no report: reports alone would look too good
+        self._limit.observe(LOST_SPENT_RATIO)
+
+    def _look_again(self, due: int, request: Request, attempt: Attempt) -> None:
+        self._agenda.schedule(due, DeadlineKind.ATTEMPT_OVERDUE, request.number, attempt.index)
--- a/topazbank/core/bounds.py
+++ b/topazbank/core/bounds.py
@@ -8,12 +8,8 @@
 import math
 from dataclasses import dataclass
 
-from topazbank.balancing.balancer import (
-    EXTRA_PER_REQUEST,
-    EXTRA_SAVED,
-    REACH,
-    REACH_PER_BUSY,
-)
+from topazbank.balancing.load import SUBSET_IDLE_SIZE, SUBSET_PER_REQUEST
+from topazbank.balancing.retry_policy import RETRIES_PER_REQUEST, RETRY_BUDGET_REQUESTS
 from topazbank.balancing.settings import Settings
 from topazbank.cluster.rules import HELPERS, SUSPECTS_PROBED, TOMB_EVERY, Rules
 from topazbank.estimation import poll_schedule
@@ -54,10 +50,10 @@
 def connections_each(fleet: Fleet) -> float:
     """Open at one sidecar: one to each server within its reach, and one more for each request in flight.
 
-    Owner: `Balancer._reach`, over which idle connections end by `HttpCarrier` after the settings' idle time; never more
-    than half of the sidecar's sockets (`core.nodes.Slots`).
+    Owner: `OwnLoad.subset_size`, over which idle connections end by `HttpUpstreamClient` after the idle timeout;
+    never more than half of the sidecar's sockets (`core.endpoints.ConnectionLimit`).
     """
-    reach = min(REACH + REACH_PER_BUSY * fleet.peak, float(fleet.servers))
+    reach = min(SUBSET_IDLE_SIZE + SUBSET_PER_REQUEST * fleet.peak, float(fleet.servers))
     return max(reach, float(ASKED) if can_tell(fleet.settings) else 0.0) + fleet.peak
 
 
@@ -98,7 +94,9 @@
     """The most of each over this span, in which all sidecars start so many times; all sidecars together."""
     n, tries = fleet.sidecars, fleet.sidecars * fleet.rate * seconds
     some = CHANCE * math.sqrt(max(tries, 1.0))  # more tries than the mean, by chance
-    attempts = (tries + some) * (1.0 + EXTRA_PER_REQUEST) + starts * n * EXTRA_PER_REQUEST * EXTRA_SAVED / 2
+    attempts = (tries + some) * (
+        1.0 + RETRIES_PER_REQUEST
+    ) + starts * n * RETRIES_PER_REQUEST * RETRY_BUDGET_REQUESTS / 2
     each = connections_each(fleet)
     probes = (1 + starts) * n * ASKED if can_tell(fleet.settings) else 0.0
     waits = list_calls_a_second(fleet, False) * seconds + 2.0 * n * (1 + starts)
--- a/topazbank/core/driver.py
+++ b/topazbank/core/driver.py
@@ -239,9 +239,9 @@
         if told and config.tier is not None:
             member = None
             if wiring.tier_part is not None:
-                self._tier_part = wiring.tier_part(config, self._balancer.others, tier or {})
+                self._tier_part = wiring.tier_part(config, self._balancer.fleet_size, tier or {})
                 member = self._tier_part.datagram
-                self._balancer.spending = self._tier_part.spending(self._clock.offset_us)
+                self._balancer.set_fleet_quota(self._tier_part.spending(self._clock.offset_us))
             self._peers = GossipTransport(config.tier, self._message, peers, member)
         roster = self._show_roster if wiring.show_roster else None
         self.drain = Drain(max(each.deadline_us for each in settings.classes) / 1e6)
@@ -354,7 +354,7 @@
         self.server_list.replaced()
 
     def _with_others(self, config: SidecarConfig) -> SidecarConfig:
-        return replace(config, others=self._balancer.others)
+        return replace(config, others=self._balancer.fleet_size)
 
     def carry_out(self) -> None:
         """Carry out what holds of the sidecar as a whole, and look again while it is emptied."""
--- a/topazbank/core/trace.py
+++ b/topazbank/core/trace.py
@@ -56,29 +56,29 @@
 
 
 def view(balancer: Balancer) -> dict[str, float | None]:
-    """The decision module's beliefs of now.  It reads what is private there: the module needs no code for it."""
-    strain = balancer._strain
+    """The decision module's beliefs of now, by the names that records have."""
+    snapshot = balancer.snapshot()
     found = {
-        "window": balancer._window if balancer._window < 1e9 else None,
-        "load": balancer._young,
-        "mean": balancer._mean_load,
-        "over": strain._over.share,
-        "hopeless": strain._hopeless.share,
-        "spent": strain.spent,
-        "late": strain.late,
-        "floor": strain.floor,
-        "cores": strain.cores,
-        "reach": balancer._reach(),
-        "ready": len(balancer._ready),
-        "ejected": len(balancer.ejected),
+        "window": snapshot.concurrency_limit if snapshot.concurrency_limit < 1e9 else None,
+        "load": snapshot.in_objective,
+        "mean": snapshot.mean_in_objective,
+        "over": snapshot.over_level_ratio,
+        "hopeless": snapshot.hopeless_ratio,
+        "spent": snapshot.median_spent_ratio,
+        "late": snapshot.late_ratio,
+        "floor": snapshot.unloaded_spent_ratio,
+        "cores": snapshot.cpu_ratio,
+        "reach": snapshot.subset_size,
+        "ready": snapshot.ready,
+        "ejected": snapshot.ejected,
     }
     return {name: None if value is None else round(value, 3) for name, value in found.items()}
 
 
 def standing(balancer: Balancer, name: str) -> tuple[bool, int]:
-    """Of a server: whether it is cold, and the own requests that it holds, one just sent among them."""
-    server = balancer._servers.get(name)
-    return (False, 0) if server is None else (balancer._is_cold(server), balancer._busy(server))
+    """Of a server: whether it is warming up, and the own requests that it holds, one just sent among them."""
+    server = balancer.server(name)
+    return (False, 0) if server is None else (server.is_warming, server.load)
 
 
 def to_stderr(text: str) -> None:
