--- a/benchmarks/list_hold.py
+++ b/benchmarks/list_hold.py
@@ -1,26 +1,22 @@
 """How long the event loop is held by one changed entry and by a whole list, at several sizes of fleet.
 
-    .venv/bin/python -m benchmarks.list_hold [--sizes 15 1000 5000] [--former REVISION]
+    .venv/bin/python -m benchmarks.list_hold [--sizes 15 1000 5000]
 
 Each part on the way from the ensemble's word to the decision module is timed alone, and the sidecar's own part as it
-runs: the longest turn of the loop counts, since that is what a request waits for.  `--former` loads the decision module
-as it stood at a revision of this repository and times it beside today's.
+runs: the longest turn of the loop counts, since that is what a request waits for.
 """
 
 from __future__ import annotations
 
 import argparse
 import asyncio
-import subprocess
 import sys
 import time
-import types
 from collections.abc import Callable
 from functools import partial
-from typing import Any
 
 from benchmarks.forward_cost import SETTINGS
-from topazbank.balancing import balancer
+from topazbank.balancing.balancer import Balancer
 from topazbank.balancing.events import EndpointsUpdated, ServerDescription, ServerState, UpdateKind
 from topazbank.core.driver import Sidecar, SidecarConfig
 from topazbank.core.endpoint_list import STEP
@@ -46,7 +42,7 @@
     ]
 
 
-def median_ms(work: Callable[[int], None], rounds: int) -> float:
+def median_ms(work: Callable[[int], object], rounds: int) -> float:
     times = []
     for number in range(rounds):
         began = time.perf_counter()
@@ -55,11 +51,11 @@
     return sorted(times)[rounds // 2] * 1e3
 
 
-def decision_module(module: Any, size: int) -> tuple[float, float]:
+def decision_module(size: int) -> tuple[float, float]:
     """One change and a whole list, given at once."""
     settings = settings_from_wire(SETTINGS)
     whole = [line.server for line in lines(size)]
-    made = [module.Balancer(settings, number) for number in range(WHOLE_ROUNDS)]
+    made = [Balancer(settings, number) for number in range(WHOLE_ROUNDS)]
     all_at_once = median_ms(
         lambda number: made[number].handle(1, EndpointsUpdated(UpdateKind.SNAPSHOT, whole, 1)), WHOLE_ROUNDS
     )
@@ -78,19 +74,6 @@
     )
 
 
-def former_module(revision: str) -> types.ModuleType:
-    source = subprocess.run(
-        ["git", "show", f"{revision}:topazbank/balancing/balancer.py"],
-        capture_output=True,
-        check=True,
-        text=True,
-    ).stdout
-    module = types.ModuleType("former_balancer")
-    sys.modules[module.__name__] = module  # dataclasses look their module up
-    exec(compile(source, "former_balancer.py", "exec"), module.__dict__)
-    return module
-
-
 def settled(made: Sidecar) -> bool:
     return not made.server_list.listing.waits()
 
@@ -206,15 +189,9 @@
 def main() -> int:
     parser = argparse.ArgumentParser(prog="benchmarks.list_hold", description=__doc__)
     parser.add_argument("--sizes", type=int, nargs="+", default=[15, 1000, 5000])
-    parser.add_argument("--former", metavar="REVISION")
     arguments = parser.parse_args()
     rows: list[tuple[str, list[tuple[float, float]]]] = []
-    if arguments.former:
-        former = former_module(arguments.former)
-        rows.append(
-            (f"decision module at {arguments.former}", [decision_module(former, n) for n in arguments.sizes])
-        )
-    rows.append(("decision module", [decision_module(balancer, each) for each in arguments.sizes]))
+    rows.append(("decision module", [decision_module(each) for each in arguments.sizes]))
     taken = [asyncio.run(sidecar(each)) for each in arguments.sizes]
     rows.append(("sidecar (longest turn)", [each[:2] for each in taken]))
     rows.append(("roster (one / names again)", [roster(each) for each in arguments.sizes]))
--- /dev/null
+++ b/tests/balancing/test_sparse_admission.py
@@ -0,0 +1,55 @@
+"""Admission where few requests come."""
+
+from __future__ import annotations
+
+from helpers import MS, S, Stage, names, serve_singly
+
+from topazbank.balancing.actions import (
+    Fail,
+    Reject,
+)
+from topazbank.balancing.events import (
+    Outcome,
+)
+
+
+def test_a_small_balancer_sheds_a_part_of_the_requests_while_every_response_is_late() -> None:
+    stage = Stage()
+    stage.servers(names(8))
+    for _ in range(120):  # hardly ever two in flight, so a window of two would never refuse
+        stage.wait(900 * MS)
+        request = stage.request()
+        if stage.sends(request):
+            stage.wait(700 * MS)
+            stage.end(request)
+    refused = len(stage.said(Reject))
+    assert 20 <= refused < 120
+    stage.wait(10 * S)
+    serve_singly(stage, 60)
+    refused = len(stage.said(Reject))
+    serve_singly(stage, 60)
+    assert len(stage.said(Reject)) == refused
+
+
+def test_few_late_responses_mean_shedding_and_time_alone_ends_it() -> None:
+    stage = Stage()
+    stage.servers(names(4))
+    for _ in range(30):
+        request = stage.request("look")
+        stage.wait(600 * MS)
+        if stage.sends(request):
+            stage.end(request)
+    refused = len(stage.said(Reject))
+    assert refused > 3
+    stage.wait(10 * S)
+    assert all(stage.sends(stage.request("look")) for _ in range(2))
+
+
+def test_few_requests_that_find_servers_unreachable_are_no_overload() -> None:
+    stage = Stage()
+    stage.servers(names(6))
+    for _ in range(12):
+        request = stage.request("pay")
+        stage.wait(200 * MS)
+        stage.end(request, Outcome.CONNECTION_LOST)
+    assert stage.said(Reject) == [] and len(stage.said(Fail)) == 12
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small stage for scripted events: it plays them and keeps what comes out."""
+"""Scripted events for one balancer, and a log of the actions that it returns."""
 
 from __future__ import annotations
 
@@ -6,11 +6,12 @@
 from typing import Any, TypeVar
 
 from topazbank import Balancer, Settings
-from topazbank.balancing.actions import Action, SendAttempt, SetTimer
+from topazbank.balancing.actions import Action, CheckHealth, SendAttempt, SetTimer
 from topazbank.balancing.events import (
     AttemptEnded,
     EndpointsUpdated,
     Event,
+    HealthCheckEnded,
     Outcome,
     RequestArrived,
     ServerDescription,
@@ -170,3 +171,39 @@
             self.wait(every_us)
             if self.sends(done):
                 self.end(done)
+
+
+# What health checks that cost next to nothing take in the settings.
+CHECKED = {
+    "limits": {"health_checks": True},
+    "report": {"source": "health_checks", "columns": ["inflight"]},
+}
+
+
+def answer_health_checks(stage: Stage, in_flight: dict[str, float], silent: str = "") -> None:
+    """Answer the health checks sent at this moment, each with what its server has in flight."""
+    stage.wait(2 * MS)
+    checked = [
+        each.server for at, each in stage.log if isinstance(each, CheckHealth) and at == stage.now - 2 * MS
+    ]
+    for server in checked:
+        if server != silent:
+            report = {"inflight": in_flight.get(server, 0.0)}
+            stage.play(HealthCheckEnded(server, Outcome.DELIVERED, 2 * MS, report))
+
+
+def two_zones() -> list[ServerDescription]:
+    """Six servers in two zones, three in the own one."""
+    return [
+        ServerDescription(name, zone="east" if index < 3 else "west") for index, name in enumerate(names(6))
+    ]
+
+
+def serve_singly(stage: Stage, count: int, taking_us: int = 50 * MS, every_us: int = 400 * MS) -> None:
+    """Traffic of a small balancer: each request is answered before the next comes."""
+    for _ in range(count):
+        request = stage.request()
+        stage.wait(taking_us)
+        if stage.sends(request):
+            stage.end(request)
+        stage.wait(every_us - taking_us)
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -26,7 +26,6 @@
     world,
 )
 
-from topazbank.balancing import balancer
 from topazbank.balancing.actions import Action, Reject
 from topazbank.balancing.events import Event, RequestArrived
 from topazbank.core.body import LARGE_MOST
@@ -218,8 +217,8 @@
 def test_every_action_that_the_module_knows_is_carried_out() -> None:
     async def scene() -> None:
         async with world() as w:
-            emitted = {kind for kind in get_args(Action) if kind.__name__ in vars(balancer)}
-            assert len(emitted) > 5 and emitted <= set(w.sidecar._carry)
+            actions = set(get_args(Action))
+            assert len(actions) > 5 and actions <= set(w.sidecar._carry)
 
     play(scene())
 
