--- a/deploy/compile.py
+++ b/deploy/compile.py
@@ -53,6 +53,8 @@
     "estimation/fleet_size.py",
     "estimation/startup_probes.py",
     "estimation/stall_detector.py",
+    "estimation/latency_check.py",
+    "estimation/sustained_throughput.py",
     "estimation/load_estimator.py",
     "estimation/traffic_mix.py",
 )
--- a/tests/cluster/test_datagrams.py
+++ b/tests/cluster/test_datagrams.py
@@ -22,7 +22,7 @@
     records_in,
 )
 from topazbank.core.checksum import CHECKSUM_BYTES, with_checksum
-from topazbank.estimation.load_gossip import VERSION as HEARSAY
+from topazbank.estimation.load_gossip import MESSAGE_VERSION as HEARSAY
 
 idents = st.integers(0, 2**48 - 1)
 addresses = st.none() | st.tuples(st.just("127.0.0.1"), st.integers(1, 65535))
--- a/tests/estimation/test_load_estimator.py
+++ b/tests/estimation/test_load_estimator.py
@@ -5,194 +5,193 @@
 import pytest
 
 from topazbank.estimation.load_estimator import (
-    BORNE_PART,
-    HOPELESS_LEAST,
-    LEVEL,
-    LEVEL_MOST,
-    UNJUDGED_MOST,
-    Borne,
-    Strain,
+    ACCEPTABLE_RATIO,
+    ACCEPTABLE_RATIO_MAX,
+    OVERLOAD_CHECKS_MIN,
+    PENDING_CHECKS_MAX,
+    LoadEstimator,
 )
+from topazbank.estimation.sustained_throughput import ADMITTED_RATIO, SustainedThroughput
 
 MS = 1_000
 S = 1_000_000
 AIM = 1 * S
 
 
-def _jam(strain: Strain, now: int) -> int:
+def _jam(strain: LoadEstimator, now: int) -> int:
     """A jam: late answers, ten a second, until the belief is as bad as can be."""
     for _ in range(40):
         now += 100 * MS
-        strain.feel(now, 2.0, calm=False)
-    assert strain.spent > 0.9 and strain.late > 0.75
+        strain.add_latency(now, 2.0, calm=False)
+    assert strain.median_ratio > 0.9 and strain.late_share > 0.75
     return now
 
 
 @pytest.mark.parametrize("gap", [100 * MS, 400 * MS, 1 * S])
 def test_a_jam_is_forgotten_in_about_as_long_however_few_answers_come(gap: int) -> None:
     # Guards against a belief that outlives its cause: who refuses nearly all gets nearly no answers.
-    strain = Strain(AIM)
+    strain = LoadEstimator(AIM)
     now = began = _jam(strain, 0)
-    while strain.spent > LEVEL:
+    while strain.median_ratio > ACCEPTABLE_RATIO:
         now += gap
-        strain.feel(now, 0.1, calm=False)
+        strain.add_latency(now, 0.1, calm=False)
     assert now - began <= max(2 * S, 6 * gap)
 
 
 def test_many_answers_at_once_move_the_belief_no_further_than_before() -> None:
-    strain = Strain(AIM)
+    strain = LoadEstimator(AIM)
     now = 0
     for _ in range(200):
         now += 5 * MS
-        strain.feel(now, 0.1, calm=True)
-    before = strain.spent
-    strain.feel(now + 5 * MS, 2.0, calm=True)
-    assert strain.spent - before == pytest.approx(0.04)
-    assert strain.late == pytest.approx(0.02)
+        strain.add_latency(now, 0.1, calm=True)
+    before = strain.median_ratio
+    strain.add_latency(now + 5 * MS, 2.0, calm=True)
+    assert strain.median_ratio - before == pytest.approx(0.04)
+    assert strain.late_share == pytest.approx(0.02)
 
 
 def test_a_single_answer_after_a_rest_does_not_turn_the_belief_round() -> None:
-    strain = Strain(AIM)
-    strain.feel(0, 0.1, calm=True)
-    strain.feel(60 * S, 3.0, calm=True)
-    assert strain.spent < LEVEL and strain.late < 0.2
+    strain = LoadEstimator(AIM)
+    strain.add_latency(0, 0.1, calm=True)
+    strain.add_latency(60 * S, 3.0, calm=True)
+    assert strain.median_ratio < ACCEPTABLE_RATIO and strain.late_share < 0.2
 
 
-def _send_and_answer(strain: Strain, now: int, count: int, every: int, taking: int | None) -> int:
+def _send_and_answer(strain: LoadEstimator, now: int, count: int, every: int, taking: int | None) -> int:
     """Attempts every so often, each answered after so long, or never; the time at the end."""
     out = []
     for _ in range(count):
         now += every
-        out.append((now, strain.sent(now, AIM, 0.0)))
+        out.append((now, strain.start_check(now, AIM, 0.0)))
         while taking is not None and out and out[0][0] + taking <= now:
-            strain.answered(now, out.pop(0)[1])
-        strain.mature(now)
+            strain.complete_check(now, out.pop(0)[1])
+        strain.expire_checks(now)
     return now
 
 
 def test_silence_is_judged_at_the_level_and_not_when_late_answers_come() -> None:
     # Guards against a jam that is seen an aim too late: everything is let in meanwhile.
-    strain = Strain(AIM)
+    strain = LoadEstimator(AIM)
     now = _send_and_answer(strain, 0, 100, 20 * MS, 100 * MS)
-    assert strain.excess() < -0.9
+    assert strain.overload_excess() < -0.9
     _send_and_answer(strain, now, 20, 20 * MS, None)  # 0.4 s of silence
-    assert strain.excess() > -0.9
+    assert strain.overload_excess() > -0.9
     _send_and_answer(strain, now + 400 * MS, 40, 20 * MS, None)
-    assert strain.excess() > 0.0 and strain.late == 0.0
+    assert strain.overload_excess() > 0.0 and strain.late_share == 0.0
 
 
 def test_answers_to_what_was_sent_long_ago_change_no_verdict() -> None:
     # Guards against late answers of a jam that is over: its news goes on coming for seconds.
-    strain = Strain(AIM)
-    old = [strain.sent(0, AIM, 0.0) for _ in range(50)]
-    strain.mature(2 * AIM)
+    strain = LoadEstimator(AIM)
+    old = [strain.start_check(0, AIM, 0.0) for _ in range(50)]
+    strain.expire_checks(2 * AIM)
     now = _send_and_answer(strain, 2 * AIM, 200, 20 * MS, 100 * MS)
-    before = strain.excess()
+    before = strain.overload_excess()
     for each in old:
-        strain.answered(now, each)
-    assert strain.excess() == before < -0.9
+        strain.complete_check(now, each)
+    assert strain.overload_excess() == before < -0.9
 
 
 def test_a_fleet_that_is_always_slow_is_not_plainly_overloaded_and_a_silent_one_is() -> None:
-    slow, silent = Strain(AIM), Strain(AIM)
+    slow, silent = LoadEstimator(AIM), LoadEstimator(AIM)
     _send_and_answer(slow, 0, 200, 20 * MS, 500 * MS)
     _send_and_answer(silent, 0, 200, 20 * MS, None)
-    assert not slow.is_plain() and silent.is_plain()
+    assert not slow.is_overload_evident() and silent.is_overload_evident()
 
 
 def test_few_verdicts_are_not_plain() -> None:
-    strain = Strain(AIM)
-    for each in range(HOPELESS_LEAST - 1):
-        strain.sent(each, AIM, 0.0)
-    strain.mature(2 * AIM)
-    assert not strain.is_plain()
+    strain = LoadEstimator(AIM)
+    for each in range(OVERLOAD_CHECKS_MIN - 1):
+        strain.start_check(each, AIM, 0.0)
+    strain.expire_checks(2 * AIM)
+    assert not strain.is_overload_evident()
 
 
 def test_attempts_that_ended_without_a_word_have_no_verdict() -> None:
     # Dials that failed tell of dead servers, not of busy ones.
-    strain = Strain(AIM)
+    strain = LoadEstimator(AIM)
     for each in range(30):
-        strain.sent(each, AIM, 0.0).open = False
-    assert not strain.mature(2 * AIM)
-    assert strain.excess() == -1.0
+        strain.start_check(each, AIM, 0.0).pending = False
+    assert not strain.expire_checks(2 * AIM)
+    assert strain.overload_excess() == -1.0
 
 
 def test_without_news_a_request_now_and_then_is_let_in_to_bring_some() -> None:
     # Guards against a belief that nothing can correct: who refuses all hears nothing.
-    strain = Strain(AIM)
+    strain = LoadEstimator(AIM)
     now = _send_and_answer(strain, 0, 100, 20 * MS, None)
-    asked = [strain.asks_for_news(at) for at in range(now + 600 * MS, now + 2600 * MS, 10 * MS)]
+    asked = [strain.claim_probe_admission(at) for at in range(now + 600 * MS, now + 2600 * MS, 10 * MS)]
     assert 7 <= sum(asked) <= 9  # four a second
 
 
 def test_while_news_comes_nothing_is_let_in_for_its_sake() -> None:
-    strain = Strain(AIM)
+    strain = LoadEstimator(AIM)
     now = 0
     for _ in range(100):
         now = _send_and_answer(strain, now, 1, 20 * MS, None)
-        strain.answered(now, strain.sent(now, AIM, 0.0))
-        assert not strain.asks_for_news(now)
+        strain.complete_check(now, strain.start_check(now, AIM, 0.0))
+        assert not strain.claim_probe_admission(now)
 
 
 def test_what_waits_for_a_verdict_is_bounded() -> None:
-    strain = Strain(AIM)
-    for each in range(UNJUDGED_MOST + 100):
-        strain.sent(each, AIM, 0.0)
-    assert sum(len(each) for each in strain._waiting.values()) == UNJUDGED_MOST
+    strain = LoadEstimator(AIM)
+    for each in range(PENDING_CHECKS_MAX + 100):
+        strain.start_check(each, AIM, 0.0)
+    assert sum(len(each) for each in strain._pending_slow.values()) == PENDING_CHECKS_MAX
 
 
 def test_the_level_follows_a_fleet_that_is_slow_when_idle_but_only_so_far() -> None:
-    strain = Strain(AIM)
-    assert strain.level(0.0) == LEVEL
+    strain = LoadEstimator(AIM)
+    assert strain.acceptable_ratio(0.0) == ACCEPTABLE_RATIO
     now = 0
     for _ in range(2_000):
         now += 20 * MS
-        strain.feel(now, 0.45, calm=True)
-    assert LEVEL < strain.level(0.0) <= LEVEL_MOST
-    assert strain.level(1.0) >= strain.level(0.0)
+        strain.add_latency(now, 0.45, calm=True)
+    assert ACCEPTABLE_RATIO < strain.acceptable_ratio(0.0) <= ACCEPTABLE_RATIO_MAX
+    assert strain.acceptable_ratio(1.0) >= strain.acceptable_ratio(0.0)
 
 
 def test_reported_cores_follow_what_is_reported() -> None:
-    strain = Strain(AIM)
-    assert strain.cores is None
-    strain.reported(1.0)
-    assert strain.cores == 1.0
+    strain = LoadEstimator(AIM)
+    assert strain.cpu_utilization is None
+    strain.add_cpu_report(1.0)
+    assert strain.cpu_utilization == 1.0
     for _ in range(60):
-        strain.reported(0.2)
-    assert strain.cores == pytest.approx(0.2, abs=0.01)
+        strain.add_cpu_report(0.2)
+    assert strain.cpu_utilization == pytest.approx(0.2, abs=0.01)
 
 
-def _serve(borne: Borne, now: int, seconds: float, every: int) -> int:
+def _serve(borne: SustainedThroughput, now: int, seconds: float, every: int) -> int:
     for _ in range(int(seconds * S / every)):
         now += every
-        borne.served(now, AIM)
-        borne.least(now, 10.0)
+        borne.note_timely_response(now, AIM)
+        borne.admissible_load(now, 10.0)
     return now
 
 
 def test_what_the_fleet_has_borne_passes_though_nothing_is_answered_now() -> None:
-    borne = Borne(AIM)
+    borne = SustainedThroughput(AIM)
     now = _serve(borne, 0, 5, 50 * MS)  # twenty a second: twenty in flight if each took all its aim
-    assert borne.least(now + 2 * S, 10.0) == pytest.approx(20 * BORNE_PART, rel=0.2)
+    assert borne.admissible_load(now + 2 * S, 10.0) == pytest.approx(20 * ADMITTED_RATIO, rel=0.2)
 
 
 def test_what_the_fleet_has_borne_falls_with_the_servers_that_are_left() -> None:
-    borne = Borne(AIM)
+    borne = SustainedThroughput(AIM)
     now = _serve(borne, 0, 5, 50 * MS)
-    whole = borne.least(now + 1 * S, 10.0)
-    assert borne.least(now + 1 * S, 4.0) == pytest.approx(0.4 * whole, rel=0.01)
-    assert borne.least(now + 1 * S, 0.0) == 0.0  # nobody is left: nothing passes
+    whole = borne.admissible_load(now + 1 * S, 10.0)
+    assert borne.admissible_load(now + 1 * S, 4.0) == pytest.approx(0.4 * whole, rel=0.01)
+    assert borne.admissible_load(now + 1 * S, 0.0) == 0.0  # nobody is left: nothing passes
 
 
 def test_what_the_fleet_bore_long_ago_is_forgotten() -> None:
-    borne = Borne(AIM)
+    borne = SustainedThroughput(AIM)
     now = _serve(borne, 0, 5, 50 * MS)
-    before = borne.least(now, 10.0)
-    assert borne.least(now + 60 * S, 10.0) < 0.05 * before
+    before = borne.admissible_load(now, 10.0)
+    assert borne.admissible_load(now + 60 * S, 10.0) < 0.05 * before
 
 
 def test_where_late_answers_keep_a_part_of_their_worth_a_fleet_may_be_fuller() -> None:
-    strict, lenient = Strain(S, 0.0), Strain(S, 0.25)
+    strict, lenient = LoadEstimator(S, 0.0), LoadEstimator(S, 0.25)
     for chance in (0.0, 0.5, 1.0):
-        assert strict.level(chance) < lenient.level(chance) <= LEVEL_MOST
-    assert Strain(S, 1e9).level(1.0) == LEVEL_MOST
+        assert strict.acceptable_ratio(chance) < lenient.acceptable_ratio(chance) <= ACCEPTABLE_RATIO_MAX
+    assert LoadEstimator(S, 1e9).acceptable_ratio(1.0) == ACCEPTABLE_RATIO_MAX
--- a/tests/estimation/test_poll_schedule.py
+++ b/tests/estimation/test_poll_schedule.py
@@ -69,12 +69,12 @@
 ) -> None:
     # Just behind a call that was in vain discovery is back; the next one may be turned away for its turn's sake.
     allowed_us = int(allowed_s * S)
-    gaps_us = [poll_schedule.retry_gap(begun, sidecars, allowed_us, 0.0) for begun in range(12)]
-    assert 2 * max(gaps_us) <= poll_schedule.NEWS_DUE_S * S
-    assert max(gaps_us) <= max(poll_schedule.GAP_LARGE_FLEET * allowed_us, 1)
+    gaps_us = [poll_schedule.retry_interval_us(begun, sidecars, allowed_us, 0.0) for begun in range(12)]
+    assert 2 * max(gaps_us) <= poll_schedule.UPDATE_DEADLINE_S * S
+    assert max(gaps_us) <= max(poll_schedule.INTERVAL_RATIO_LARGE_FLEET * allowed_us, 1)
     assert gaps_us == sorted(gaps_us) and gaps_us[0] > 0
-    first_us = poll_schedule.first_call_spread(sidecars, allowed_us)
-    assert first_us + gaps_us[0] + gaps_us[1] <= poll_schedule.NEWS_DUE_S * S
+    first_us = poll_schedule.first_poll_spread_us(sidecars, allowed_us)
+    assert first_us + gaps_us[0] + gaps_us[1] <= poll_schedule.UPDATE_DEADLINE_S * S
 
 
 def test_a_call_that_fails_late_or_never_ends_puts_off_none() -> None:
--- a/tests/estimation/test_startup_probes.py
+++ b/tests/estimation/test_startup_probes.py
@@ -10,7 +10,7 @@
 from topazbank.balancing.actions import CheckHealth, Reject
 from topazbank.balancing.events import HealthCheckEnded, Outcome, ServerDescription, UpdateKind
 from topazbank.estimation.fleet_size import FleetSize
-from topazbank.estimation.startup_probes import ASKED, Soundings, expected_us
+from topazbank.estimation.startup_probes import PROBES_MAX, StartupProbes, expected_latency_us
 
 IDLE = {"inflight": 0.0, "queue": 0.0, "latency_ms": 60.0}
 FULL = {"inflight": 20.0, "queue": 16.0, "latency_ms": 100.0}  # four in work: five times as long as the work
@@ -43,11 +43,11 @@
 
 
 def test_a_sidecar_that_begins_before_idle_servers_lets_all_in() -> None:
-    assert refused(begin(dict.fromkeys(range(ASKED), IDLE))) == 0
+    assert refused(begin(dict.fromkeys(range(PROBES_MAX), IDLE))) == 0
 
 
 def test_a_sidecar_that_returns_to_full_servers_does_not_let_all_in_until_answers_are_late() -> None:
-    stage = begin(dict.fromkeys(range(ASKED), FULL))
+    stage = begin(dict.fromkeys(range(PROBES_MAX), FULL))
     assert refused(stage) > 3
     assert len(stage.sends()) > 3  # but its share of what the fleet holds
 
@@ -61,12 +61,12 @@
 
 
 def test_no_more_than_a_few_probes_are_sent_whatever_comes_after() -> None:
-    stage = begin(dict.fromkeys(range(ASKED), IDLE))
+    stage = begin(dict.fromkeys(range(PROBES_MAX), IDLE))
     for _ in range(5):
         stage.servers([ServerDescription(each, "east") for each in names(60)])
         refused(stage)
         stage.wait(2 * S)
-    assert len(stage.said(CheckHealth)) == ASKED
+    assert len(stage.said(CheckHealth)) == PROBES_MAX
 
 
 @pytest.mark.parametrize(
@@ -83,18 +83,18 @@
 
 
 def test_the_share_is_of_the_servers_that_are_there() -> None:
-    soundings = Soundings(settings(**DEAR), FleetSize(settings(**DEAR).fleet_size))
-    soundings.begin(0, 60)
+    soundings = StartupProbes(settings(**DEAR), FleetSize(settings(**DEAR).fleet_size))
+    soundings.start(0, 60)
     for report in (FULL, FULL, FULL, None, None, None):
-        soundings.heard(report, 0.4)
+        soundings.add_result(report, 0.4)
     assert soundings.fair_share(100 * MS, 60) == pytest.approx(20.0 * 30 / 40)
 
 
 def test_what_is_heard_long_after_the_start_is_the_windows_business() -> None:
-    soundings = Soundings(settings(**DEAR), FleetSize(settings(**DEAR).fleet_size))
-    soundings.begin(0, 60)
+    soundings = StartupProbes(settings(**DEAR), FleetSize(settings(**DEAR).fleet_size))
+    soundings.start(0, 60)
     for _ in range(3):
-        soundings.heard(FULL, 0.4)
+        soundings.add_result(FULL, 0.4)
     assert soundings.fair_share(3 * S, 60) is None
 
 
@@ -109,7 +109,7 @@
     ],
 )
 def test_a_wait_is_worked_off_by_what_is_in_work(report: dict[str, float], expected: float | None) -> None:
-    assert expected_us(report) == expected
+    assert expected_latency_us(report) == expected
 
 
 def test_two_servers_that_are_both_full_are_a_full_fleet() -> None:
--- a/tests/fleet/test_synthetic_peers.py
+++ b/tests/fleet/test_synthetic_peers.py
@@ -8,7 +8,7 @@
 
 from testbed.fleet import synthetic_peers
 from topazbank.core.bounds import Fleet, bounds, connections_each, list_calls_a_second
-from topazbank.estimation.poll_schedule import WATCH_LEAST_S, WATCH_MOST_S, watch_s
+from topazbank.estimation.poll_schedule import WATCH_TIMEOUT_MAX_S, WATCH_TIMEOUT_MIN_S, watch_timeout_s
 from topazbank.platform_names import settings_from_wire
 
 
@@ -54,7 +54,8 @@
 
 
 @pytest.mark.parametrize(
-    ("sidecars", "wait"), [(1, WATCH_LEAST_S), (40, WATCH_LEAST_S), (100, 20.0), (5000, WATCH_MOST_S)]
+    ("sidecars", "wait"),
+    [(1, WATCH_TIMEOUT_MIN_S), (40, WATCH_TIMEOUT_MIN_S), (100, 20.0), (5000, WATCH_TIMEOUT_MAX_S)],
 )
 def test_a_watch_waits_longer_in_a_larger_fleet_up_to_the_platforms_most(sidecars: int, wait: float) -> None:
-    assert watch_s(sidecars) == wait
+    assert watch_timeout_s(sidecars) == wait
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -208,7 +208,7 @@
     mode: str, times: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # What it kept back counts as told 2 s after its wait, and the new call may have to wait its turn for one of them.
-    monkeypatch.setattr(poll_schedule, "WATCH_LEAST_S", 0.2)
+    monkeypatch.setattr(poll_schedule, "WATCH_TIMEOUT_MIN_S", 0.2)
 
     async def scene() -> None:
         loop = asyncio.get_running_loop()
@@ -232,7 +232,7 @@
 def test_a_watch_that_falls_silent_in_the_middle_of_its_answer_is_silent(
     discovery: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(poll_schedule, "WATCH_LEAST_S", 0.3)
+    monkeypatch.setattr(poll_schedule, "WATCH_TIMEOUT_MIN_S", 0.3)
 
     async def scene() -> None:
         async with world(served, discovery=discovery) as w:
@@ -260,7 +260,7 @@
 def test_the_call_after_a_silent_watch_does_not_wait_however_large_the_fleet(
     sidecars: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(poll_schedule, "watch_wait_s", lambda sidecars, chance: 0.2)
+    monkeypatch.setattr(poll_schedule, "jittered_watch_timeout_s", lambda sidecars, jitter: 0.2)
 
     async def scene() -> None:
         service = FakeDiscovery()
--- a/tests/test_gossip_transport.py
+++ b/tests/test_gossip_transport.py
@@ -15,7 +15,7 @@
 from topazbank.config import read_config
 from topazbank.core.gossip_transport import GossipAddresses, GossipTransport
 from topazbank.core.net import Address
-from topazbank.estimation.load_gossip import MESSAGE_MOST, VERSION, tag_of
+from topazbank.estimation.load_gossip import MESSAGE_BYTES_MAX, MESSAGE_VERSION, server_tag
 
 WAIT_S = 10.0
 
@@ -97,10 +97,10 @@
 @in_loop
 async def test_a_message_over_the_platforms_limit_never_leaves() -> None:
     peers, heard, _ = await _three()
-    peers[1].tell(None, bytes(MESSAGE_MOST + 1))
-    peers[1].tell(None, bytes(MESSAGE_MOST))
+    peers[1].tell(None, bytes(MESSAGE_BYTES_MAX + 1))
+    peers[1].tell(None, bytes(MESSAGE_BYTES_MAX))
     await _until(heard[0], 1)
-    assert [len(payload) for _, payload in heard[0]] == [MESSAGE_MOST]
+    assert [len(payload) for _, payload in heard[0]] == [MESSAGE_BYTES_MAX]
     for each in peers:
         each.stop()
 
@@ -156,8 +156,8 @@
     for seed in range(40):
         stage = Stage(settings(limits={"gossip": True}, fleet_size=4), seed=seed)
         stage.servers(names(8))
-        payload = bytes([VERSION]) + b"".join(
-            tag_of(name).to_bytes(2, "little") + b"\x09" for name in crowded
+        payload = bytes([MESSAGE_VERSION]) + b"".join(
+            server_tag(name).to_bytes(2, "little") + b"\x09" for name in crowded
         )
         stage.play(GossipReceived(1, payload))
         picked.append(stage.target(stage.request("pay")))
@@ -170,7 +170,9 @@
     stage.servers(names(2))
     first = stage.target(stage.request("pay"))
     other = next(name for name in names(2) if name != first)
-    stage.play(GossipReceived(1, bytes([VERSION]) + tag_of(other).to_bytes(2, "little") + b"\x63"))
+    stage.play(
+        GossipReceived(1, bytes([MESSAGE_VERSION]) + server_tag(other).to_bytes(2, "little") + b"\x63")
+    )
     assert stage.target(stage.request("pay")) == other
 
 
@@ -193,13 +195,13 @@
 def test_a_balancer_that_may_not_send_messages_sends_none_and_hears_none() -> None:
     stage = Stage(settings(fleet_size=4))
     stage.servers(names(4))
-    stage.play(GossipReceived(1, bytes([VERSION, 1, 0, 9])))
+    stage.play(GossipReceived(1, bytes([MESSAGE_VERSION, 1, 0, 9])))
     stage.serve(100)
     assert stage.said(SendGossip) == []
 
 
 def test_its_own_message_that_comes_back_is_not_counted() -> None:
     stage = _talking()
-    tag = tag_of(names(8)[0])
-    stage.play(GossipReceived(0, bytes([VERSION]) + tag.to_bytes(2, "little") + b"\x09"))
-    assert stage.balancer._hearsay is not None and stage.balancer._hearsay.held(tag) == 0
+    tag = server_tag(names(8)[0])
+    stage.play(GossipReceived(0, bytes([MESSAGE_VERSION]) + tag.to_bytes(2, "little") + b"\x09"))
+    assert stage.balancer._hearsay is not None and stage.balancer._hearsay.requests_at(tag) == 0
--- a/topazbank/balancing/balancer.py
+++ b/topazbank/balancing/balancer.py
@@ -56,13 +56,13 @@
     Settings,
 )
 from topazbank.estimation import poll_schedule
-from topazbank.estimation.decaying_sum import Fit, Rate
+from topazbank.estimation.decaying_sum import DecayingLinearFit, DecayingRate
 from topazbank.estimation.fleet_size import FleetSize
-from topazbank.estimation.load_estimator import Borne, Strain, Verdict
-from topazbank.estimation.load_gossip import Hearsay, tag_of
-from topazbank.estimation.stall_detector import Stall
-from topazbank.estimation.startup_probes import Soundings, can_tell
-from topazbank.estimation.traffic_mix import Traffic
+from topazbank.estimation.load_estimator import LatencyCheck, LoadEstimator, SustainedThroughput
+from topazbank.estimation.load_gossip import LoadGossip, server_tag
+from topazbank.estimation.stall_detector import StallDetector
+from topazbank.estimation.startup_probes import StartupProbes, supports_startup_probes
+from topazbank.estimation.traffic_mix import TrafficMix
 
 # -- Constants: ratios of what the settings give or of what was observed ------------------------------
 
@@ -187,7 +187,7 @@
     sent_at: int
     absent_before: int  # how long the balancer had stalled by then
     answers_before: int  # how many answers had come by then, from all servers
-    verdict: Verdict  # on how long it takes
+    verdict: LatencyCheck  # on how long it takes
     pending: bool = True
     young: bool = True  # out, and its aim not past
     may_have_run: bool = True  # until an outcome proves that it did not
@@ -253,7 +253,7 @@
         # Of its own: how often the list is asked for changes no choice of servers.
         self._poll_chance = random.Random(str(seed))
         self._classes = {each.name: each for each in settings.classes}
-        self._traffic = Traffic(settings)
+        self._traffic = TrafficMix(settings)
         self._longest_aim = max(each.latency_objective_us for each in settings.classes)
         self._now = 0
         self._actions: list[Action] = []
@@ -268,13 +268,15 @@
         self._queues: dict[int, Queue] = {}  # by key
         self._moved: deque[Queue] = deque()  # queues whose head may have changed
         self._asking: dict[int, Request] = {}  # requests that wait for probes, by number
-        self._by_held = Fit()  # part of its aim that an answer takes, by what the server held for its size
+        self._by_held = (
+            DecayingLinearFit()
+        )  # part of its aim that an answer takes, by what the server held for its size
         self._probe_time = math.inf  # the usual time of a probe; at first it is not known
         self._probes = self._probes_a_request()
         # Trials are with requests that may be repeated; else with keyed ones, and with probes where a dial would fail.
         self._tries_safely = any(each.idempotency is Idempotency.IDEMPOTENT for each in settings.classes)
-        sounds = self._probes <= 1 and can_tell(settings)
-        self._soundings = Soundings(settings, self.others) if sounds else None
+        sounds = self._probes <= 1 and supports_startup_probes(settings)
+        self._soundings = StartupProbes(settings, self.others) if sounds else None
         self._crossing = CROSS_GAIN * settings.prices.cross_zone
         self._connecting = CROSS_GAIN * settings.prices.handshake
         self._near_first = self._probes > 1 and self._crossing >= CROSS_LEAST
@@ -285,7 +287,9 @@
         self._agenda: list[tuple[int, int, int, int]] = []
         self._agenda_order = 0
         self._timer_due: int | None = None
-        self._stall = Stall(min(each.latency_objective_us for each in settings.classes), settings.tick_us)
+        self._stall = StallDetector(
+            min(each.latency_objective_us for each in settings.classes), settings.tick_us
+        )
         self._begun = False
         self._failed_calls = 0  # calls for the list, since the last answer
         self._calls_begun = 0  # likewise
@@ -303,18 +307,18 @@
         self._extra = EXTRA_PER_REQUEST * EXTRA_SAVED / 2
         self._longest_try: dict[str, int] = {}  # the most time left that a request of a class came with
         self._mean_cost: dict[str, float] = {}
-        self._arrivals = Rate(RATE_SPANS * settings.rules.overload_window_us)
-        self._served_warm = Rate(RATE_SPANS * settings.rules.overload_window_us)
+        self._arrivals = DecayingRate(RATE_SPANS * settings.rules.overload_window_us)
+        self._served_warm = DecayingRate(RATE_SPANS * settings.rules.overload_window_us)
         self._norms: dict[tuple[str, int], float] = {}  # usual time of a class and size, over all servers
-        self._strain = Strain(self._longest_aim, settings.mean_late_value_ratio())
-        self._borne = Borne(self._longest_aim)
+        self._strain = LoadEstimator(self._longest_aim, settings.mean_late_value_ratio())
+        self._borne = SustainedThroughput(self._longest_aim)
         messages = settings.limits.gossip and settings.fleet_size > 1
-        self._hearsay = Hearsay(settings.prices.gossip, self.others) if messages else None
+        self._hearsay = LoadGossip(settings.prices.gossip, self.others) if messages else None
         self._heard_at = 0  # when what others told was last gone through
         self._window = math.inf  # how many own requests in flight the fleet bears in time
-        self._served_aims = Rate(self._longest_aim)  # time allowed to what was answered, per time
+        self._served_aims = DecayingRate(self._longest_aim)  # time allowed to what was answered, per time
         span = SPARSE_AIMS * self._longest_aim
-        self._in_time, self._too_late, self._shed = Rate(span), Rate(span), Rate(span)
+        self._in_time, self._too_late, self._shed = DecayingRate(span), DecayingRate(span), DecayingRate(span)
         self._able, self._capacity_due = 0.0, 0  # what ready servers can do, and when that is looked at again
         self._bound = False  # whether the window refused anything since it was last sized
         self._mean_load, self._load_at = 0.0, 0  # own requests in flight, averaged, and when
@@ -335,12 +339,14 @@
         self._now = now
         self._actions = []
         self._follow_load()
-        self._stall.notice(now, isinstance(event, TimerFired))
-        if not self._stall.behind and self._strain.mature(now):
+        self._stall.observe(now, isinstance(event, TimerFired))
+        if not self._stall.catching_up and self._strain.expire_checks(now):
             self._size_window()
         if not self._begun:
             self._begun = True
-            spread = poll_schedule.first_call_spread(self.others.most, self._settings.rules.poll_within_us)
+            spread = poll_schedule.first_poll_spread_us(
+                self.others.upper_bound, self._settings.rules.poll_within_us
+            )
             self._ask_in(spread * self._poll_chance.random()) if spread > 0.0 else self._ask()
         self._take[type(event)](event)
         self._take_turns()
@@ -350,9 +356,9 @@
         return self._actions
 
     def _keep_beat(self) -> None:
-        if self._pending and not self._stall.beat_due:
-            self._stall.beat_due = self._now + self._stall.beat_us
-            self._schedule(self._stall.beat_due, _BEAT, _WHOLE)  # when it fires, it has done its work
+        if self._pending and not self._stall.heartbeat_due_at:
+            self._stall.heartbeat_due_at = self._now + self._stall.heartbeat_interval_us
+            self._schedule(self._stall.heartbeat_due_at, _BEAT, _WHOLE)  # when it fires, it has done its work
 
     # -- The server list ------------------------------------------------------------------------------
 
@@ -370,8 +376,8 @@
     def _ask_after_gap(self) -> None:
         """Ask again after a gap that grows with each call since the last answer, however those calls end."""
         allowed_us = self._settings.rules.poll_within_us
-        gap = poll_schedule.retry_gap(
-            self._calls_begun, self.others.most, allowed_us, self._poll_chance.random()
+        gap = poll_schedule.retry_interval_us(
+            self._calls_begun, self.others.upper_bound, allowed_us, self._poll_chance.random()
         )
         self._calls_begun = min(self._calls_begun + 1, CALLS_COUNTED_MOST)
         self._ask_in(gap)
@@ -402,7 +408,7 @@
                 self._server_listed(ServerDescription(name, state=ServerState.REMOVED)) for name in missing
             ]
         if self._soundings is not None and self._ready:
-            for server in self._ready[: self._soundings.begin(self._now, len(self._ready))]:
+            for server in self._ready[: self._soundings.start(self._now, len(self._ready))]:
                 self._probe(server)
         mean_size = self._ready_size / max(len(self._ready), 1)
         self._gone = []
@@ -418,7 +424,7 @@
         server = self._servers.get(line.name)
         if server is None:
             self._heard_of += 1
-            server = Server(line.name, self._heard_of, self._random.random(), tag_of(line.name))
+            server = Server(line.name, self._heard_of, self._random.random(), server_tag(line.name))
             self._servers[line.name] = self._numbered[server.number] = server
         if server.state is ServerState.READY:
             self._stand(server, False)
@@ -466,7 +472,7 @@
             kind = RequestClass(event.request_class, allowed, allowed, ordered_by_key=self._in_order)
         self._arrivals.add(self._now, 1.0)
         if self._hearsay is not None and not event.client_retry:
-            self._hearsay.arrived()
+            self._hearsay.note_request()
         self._extra = min(self._extra + EXTRA_PER_REQUEST, EXTRA_PER_REQUEST * EXTRA_SAVED)
         answer_by = self._now + event.remaining_us - TICKS_EARLY * self._settings.tick_us
         cost = self._relative_cost(kind, event.cost_us)
@@ -491,7 +497,7 @@
         longest = max(self._longest_try.get(kind.name, 0), remaining_us)
         self._longest_try[kind.name] = longest
         return (
-            self._stall.back
+            self._stall.just_resumed
             and kind.late_value_ratio <= 0.0
             and longest - remaining_us >= kind.latency_objective_us
         )
@@ -561,9 +567,9 @@
     def _feel(self, spent: float) -> None:
         """Follow how much of its aim the typical answer takes, and size the window by it."""
         (self._in_time if spent <= 1.0 else self._too_late).add(self._now, 1.0)
-        if self._strain.floor is None and self._window == math.inf:
+        if self._strain.floor_ratio is None and self._window == math.inf:
             self._sized_from = self._now + int(NEW_AIMS * self._longest_aim)
-        self._strain.feel(self._now, spent, self._young <= FREE * self._window)
+        self._strain.add_latency(self._now, spent, self._young <= FREE * self._window)
         self._size_window()
 
     def _chance(self) -> float:
@@ -591,25 +597,33 @@
         strain = self._strain
         if self._probes > 1:
             return  # probes tell
-        over = -1.0 if strain.cores is None else (strain.cores - CORES_BUSY) / (1.0 - CORES_BUSY)
+        over = (
+            -1.0
+            if strain.cpu_utilization is None
+            else (strain.cpu_utilization - CORES_BUSY) / (1.0 - CORES_BUSY)
+        )
         fresh = self._now < self._sized_from
         dear = self._connecting > 0.0 and over > 0.0  # what is too much costs connections on top
-        if fresh and strain.late < 10 * LATE_ALLOWED and not strain.is_plain() and not dear:
+        if fresh and strain.late_share < 10 * LATE_ALLOWED and not strain.is_overload_evident() and not dear:
             return  # every connection is new, the rates are not full: less than half late may be chance
         stretch = self._stretch()
         lapse = min(self._now - self._sized_at, stretch * self._longest_aim / 4)
         self._sized_at = self._now
-        level = strain.level(self._chance())
-        excess = strain.excess()
-        if strain.cores is not None and (stretch > 1.0 or strain.cores < CORES_SPARE):
+        level = strain.acceptable_ratio(self._chance())
+        excess = strain.overload_excess()
+        if strain.cpu_utilization is not None and (stretch > 1.0 or strain.cpu_utilization < CORES_SPARE):
             # Late answers from servers with idle cores tell of a few slow ones, of broken connections or of
             # this balancer's own lag, not of too many requests: refusing would only bring clients back.
             # Harm: overload that cores don't show.  Else a busy balancer goes by answers, which come sooner.
             excess = min(excess, over)
         least = -1.0 if not dear else over if fresh else 0.0
         excess = max(least, min(excess, 1.0))
-        saturated = (dear and fresh) or (strain.cores or 0.0) >= CORES_SATURATED or strain.is_plain()
-        if excess > 0.0 and strain.late < LATE_ALLOWED and not saturated:
+        saturated = (
+            (dear and fresh)
+            or (strain.cpu_utilization or 0.0) >= CORES_SATURATED
+            or strain.is_overload_evident()
+        )
+        if excess > 0.0 and strain.late_share < LATE_ALLOWED and not saturated:
             return  # slower than usual, yet in time
         if excess > 0.0:
             self._window = min(self._window, max(self._young, self._mean_load / FREE))
@@ -618,15 +632,15 @@
         self._bound = False
         aims = WINDOW_AIMS if excess > 0.0 else REOPEN_AIMS
         change = min(math.exp(-excess * lapse / (aims * self._longest_aim)), GROWTH_MOST)
-        self._served_aims.over(stretch * self._longest_aim)
+        self._served_aims.set_window_us(stretch * self._longest_aim)
         borne = level * self._served_aims.per_us(self._now)
-        least = level * self._borne.least(self._now, self._capacity())
+        least = level * self._borne.admissible_load(self._now, self._capacity())
         self._window = max(self._window * change, min(max(borne, least), self._window), LEAST_WINDOW)
 
     def _capacity(self) -> float:
         """What the ready servers can do by now, nominally; looked at once a beat."""
         if self._now >= self._capacity_due:
-            self._capacity_due = self._now + self._stall.beat_us
+            self._capacity_due = self._now + self._stall.heartbeat_interval_us
             self._able = sum(s.nominal * self._warmth(s) for s in self._ready if s.ejected_until is None)
         return self._able
 
@@ -648,25 +662,27 @@
         Guards against collapse: a fleet that answers all too late serves nobody, and clients repeat
         what fails late.  As the window fills, the part let in falls by powers, sooner for the less worthy.
         """
-        mine = self._traffic.asked(self._now, request.kind, tenant)
+        mine = self._traffic.note_request(self._now, request.kind, tenant)
         if self._probes > 1:
-            request.standing = self._traffic.standing(self._now, mine)
+            request.standing = self._traffic.rank(self._now, mine)
             return False  # probes will tell
         if max(self._arrivals.per_us(self._now) * self._longest_aim, self._young) < MANY / 2:
-            return self._sheds_by_count(self._traffic.standing(self._now, mine))
+            return self._sheds_by_count(self._traffic.rank(self._now, mine))
         fill = self._fill()
         if fill <= FREE:
             return False
         pressure = STEEP * (fill - FREE) / (1.0 - FREE)
-        let_in = math.exp(-SLANT * pressure * (1.0 - self._traffic.standing(self._now, mine)))
+        let_in = math.exp(-SLANT * pressure * (1.0 - self._traffic.rank(self._now, mine)))
         if fill < 1.0 and self._random.random() < let_in:
             return False
         self._bound = True
-        return not self._strain.asks_for_news(self._now)  # who refuses all hears nothing of the end of a jam
+        return not self._strain.claim_probe_admission(
+            self._now
+        )  # who refuses all hears nothing of the end of a jam
 
     def _sheds_by_count(self, standing: float) -> bool:
         """Whether to refuse where few requests come: by counts over a fixed time, so that relief is seen."""
-        if self._strain.cores is not None and self._strain.cores < CORES_IDLE:
+        if self._strain.cpu_utilization is not None and self._strain.cpu_utilization < CORES_IDLE:
             return False  # late answers from servers with idle cores tell of a few slow ones
         span = SPARSE_AIMS * self._longest_aim
         in_time = self._in_time.per_us(self._now) * span + SPARSE_PRIOR
@@ -690,7 +706,7 @@
             trial = self._guided(request, self._guide)
         if trial is not None:
             return trial, []
-        request.spread = request.spread or self._stall.back
+        request.spread = request.spread or self._stall.just_resumed
         pool = self._within_reach(self._ready if request.spread else self._near, request)
         if len(pool) < 2 and not request.spread:
             request.spread = True
@@ -703,28 +719,32 @@
         odds = [self._odds(each, power) for each in pool]
         drawn = self._drawn(pool, odds, DRAWN << request.said_full)
         best = min(drawn, key=self._rank)
-        if self._probes > 1 and not self._stall.back:  # others that stalled with it would hear the same
+        if (
+            self._probes > 1 and not self._stall.just_resumed
+        ):  # others that stalled with it would hear the same
             return best, sorted(drawn, key=self._busy)[: self._probes]
         return best, []
 
     def _rank(self, server: Server) -> tuple[int, float]:
         """Own requests in flight, then what all others are known to have there by how quick it is."""
-        others = self._hearsay.held(server.tag) if self._hearsay is not None else 0
+        others = self._hearsay.requests_at(server.tag) if self._hearsay is not None else 0
         fresh = FRESH_COST if self._connecting > 0.0 and not server.idle else 1.0
         return self._busy(server), (others + 1) * max(server.pace, 1.0 / PACE_CLIP) * fresh
 
     def _message_received(self, event: GossipReceived) -> None:
         if self._hearsay is not None and event.sender != self._settings.instance:
-            self._hearsay.hear(self._now, event.sender, event.payload)
+            self._hearsay.receive(self._now, event.sender, event.payload)
 
     def _tell_others(self) -> None:
         """Tell the other balancers what is in flight here, as often as that is worth its price."""
-        if self._hearsay is None or not self._hearsay.due(self._now):
+        if self._hearsay is None or not self._hearsay.is_due(self._now):
             return
-        if self._now - self._heard_at >= self._stall.beat_us:
+        if self._now - self._heard_at >= self._stall.heartbeat_interval_us:
             self._heard_at = self._now
-            self._hearsay.forget_old(self._now)
-        if told := self._hearsay.tell(self._now, [(s.tag, self._busy(s)) for s in self._servers.values()]):
+            self._hearsay.expire(self._now)
+        if told := self._hearsay.build_message(
+            self._now, [(s.tag, self._busy(s)) for s in self._servers.values()]
+        ):
             self._actions.append(SendGossip(None, told))
 
     def _guided(self, request: Request, guide: RoutingPlan) -> Server | None:
@@ -794,7 +814,7 @@
         Spares crossings without the trap of a zone that has more traffic than servers: as the own zone's pace
         falls behind, or answers come late anywhere, the odds even out.
         """
-        crowded = self._strain.late >= LATE_ALLOWED or self._fill() > FREE
+        crowded = self._strain.late_share >= LATE_ALLOWED or self._fill() > FREE
         if self._settings.prices.cross_zone <= 0.0 or crowded:
             return 1.0  # room anywhere is worth more than a crossing
         awake = [each for each in self._ready if each.ejected_until is None]
@@ -855,14 +875,14 @@
             if all(each.probed_at is None for each in request.asked):
                 self._settle(request)
 
-    def _sounded(self, soundings: Soundings, report: Mapping[str, float] | None) -> None:
+    def _sounded(self, soundings: StartupProbes, report: Mapping[str, float] | None) -> None:
         """Begin with a fair share of what the fleet holds where it is full already, not with all that comes."""
-        soundings.heard(report, self._strain.level(1.0))
+        soundings.add_result(report, self._strain.acceptable_ratio(1.0))
         share = soundings.fair_share(self._now, len(self._ready))
         if share is not None and self._window == math.inf:
             self._window = max(share, 1.0)
             self._sized_at = self._sized_from = self._now
-            self._strain.pressed(self._now)
+            self._strain.assume_at_capacity(self._now)
 
     def _settle(self, request: Request) -> None:
         """Send a request whose probes are back, or were waited for long enough, to the least loaded."""
@@ -874,7 +894,7 @@
         heard = [each for each in able if each.probed_at is None and each.reported is not None]
         best = min(heard, key=self._probed_rank, default=None)
         if not request.spread:
-            here, idle = None if best is None else self._expected(best), self._by_held.at(0.0)
+            here, idle = None if best is None else self._expected(best), self._by_held.predict(0.0)
             if best is None or (here is not None and idle is not None and here - idle > self._crossing):
                 request.spread = True
                 self._place(request)
@@ -899,14 +919,14 @@
     def _expected(self, server: Server) -> float | None:
         """The part of its aim that an answer is expected to take there; None: not known."""
         held = self._held(server)
-        return None if held is None else self._by_held.at(held)
+        return None if held is None else self._by_held.predict(held)
 
     def _probed_rank(self, server: Server) -> tuple[int, float, float]:
         away = self._crossing if server.zone != self._settings.zone else 0.0
         if not server.idle or self._now - server.idle_since >= self._settings.limits.idle_timeout_us:
             away += self._connecting
         held = ((server.reported or 0.0) + 1.0) * server.pace / self._warmth(server)  # cold ones look idle
-        return self._busy(server), (self._by_held.at(held) or 0.0) + away, held
+        return self._busy(server), (self._by_held.predict(held) or 0.0) + away, held
 
     # -- Connections: where they are priced, few are opened and idle ones closed ----------------------
 
@@ -931,8 +951,8 @@
 
     def _server_rate(self) -> float:
         """Requests a microsecond that a server gets, from all balancers."""
-        from_all = self._arrivals.per_us(self._now) * self.others.most
-        return self._by_held.rate(self._longest_aim) or from_all / max(len(self._ready), 1)
+        from_all = self._arrivals.per_us(self._now) * self.others.upper_bound
+        return self._by_held.throughput(self._longest_aim) or from_all / max(len(self._ready), 1)
 
     # -- The send gate --------------------------------------------------------------------------------
 
@@ -958,9 +978,11 @@
             return False  # the fleet's budget
         if self._is_cold(server):
             server.allowance -= request.cost
-        verdict = self._strain.sent(self._now, request.kind.latency_objective_us, self._chance())
+        verdict = self._strain.start_check(self._now, request.kind.latency_objective_us, self._chance())
         number, home = len(request.attempts), (server.zone, server.cell)
-        attempt = Attempt(number, server, home, self._now, self._stall.absent_us, self._answers, verdict)
+        attempt = Attempt(
+            number, server, home, self._now, self._stall.stalled_total_us, self._answers, verdict
+        )
         request.attempts.append(attempt)
         server.in_flight += 1
         server.young += 1
@@ -1051,9 +1073,9 @@
             return
         attempt.pending = False
         if event.outcome is Outcome.DELIVERED:
-            self._strain.answered(self._now, attempt.verdict)
+            self._strain.complete_check(self._now, attempt.verdict)
         elif event.outcome is not Outcome.TIMED_OUT:
-            attempt.verdict.open = False
+            attempt.verdict.pending = False
         attempt.may_have_run = event.outcome not in self._proves_unrun
         if request.queue is not None and event.outcome in _MAY_RUN_ON:
             request.queue.rests_until = self._now + self._settings.rules.ordering_pause_us
@@ -1064,13 +1086,13 @@
             self._connection_idle(attempt.server)
         self._judge(request, attempt, event.outcome)
         if event.report and event.report.get("util", UTIL_MOST) < UTIL_MOST:
-            self._strain.reported(min(max(event.report["util"], 0.0), 1.0))
+            self._strain.add_cpu_report(min(max(event.report["util"], 0.0), 1.0))
         if event.outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED):
             if not (attempt.felt or request.answered or event.answered):
                 self._too_late.add(self._now, 1.0)
             until = self._now + int(GHOST_LIFE * event.elapsed_us)
             attempt.server.ghosts.append(until)
-            if event.elapsed_us > self._usual(request) * attempt.server.pace and not self._stall.behind:
+            if event.elapsed_us > self._usual(request) * attempt.server.pace and not self._stall.catching_up:
                 self._pace(attempt.server, request, event.elapsed_us)
         if event.outcome is Outcome.ERROR:
             # A quick error must not look like a quick server: it counts as the slowest answer there is.
@@ -1078,10 +1100,10 @@
         if event.outcome is Outcome.DELIVERED:
             self._served_aims.add(self._now, request.kind.latency_objective_us)
             if event.elapsed_us <= request.kind.latency_objective_us:
-                self._borne.served(self._now, request.kind.latency_objective_us)
-        if event.outcome is Outcome.DELIVERED and not self._stall.behind:
+                self._borne.note_timely_response(self._now, request.kind.latency_objective_us)
+        if event.outcome is Outcome.DELIVERED and not self._stall.catching_up:
             if attempt.held is not None:
-                expected = self._by_held.at(attempt.held)
+                expected = self._by_held.predict(attempt.held)
                 most = LOST_SPENT if expected is None else max(FIT_CLIP * expected, FIT_FLOOR)
                 self._by_held.add(
                     attempt.held, min(event.elapsed_us / request.kind.latency_objective_us, most)
@@ -1155,11 +1177,13 @@
         """
         server = attempt.server
         silent, others = server.last_answer_at <= attempt.sent_at, self._answers - attempt.answers_before
-        if self._stall.behind:
+        if self._stall.catching_up:
             # Its answer may be among what came meanwhile.
-            self._schedule(self._stall.caught_up_at + self._settings.tick_us, request.ident, attempt.index)
+            self._schedule(
+                self._stall.catching_up_until + self._settings.tick_us, request.ident, attempt.index
+            )
             return
-        waited = self._now - attempt.sent_at - (self._stall.absent_us - attempt.absent_before)
+        waited = self._now - attempt.sent_at - (self._stall.stalled_total_us - attempt.absent_before)
         if waited < request.kind.latency_objective_us:
             self._schedule(
                 self._now + request.kind.latency_objective_us - waited, request.ident, attempt.index
@@ -1169,8 +1193,8 @@
         if waited >= request.kind.latency_objective_us and not attempt.felt and server.ejected_until is None:
             # Late already, though no answer says so yet: waiting for one would see a surge too late.
             attempt.felt = True
-            if self._strain.cores is not None and silent:
-                self._strain.reported(1.0)  # no answer, no report: reports alone flatter
+            if self._strain.cpu_utilization is not None and silent:
+                self._strain.add_cpu_report(1.0)  # no answer, no report: reports alone flatter
             self._feel(LOST_SPENT)
         enough = max(
             SILENCE * self._patience(request, server), SILENT_AIMS * request.kind.latency_objective_us
@@ -1210,7 +1234,11 @@
         elif outcome in (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CONNECT_FAILED, Outcome.ERROR):
             if outcome is Outcome.TIMED_OUT and server.last_answer_at > attempt.sent_at:
                 return  # it is slow, not sick: it answered others meanwhile
-            if outcome in (Outcome.TIMED_OUT, Outcome.CONNECT_FAILED) and self._stall.behind and not trial:
+            if (
+                outcome in (Outcome.TIMED_OUT, Outcome.CONNECT_FAILED)
+                and self._stall.catching_up
+                and not trial
+            ):
                 return  # this balancer was slow
             server.strikes += 1
             server.erred += outcome is Outcome.ERROR
@@ -1367,7 +1395,7 @@
             server = self._numbered.get(what)
             return server is None or due != server.close_due or not server.idle
         if what in (_ASK, _BEAT):
-            return due != (self._ask_due if what == _ASK else self._stall.beat_due)
+            return due != (self._ask_due if what == _ASK else self._stall.heartbeat_due_at)
         request = self._requests.get(what)
         if request is None or request.answered:
             return True
--- a/topazbank/cluster/service.py
+++ b/topazbank/cluster/service.py
@@ -173,7 +173,7 @@
             self._note(each)
         before = self.view.cut_off
         if self.view.look(now):
-            self._others.most = max(self.view.at_most(now, self._told), 1)
+            self._others.upper_bound = max(self.view.at_most(now, self._told), 1)
         if before is not self.view.cut_off:
             here = f"{self.view.here()} here of {self.detector.base(now)}"
             self._log(f"tier: {'cut off' if self.view.cut_off else 'in touch'}, {here}")
@@ -202,7 +202,7 @@
         )
         number = self._numbers.get(change.ident)
         if number is not None and change.new in (MemberState.GONE, MemberState.LEFT):
-            self._others.gone(number)
+            self._others.notify_departed(number)
 
     def _log(self, text: str) -> None:
         self._turn_second()
@@ -281,7 +281,7 @@
             "number": self.view.number,
             "sure": round(self.view.sure(now), 3),
             "at_most": self.view.at_most(now, self._told),
-            "goes_by": self._others.most,
+            "goes_by": self._others.upper_bound,
             "taken": self.detector.taken_by is not None,
             "troubles": self.detector.health.score,
             "stalls": self.detector.stalls,
--- a/topazbank/core/bounds.py
+++ b/topazbank/core/bounds.py
@@ -17,8 +17,8 @@
 from topazbank.balancing.settings import Settings
 from topazbank.cluster.rules import HELPERS, SUSPECTS_PROBED, TOMB_EVERY, Rules
 from topazbank.estimation import poll_schedule
-from topazbank.estimation.load_gossip import EVERY_LEAST_US, SENDERS_MOST
-from topazbank.estimation.startup_probes import ASKED, can_tell
+from topazbank.estimation.load_gossip import SEND_INTERVAL_MIN_US, SENDERS_MAX
+from topazbank.estimation.startup_probes import PROBES_MAX, supports_startup_probes
 
 CHANCE = 4.0  # standard deviations allowed to what comes by chance
 PEAK_SPAN_S = 60.0
@@ -58,7 +58,7 @@
     than half of the sidecar's sockets (`core.nodes.Slots`).
     """
     reach = min(REACH + REACH_PER_BUSY * fleet.peak, float(fleet.servers))
-    return max(reach, float(ASKED) if can_tell(fleet.settings) else 0.0) + fleet.peak
+    return max(reach, float(PROBES_MAX) if supports_startup_probes(fleet.settings) else 0.0) + fleet.peak
 
 
 def list_calls_a_second(fleet: Fleet, outage: bool) -> float:
@@ -69,8 +69,8 @@
     if outage:
         return fleet.sidecars / (0.5 * again_most_s(fleet))
     return fleet.sidecars / max(
-        (1.0 - poll_schedule.WATCH_CHANCE) * poll_schedule.watch_s(fleet.sidecars),
-        poll_schedule.WATCH_LEAST_S,
+        (1.0 - poll_schedule.WATCH_JITTER_RATIO) * poll_schedule.watch_timeout_s(fleet.sidecars),
+        poll_schedule.WATCH_TIMEOUT_MIN_S,
     )
 
 
@@ -81,7 +81,7 @@
     goes to every watch, and so each news costs a call of each sidecar.
     """
     spread_s = max(
-        poll_schedule.first_call_spread(fleet.sidecars, fleet.settings.rules.poll_within_us) / 1e6, 1.0
+        poll_schedule.first_poll_spread_us(fleet.sidecars, fleet.settings.rules.poll_within_us) / 1e6, 1.0
     )
     starting = 2.0 * fleet.sidecars / spread_s
     news = float(fleet.sidecars) if outage else 0.0
@@ -91,7 +91,7 @@
 
 def again_most_s(fleet: Fleet) -> float:
     """The longest wait between calls to a registry that fails, seconds."""
-    return poll_schedule.retry_gap_most(fleet.sidecars, fleet.settings.rules.poll_within_us) / 1e6
+    return poll_schedule.retry_interval_max_us(fleet.sidecars, fleet.settings.rules.poll_within_us) / 1e6
 
 
 def bounds(fleet: Fleet, seconds: float, starts: int = 0, outage: bool = False) -> dict[str, float]:
@@ -100,16 +100,16 @@
     some = CHANCE * math.sqrt(max(tries, 1.0))  # more tries than the mean, by chance
     attempts = (tries + some) * (1.0 + EXTRA_PER_REQUEST) + starts * n * EXTRA_PER_REQUEST * EXTRA_SAVED / 2
     each = connections_each(fleet)
-    probes = (1 + starts) * n * ASKED if can_tell(fleet.settings) else 0.0
+    probes = (1 + starts) * n * PROBES_MAX if supports_startup_probes(fleet.settings) else 0.0
     waits = list_calls_a_second(fleet, False) * seconds + 2.0 * n * (1 + starts)
     failing = 0.0
     if outage:
-        doublings = math.log2(1.0 / poll_schedule.FIRST_GAP) + 1.0
+        doublings = math.log2(1.0 / poll_schedule.BACKOFF_INITIAL_RATIO) + 1.0
         failing = n * (1.0 + doublings) + list_calls_a_second(fleet, True) * seconds
     listeners = n - 1
     told = 0.0
-    if fleet.settings.limits.gossip and 0 < listeners < SENDERS_MOST:
-        told = n * seconds * 1e6 / EVERY_LEAST_US
+    if fleet.settings.limits.gossip and 0 < listeners < SENDERS_MAX:
+        told = n * seconds * 1e6 / SEND_INTERVAL_MIN_US
     return {
         "sends": attempts,
         "accepted": attempts + probes,
--- a/topazbank/core/gossip_transport.py
+++ b/topazbank/core/gossip_transport.py
@@ -10,7 +10,7 @@
 from typing import cast
 
 from topazbank.core.net import Address
-from topazbank.estimation.load_gossip import MESSAGE_MOST, VERSION
+from topazbank.estimation.load_gossip import MESSAGE_BYTES_MAX, MESSAGE_VERSION
 
 log = logging.getLogger(__name__)
 
@@ -89,7 +89,7 @@
 
     def tell(self, receiver: int | None, payload: bytes) -> None:
         """Send to the sidecar of this number, or to all others (None)."""
-        if self._transport is None or len(payload) > MESSAGE_MOST:
+        if self._transport is None or len(payload) > MESSAGE_BYTES_MAX:
             return
         addresses: tuple[Address, ...]
         if receiver is not None:
@@ -114,11 +114,11 @@
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        if self._member is not None and data[:1] != bytes([VERSION]):
+        if self._member is not None and data[:1] != bytes([MESSAGE_VERSION]):
             self._member(data, (addr[0], addr[1]))
             return
         number = self._numbers.get((addr[0], addr[1]))
-        if number is not None and len(data) <= MESSAGE_MOST:  # what strangers send is not heard
+        if number is not None and len(data) <= MESSAGE_BYTES_MAX:  # what strangers send is not heard
             self._heard(number, data)
 
     def error_received(self, exc: Exception) -> None:
--- a/topazbank/discovery/registry.py
+++ b/topazbank/discovery/registry.py
@@ -150,7 +150,7 @@
         loop = asyncio.get_running_loop()
         while True:
             began, version = loop.time(), self._version
-            wait_s = poll_schedule.watch_wait_s(self._others.most, self._random.random())
+            wait_s = poll_schedule.jittered_watch_timeout_s(self._others.upper_bound, self._random.random())
             target = f"{_PATH}?after={version}&wait_ms={int(wait_s * 1000)}"
             answer = await self._ask(target, wait_s + _LATE_S)
             if answer.told is None:
--- a/topazbank/estimation/__init__.py
+++ b/topazbank/estimation/__init__.py
@@ -1,1 +1,1 @@
-"""What a sidecar can tell of a fleet that it sees a sliver of: inputs of the decision module, without I/O."""
+"""Estimates of the fleet's load from what one sidecar observes: inputs of the decision module, without I/O."""
--- a/topazbank/estimation/decaying_sum.py
+++ b/topazbank/estimation/decaying_sum.py
@@ -1,15 +1,18 @@
-"""Sums that fade: what was seen lately counts more than what was seen long ago."""
+"""Exponentially decaying sums: a linear fit over recent observations and a rate over a sliding window.
+
+No I/O.  Times are in microseconds.  Memory is constant, whatever the number of observations.
+"""
 
 from __future__ import annotations
 
 import math
 
-FIT_STEP = 0.03  # a line is fitted over the last thirty observations or so
-FIT_LEAST = 5.0  # fewer say nothing
+FIT_DECAY_RATIO = 0.03  # weight lost with each observation: the fit covers about the last thirty
+FIT_SAMPLES_MIN = 5.0  # decayed count below which the fit gives no value
 
 
-class Fit:
-    """A straight line through fading observations."""
+class DecayingLinearFit:
+    """A least-squares line through exponentially decaying observations (x, y)."""
 
     __slots__ = ("_n", "_x", "_xx", "_xy", "_y")
 
@@ -17,51 +20,57 @@
         self._n = self._x = self._y = self._xx = self._xy = 0.0
 
     def add(self, x: float, y: float) -> None:
-        keep = 1.0 - FIT_STEP
+        """Add one observation; earlier ones lose `FIT_DECAY_RATIO` of their weight."""
+        keep = 1.0 - FIT_DECAY_RATIO
         self._n = keep * self._n + 1.0
         self._x = keep * self._x + x
         self._y = keep * self._y + y
         self._xx = keep * self._xx + x * x
         self._xy = keep * self._xy + x * y
 
-    def rate(self, time: float) -> float | None:
-        """What is held over the time it takes (Little's law)."""
-        return self._x / (self._y * time) if self._n >= FIT_LEAST and self._y > 0.0 else None
+    def throughput(self, time: float) -> float | None:
+        """Return completions per unit of time by Little's law: mean x (in flight) over mean y (in units of `time`).
+
+        None: too few observations, or no positive y.
+        """
+        return self._x / (self._y * time) if self._n >= FIT_SAMPLES_MIN and self._y > 0.0 else None
 
-    def at(self, x: float) -> float | None:
-        """The value expected at x; it never falls as x grows."""
-        if self._n < FIT_LEAST:
+    def predict(self, x: float) -> float | None:
+        """Return the y expected at x, which never falls as x grows; None: too few observations."""
+        if self._n < FIT_SAMPLES_MIN:
             return None
         mean_x, mean_y = self._x / self._n, self._y / self._n
-        spread = self._xx / self._n - mean_x * mean_x
-        slope = max(self._xy / self._n - mean_x * mean_y, 0.0) / (spread + 1.0)
+        variance = self._xx / self._n - mean_x * mean_x
+        slope = max(self._xy / self._n - mean_x * mean_y, 0.0) / (variance + 1.0)
         return mean_y + slope * (x - mean_x)
 
 
-class Rate:
-    """A rate over a sliding span of time: an exponentially fading count."""
+class DecayingRate:
+    """An amount per microsecond over a sliding window: a sum that decays e-fold in each window."""
 
-    __slots__ = ("_at", "_count", "_span_us")
+    __slots__ = ("_sum", "_updated_at", "_window_us")
 
-    def __init__(self, span_us: float) -> None:
-        self._span_us = span_us
-        self._count = 0.0
-        self._at = 0
+    def __init__(self, window_us: float) -> None:
+        self._window_us = window_us
+        self._sum = 0.0
+        self._updated_at = 0
 
-    def over(self, span_us: float) -> None:
-        """Average over another span from now on."""
-        self._count *= span_us / self._span_us
-        self._span_us = span_us
+    def set_window_us(self, window_us: float) -> None:
+        """Average over another window from now on; the rate at this moment stays the same."""
+        self._sum *= window_us / self._window_us
+        self._window_us = window_us
 
     def add(self, now: int, amount: float) -> None:
-        self._fade(now)
-        self._count += amount
+        """Add an amount at time `now`."""
+        self._decay(now)
+        self._sum += amount
 
     def per_us(self, now: int) -> float:
-        self._fade(now)
-        return self._count / self._span_us
-
-    def _fade(self, now: int) -> None:
-        if now > self._at:
-            self._count *= math.exp((self._at - now) / self._span_us)
-            self._at = now
+        """Return the amount per microsecond as of `now`."""
+        self._decay(now)
+        return self._sum / self._window_us
+
+    def _decay(self, now: int) -> None:
+        if now > self._updated_at:
+            self._sum *= math.exp((self._updated_at - now) / self._window_us)
+            self._updated_at = now
--- a/topazbank/estimation/fleet_size.py
+++ b/topazbank/estimation/fleet_size.py
@@ -1,7 +1,8 @@
-"""How many sidecars share what this one can't see: as the settings tell, or as its tier is seen; no I/O.
+"""The number of sidecars in the cluster, as this process may safely assume it; no I/O.
 
-Whoever divides something among all takes `most`: never fewer than may be here.  Without membership among the sidecars
-it is what the settings say, as of the start.
+Promise: `upper_bound` is never below the number of sidecars that may be running, so that a quota divided by it is
+never exceeded by all of them together.  Without a membership protocol it is the number in the settings at the start;
+this assumes that those settings are right.
 """
 
 from __future__ import annotations
@@ -10,20 +11,20 @@
 
 
 class FleetSize:
-    """The size of the tier as it is safe to go by, and word of who is gone."""
+    """The assumed size of the cluster, and notifications of sidecars that left it."""
 
-    __slots__ = ("_forget", "most")
+    __slots__ = ("_departure_listeners", "upper_bound")
 
-    def __init__(self, told: int) -> None:
-        """`told`: by the settings, this one included."""
-        self.most = max(told, 1)
-        self._forget: list[Callable[[int], None]] = []  # one for each part that keeps something by sender
+    def __init__(self, configured_size: int) -> None:
+        """`configured_size`: sidecars by the settings, this one included."""
+        self.upper_bound = max(configured_size, 1)
+        self._departure_listeners: list[Callable[[int], None]] = []
 
-    def when_gone(self, forget: Callable[[int], None]) -> None:
-        """Call this with the number of each that is not here any more."""
-        self._forget.append(forget)
+    def on_departure(self, listener: Callable[[int], None]) -> None:
+        """Call `listener` with the peer number of each sidecar that leaves the cluster."""
+        self._departure_listeners.append(listener)
 
-    def gone(self, number: int) -> None:
-        """The sidecar of this number in `peers` is not here any more."""
-        for each in self._forget:
-            each(number)
+    def notify_departed(self, peer_number: int) -> None:
+        """Tell all listeners that the sidecar of this number in `peers` has left the cluster."""
+        for listener in self._departure_listeners:
+            listener(peer_number)
--- a/topazbank/estimation/load_gossip.py
+++ b/topazbank/estimation/load_gossip.py
@@ -1,12 +1,13 @@
-"""What sidecars tell one another: how many requests each has in flight at each server.
+"""Gossip among sidecars: how many requests each has in flight at each server.
 
-A sidecar of many sees a sliver of what a server holds: nearly all its own counters are zero.  Where the settings let
-sidecars send each other short messages, each tells all others its counts now and then, and adds up theirs.  A message
-is a whole picture, so a lost one is made good by the next; what is old is forgotten.  No I/O; times in microseconds.
+One sidecar of many sees a small part of a server's load: nearly all of its own counters are zero.  Where the settings
+allow messages among sidecars, each sends its counts to all others at intervals and sums what it receives.  Every
+message is a full snapshot, so the next one makes up for a lost one; a snapshot expires after `SNAPSHOT_TTL_US`.  No
+I/O; times in microseconds.
 
-A message: the version (one byte, 1), then for each server with something in flight its tag (two bytes, little-endian)
-and the count (one byte).  The tag is of the server's name, so that lists need not agree on an order; two servers that
-share a tag share their counts, which is noise and no more.
+Wire format: the version (one byte), then for each server with requests in flight its tag (two bytes, little-endian)
+and the count (one byte).  The tag is a hash of the server's name, so that endpoint lists need not agree on an order.
+Servers whose tags collide share their counts, which only makes the estimate less accurate.
 """
 
 from __future__ import annotations
@@ -17,119 +18,128 @@
 
 from topazbank.estimation.fleet_size import FleetSize
 
-VERSION = 1
-MESSAGE_MOST = 256  # bytes, by the platform
+MESSAGE_VERSION = 1
+MESSAGE_BYTES_MAX = 256  # by the platform
 ENTRY = struct.Struct("<HB")
-ENTRIES_MOST = (MESSAGE_MOST - 1) // ENTRY.size  # the largest counts go first
-COUNT_MOST = 255
-SPEND = 0.006  # points of service that messages may cost, for all first tries together
-EVERY_LEAST_US = 100_000  # between two messages: below that they tell what the network's delay makes old
-LIFE_US = 1_000_000  # after which a picture is forgotten
-SAVED_MOST = 2.0  # messages whose cost may be saved up
-SENDERS_MOST = 256  # pictures kept: in a larger tier messages are too dear to tell anything in time
+ENTRIES_MAX = (MESSAGE_BYTES_MAX - 1) // ENTRY.size  # the largest counts go first
+COUNT_MAX = 255
+SPEND_POINTS_MAX = 0.006  # service points that messages may cost, for all first attempts together
+SEND_INTERVAL_MIN_US = 100_000  # more often the network's delay outdates what is sent
+SNAPSHOT_TTL_US = 1_000_000
+SAVED_MESSAGES_MAX = 2.0  # full messages to all peers whose cost may be saved up
+SENDERS_MAX = 256  # in a larger cluster messages are too expensive to be sent in time
 
 
-def tag_of(name: str) -> int:
-    """The tag of a server's name: 16 bits."""
+def server_tag(name: str) -> int:
+    """Return the 16-bit tag of a server's name."""
     return zlib.crc32(name.encode()) & 0xFFFF
 
 
-class Hearsay:
-    """The counts of other sidecars, and when to tell them the own ones."""
+class LoadGossip:
+    """The counts received from other sidecars, and when to send this one's."""
 
     __slots__ = (
-        "_bytes_a_request",
-        "_credit",
-        "_heard",
-        "_others",
-        "_told_at",
-        "_told_something",
-        "_total",
+        "_bytes_per_request",
+        "_credit_bytes",
+        "_fleet_size",
+        "_last_sent_at",
+        "_sent_counts",
+        "_snapshots",
+        "_totals",
     )
 
-    def __init__(self, price: float, others: FleetSize) -> None:
-        """`price`: points of service that a full message costs for each first try."""
-        self._others = others
-        others.when_gone(self._drop)
-        # What may be delivered for each first try.  Free messages are as dear as one that costs a point.
-        self._bytes_a_request = SPEND * MESSAGE_MOST / max(price, SPEND / 4.0)
-        self._credit = 0.0  # bytes that may be delivered now
-        self._told_at = 0
-        self._told_something = False
-        self._heard: dict[
-            int, tuple[int, dict[int, int]]
-        ] = {}  # by sender: when, and its counts; SENDERS_MOST
-        self._total: dict[int, int] = {}  # over all of them
+    def __init__(self, price: float, fleet_size: FleetSize) -> None:
+        """`price`: service points that a full message costs for each first attempt."""
+        self._fleet_size = fleet_size
+        fleet_size.on_departure(self._drop)
+        # Bytes earned by each first attempt.  Messages that are (nearly) free are still limited.
+        self._bytes_per_request = SPEND_POINTS_MAX * MESSAGE_BYTES_MAX / max(price, SPEND_POINTS_MAX / 4.0)
+        self._credit_bytes = 0.0  # over all receivers
+        self._last_sent_at = 0
+        self._sent_counts = False  # whether the last message had any entry
+        self._snapshots: dict[int, tuple[int, dict[int, int]]] = {}  # by sender: time received, counts by tag
+        self._totals: dict[int, int] = {}  # by tag, over all snapshots
 
     @property
-    def _listeners(self) -> int:
-        return self._others.most - 1
+    def _receivers(self) -> int:
+        return self._fleet_size.upper_bound - 1
 
-    def arrived(self) -> None:
-        """Note a first try: it pays for messages."""
-        most = SAVED_MOST * MESSAGE_MOST * self._listeners
-        self._credit = min(self._credit + self._bytes_a_request, most)
+    def note_request(self) -> None:
+        """Count a first attempt: it earns the bytes that messages spend."""
+        credit_max = SAVED_MESSAGES_MAX * MESSAGE_BYTES_MAX * self._receivers
+        self._credit_bytes = min(self._credit_bytes + self._bytes_per_request, credit_max)
 
-    def due(self, now: int) -> bool:
-        """Whether a message might be sent now."""
+    def is_due(self, now: int) -> bool:
+        """Return whether a message may be sent now, if its cost is covered."""
         return (
-            now - self._told_at >= EVERY_LEAST_US
-            and 0 < self._listeners < SENDERS_MOST
-            and self._credit > 0.0
+            now - self._last_sent_at >= SEND_INTERVAL_MIN_US
+            and 0 < self._receivers < SENDERS_MAX
+            and self._credit_bytes > 0.0
         )
 
-    def tell(self, now: int, counts: Iterable[tuple[int, int]]) -> bytes | None:
-        """The message with these counts by tag, if it is worth its price now; None: not yet."""
-        entries = [(tag, min(count, COUNT_MOST)) for tag, count in counts if count > 0]
-        if len(entries) > ENTRIES_MOST:
-            entries = sorted(entries, key=lambda each: -each[1])[:ENTRIES_MOST]
-        if not entries and not self._told_something:
-            return None  # who had nothing and has nothing says nothing
-        cost = (1 + len(entries) * ENTRY.size) * self._listeners
-        if self._credit < cost:
+    def build_message(self, now: int, counts: Iterable[tuple[int, int]]) -> bytes | None:
+        """Return a message with these (tag, requests in flight) and spend its cost; None: not to be sent now.
+
+        A message without entries is sent once, to withdraw the counts sent before.
+        """
+        entries = [(tag, min(count, COUNT_MAX)) for tag, count in counts if count > 0]
+        if len(entries) > ENTRIES_MAX:
+            entries = sorted(entries, key=lambda entry: -entry[1])[:ENTRIES_MAX]
+        if not entries and not self._sent_counts:
+            return None
+        cost_bytes = (1 + len(entries) * ENTRY.size) * self._receivers
+        if self._credit_bytes < cost_bytes:
             return None
-        self._credit -= cost
-        self._told_at = now
-        self._told_something = bool(entries)
-        return bytes([VERSION]) + b"".join(ENTRY.pack(*each) for each in entries)
-
-    def hear(self, now: int, sender: int, payload: bytes) -> bool:
-        """Take another's message; False, and nothing changes, where it can't be read."""
-        if (
-            not payload
-            or payload[0] != VERSION
-            or (len(payload) - 1) % ENTRY.size
-            or len(payload) > MESSAGE_MOST
-        ):
+        self._credit_bytes -= cost_bytes
+        self._last_sent_at = now
+        self._sent_counts = bool(entries)
+        return bytes([MESSAGE_VERSION]) + b"".join(ENTRY.pack(*entry) for entry in entries)
+
+    def receive(self, now: int, sender: int, payload: bytes) -> bool:
+        """Replace the sender's snapshot; return False, with nothing changed, where the payload is not accepted."""
+        if not _is_well_formed(payload):
             return False
-        if sender not in self._heard and len(self._heard) >= SENDERS_MOST:
+        if sender not in self._snapshots and len(self._snapshots) >= SENDERS_MAX:
             return False
         self._drop(sender)
         counts: dict[int, int] = {}
         for tag, count in ENTRY.iter_unpack(payload[1:]):
             counts[tag] = counts.get(tag, 0) + count
-            self._total[tag] = self._total.get(tag, 0) + count
-        self._heard[sender] = (now, counts)
+            self._totals[tag] = self._totals.get(tag, 0) + count
+        self._snapshots[sender] = (now, counts)
         return True
 
-    def forget_old(self, now: int) -> None:
-        """Forget the pictures that are older than their life."""
-        for sender in [each for each, (at, _) in self._heard.items() if now - at > LIFE_US]:
+    def expire(self, now: int) -> None:
+        """Drop the snapshots that are older than `SNAPSHOT_TTL_US`."""
+        expired = [
+            sender
+            for sender, (received_at, _) in self._snapshots.items()
+            if now - received_at > SNAPSHOT_TTL_US
+        ]
+        for sender in expired:
             self._drop(sender)
 
-    def held(self, tag: int) -> int:
-        """Requests that others have in flight at the server of this tag, as far as is known."""
-        return self._total.get(tag, 0)
+    def requests_at(self, tag: int) -> int:
+        """Return the requests that other sidecars have in flight at the server of this tag, as far as is known."""
+        return self._totals.get(tag, 0)
 
-    def senders(self) -> int:
-        """How many others are heard."""
-        return len(self._heard)
+    def sender_count(self) -> int:
+        """Return how many other sidecars have a snapshot here."""
+        return len(self._snapshots)
 
     def _drop(self, sender: int) -> None:
-        _, counts = self._heard.pop(sender, (0, {}))
+        _, counts = self._snapshots.pop(sender, (0, {}))
         for tag, count in counts.items():
-            left = self._total[tag] - count
-            if left > 0:
-                self._total[tag] = left
+            remaining = self._totals[tag] - count
+            if remaining > 0:
+                self._totals[tag] = remaining
             else:
-                del self._total[tag]
+                del self._totals[tag]
+
+
+def _is_well_formed(payload: bytes) -> bool:
+    return (
+        0 < len(payload) <= MESSAGE_BYTES_MAX
+        and payload[0] == MESSAGE_VERSION
+        and (len(payload) - 1) % ENTRY.size == 0
+    )
--- a/topazbank/estimation/stall_detector.py
+++ b/topazbank/estimation/stall_detector.py
@@ -1,40 +1,54 @@
-"""Whether this sidecar itself stood still: what it finds on its return came at times that it cannot tell.
+"""Detection of pauses of this process itself (CPU starvation, a suspended machine); no I/O; times in microseconds.
 
-While anything is out a beat falls due; one that comes far too late tells of a stall. Nothing is learned until what
-came meanwhile is gone through: else a sidecar would take its own absence for slow servers, eject them and refuse what
-they could serve. Going through all that takes a while; as long as the stall is enough, and one with too little CPU
-stays so. No I/O; times in microseconds.
+Failure guarded against: after a pause, events that waited meanwhile are read late.  Without this module the sidecar
+would take its own pause for slow servers, eject them, and reject requests that they could serve.
+
+While attempts are in flight a heartbeat timer is due at regular intervals; one that fires more than an interval late
+shows a stall.  Observations made while `catching_up` are not to be learned from: that lasts as long as the stall did,
+plus one interval.  A process that permanently lacks CPU therefore stays in that state.
 """
 
 from __future__ import annotations
 
-BEAT_AIMS = 0.1  # of the shortest aim: how often a beat falls due
-STALL_BEATS = 1.0  # a beat later than this many beats tells of a stall
-
-
-class Stall:
-    """The stalls of one sidecar."""
-
-    __slots__ = ("_back_at", "absent_us", "back", "beat_due", "beat_us", "behind", "caught_up_at")
-
-    def __init__(self, shortest_aim_us: int, tick_us: int) -> None:
-        self.beat_us = max(int(BEAT_AIMS * shortest_aim_us), tick_us)
-        self.beat_due = 0  # when the next beat falls due; 0: none does
-        self._back_at = -1
-        self.back = False  # whether this moment is the first after a stall: others may come at it as well
-        self.behind = False  # whether what is heard now may have waited through one
-        self.caught_up_at = -1  # by when it has gone through what came meanwhile
-        self.absent_us = 0  # how long it has stalled, over all its stalls
-
-    def notice(self, now: int, by_timer: bool) -> None:
-        """Take an event; a beat is over by a timer alone: where events are many they come on time, and timers wait."""
-        late = now - self.beat_due
-        if self.beat_due and late > STALL_BEATS * self.beat_us:
-            self.absent_us += late
-            self._back_at = now
-            self.caught_up_at = now + late + self.beat_us
-            self.beat_due = 0
-        elif late >= 0 and by_timer:
-            self.beat_due = 0
-        self.back = now == self._back_at
-        self.behind = now <= self.caught_up_at
+HEARTBEAT_OBJECTIVE_RATIO = 0.1  # the heartbeat interval, as part of the shortest latency objective
+STALL_INTERVALS = 1.0  # a heartbeat later than this many intervals shows a stall
+
+
+class StallDetector:
+    """The stalls of one process."""
+
+    __slots__ = (
+        "_resumed_at",
+        "catching_up",
+        "catching_up_until",
+        "heartbeat_due_at",
+        "heartbeat_interval_us",
+        "just_resumed",
+        "stalled_total_us",
+    )
+
+    def __init__(self, shortest_objective_us: int, tick_us: int) -> None:
+        """`tick_us`: the resolution of timers; the interval is never below it."""
+        self.heartbeat_interval_us = max(int(HEARTBEAT_OBJECTIVE_RATIO * shortest_objective_us), tick_us)
+        self.heartbeat_due_at = 0  # 0: no heartbeat is due
+        self.just_resumed = False  # whether this event has the time of the first one after a stall
+        self.catching_up = False  # whether events of now may have waited through a stall
+        self.catching_up_until = -1
+        self.stalled_total_us = 0  # the sum over all stalls so far
+        self._resumed_at = -1
+
+    def observe(self, now: int, by_timer: bool) -> None:
+        """Take the time of an event; `by_timer`: whether a timer fired.
+
+        Only a timer ends a heartbeat that is in time: under load other events come on time while timers wait.
+        """
+        late_us = now - self.heartbeat_due_at
+        if self.heartbeat_due_at and late_us > STALL_INTERVALS * self.heartbeat_interval_us:
+            self.stalled_total_us += late_us
+            self._resumed_at = now
+            self.catching_up_until = now + late_us + self.heartbeat_interval_us
+            self.heartbeat_due_at = 0
+        elif late_us >= 0 and by_timer:
+            self.heartbeat_due_at = 0
+        self.just_resumed = now == self._resumed_at
+        self.catching_up = now <= self.catching_up_until
--- a/topazbank/estimation/startup_probes.py
+++ b/topazbank/estimation/startup_probes.py
@@ -1,9 +1,9 @@
-"""What a sidecar asks the servers when it has just begun and knows nothing of how they are.
+"""Health checks at a process's start that show whether it begins before a fleet that is full already.
 
-Of many sidecars most may begin at once: a release kills them and they come back within a second, to a fleet that the
-few that stayed have filled. Each lets in all that comes, since nothing says that it should not, until late answers
-do; by then the servers hold seconds of work. A few probes tell it at once. Where probes are dear they are spent on
-this alone: the budget is so many at a start, whatever comes after. No I/O; times in microseconds.
+Failure guarded against: a release restarts most sidecars within a second, while the few that stayed have filled the
+fleet.  Each new one admits everything until late answers show the overload; by then servers hold seconds of work.
+The load reports of a few health checks show it at once.  Where health checks are expensive they are spent on this
+alone: at most `PROBES_MAX` in the life of a process.  No I/O; times in microseconds.
 """
 
 from __future__ import annotations
@@ -13,81 +13,82 @@
 from topazbank.balancing.settings import ReportSource, Settings
 from topazbank.estimation.fleet_size import FleetSize
 
-ASKED = 6  # servers probed at a start: half of them may be gone
-CROWDED_PART = 0.5  # of those that have not failed, this part crowded tells of a fleet that is full
-ANSWERS_LEAST = 2  # fewer say nothing
-COLUMNS = {"inflight", "queue", "latency_ms"}  # of a report that tells
-ASKED_AIMS = 1.0  # after this many of the longest aim a sidecar has answers of its own
+PROBES_MAX = 6  # enough that half of the servers may be down
+OVERLOADED_RATIO = 0.5  # the fleet is full when this part of the servers that may be up is overloaded
+REPORTS_MIN = 2  # fewer usable reports give no estimate
+REQUIRED_COLUMNS = {"inflight", "queue", "latency_ms"}  # of a load report
+VALID_OBJECTIVES = 1.0  # after this many of the longest latency objective the sidecar has answers of its own
 
 
-def can_tell(settings: Settings) -> bool:
-    """Whether probes tell how full a server is, and there are others that may have filled it."""
-    probed = settings.limits.health_checks and settings.report_source is ReportSource.HEALTH_CHECKS
-    return probed and settings.fleet_size > 1 and COLUMNS <= set(settings.report_columns)
+def supports_startup_probes(settings: Settings) -> bool:
+    """Return whether health checks report a server's load, and there are other sidecars that may have filled it."""
+    reported = settings.limits.health_checks and settings.report_source is ReportSource.HEALTH_CHECKS
+    return reported and settings.fleet_size > 1 and REQUIRED_COLUMNS <= set(settings.report_columns)
 
 
-class Soundings:
-    """The probes of one start, and what they came to."""
+class StartupProbes:
+    """The health checks of one start, and the estimate that they give."""
 
-    def __init__(self, settings: Settings, others: FleetSize) -> None:
-        aims = [each.latency_objective_us for each in settings.classes]
-        self._aim_us = sum(aims) / len(aims)
-        self._longest_aim_us = max(aims)
-        self._others = others
-        self.asked = 0
-        self._asked_until = 0
-        self._taken = 0
-        self._crowded = 0
+    def __init__(self, settings: Settings, fleet_size: FleetSize) -> None:
+        objectives = [request_class.latency_objective_us for request_class in settings.classes]
+        self._mean_objective_us = sum(objectives) / len(objectives)
+        self._longest_objective_us = max(objectives)
+        self._fleet_size = fleet_size
+        self.probes_sent = 0
+        self._valid_until = 0
+        self._reports = 0
+        self._overloaded = 0
         self._failed = 0
-        self._held = 0.0
+        self._in_flight = 0.0  # the sum over all reports
 
-    def begin(self, now: int, ready: int) -> int:
-        """How many of so many servers to probe now; none after the first time."""
-        if self.asked:
+    def start(self, now: int, ready_servers: int) -> int:
+        """Return how many of the ready servers to check now; 0 after the first call."""
+        if self.probes_sent:
             return 0
-        self.asked = min(ASKED, ready)
-        self._asked_until = now + int(ASKED_AIMS * self._longest_aim_us)
-        return self.asked
+        self.probes_sent = min(PROBES_MAX, ready_servers)
+        self._valid_until = now + int(VALID_OBJECTIVES * self._longest_objective_us)
+        return self.probes_sent
 
-    def heard(self, report: Mapping[str, float] | None, bearable: float) -> None:
-        """A probe ended; `bearable`: the part of its aim that a request may take.  None: it failed."""
+    def add_result(self, report: Mapping[str, float] | None, acceptable_ratio: float) -> None:
+        """Take the load report of a health check that ended; None: it failed.
+
+        `acceptable_ratio`: the part of its latency objective that a request may take on a server that is not
+        overloaded.
+        """
         if report is None:
             self._failed += 1
             return
-        held, expected = report.get("inflight"), expected_us(report)
-        if held is None or expected is None:
+        in_flight, latency_us = report.get("inflight"), expected_latency_us(report)
+        if in_flight is None or latency_us is None:
             return
-        self._taken += 1
-        self._held += max(held, 0.0)
-        self._crowded += expected > bearable * self._aim_us
+        self._reports += 1
+        self._in_flight += max(in_flight, 0.0)
+        self._overloaded += latency_us > acceptable_ratio * self._mean_objective_us
 
-    def fair_share(self, now: int, ready: int) -> float | None:
-        """Requests in flight that are this sidecar's share of what the fleet holds, where that is full; else None.
+    def fair_share(self, now: int, ready_servers: int) -> float | None:
+        """Return this sidecar's share of the requests that a full fleet has in flight.
 
-        `ready`: servers that the list names.  As many of them are taken for gone as left their probes unanswered.
+        None: the fleet is not full, or that is not known (yet, or any more).  `ready_servers` are those of the
+        endpoint list; as large a part of them is taken for down as of the health checks failed.
         """
-        if now > self._asked_until or self._taken < ANSWERS_LEAST:
+        if now > self._valid_until or self._reports < REPORTS_MIN:
             return None
-        if self._crowded < CROWDED_PART * (self.asked - self._failed):
-            return None  # nor can it be told yet, while answers are awaited that may say otherwise
-        alive = ready * self._taken / (self._taken + self._failed)
-        return self._held / self._taken * alive / self._others.most
+        if self._overloaded < OVERLOADED_RATIO * (self.probes_sent - self._failed):
+            return None  # outstanding health checks count as servers that are not overloaded
+        alive = ready_servers * self._reports / (self._reports + self._failed)
+        return self._in_flight / self._reports * alive / self._fleet_size.upper_bound
 
 
-def expected_us(report: Mapping[str, float]) -> float | None:
-    """What a request would take at a server by its report: its wait and its service; None: the report can't tell.
+def expected_latency_us(report: Mapping[str, float]) -> float | None:
+    """Return what a new request would take at a server by its load report: queueing and service, microseconds.
 
-    What waits is worked off by as many as are in work, each in the service time of late.
+    The queue is assumed to be worked off by as many workers as are busy, each in the recent service time.  None: a
+    column is missing or negative.
     """
-    held, waiting, service_ms = (report.get(name) for name in ("inflight", "queue", "latency_ms"))
-    if (
-        held is None
-        or waiting is None
-        or service_ms is None
-        or held < 0.0
-        or waiting < 0.0
-        or service_ms < 0.0
-    ):
+    in_flight, queued, service_ms = (report.get(name) for name in ("inflight", "queue", "latency_ms"))
+    if in_flight is None or queued is None or service_ms is None:
+        return None
+    if in_flight < 0.0 or queued < 0.0 or service_ms < 0.0:
         return None
-    in_work = max(held - waiting, 1.0)
-    return 1000.0 * service_ms * (1.0 + waiting / in_work)
+    in_service = max(in_flight - queued, 1.0)
+    return 1000.0 * service_ms * (1.0 + queued / in_service)
