--- a/benchmarks/cluster_detectors.py
+++ b/benchmarks/cluster_detectors.py
@@ -24,7 +24,7 @@
 from testbed.cluster.virtual_time import Played
 from topazbank.cluster.failure_detector import FailureDetector
 from topazbank.cluster.rules import Rules
-from topazbank.core.bounds import tier_messages_a_second
+from topazbank.core.bounds import membership_datagrams_per_s
 
 PLAIN = Rules(lifeguard=False, vouching=False, doubting=False)
 LIFEGUARD = Rules(vouching=False)
@@ -129,9 +129,9 @@
             )
             rows.append(row)
             if way == "the program's":
-                over += row.messages > tier_messages_a_second(WAYS[way][1])
+                over += row.messages > membership_datagrams_per_s(WAYS[way][1])
     print(
-        f"by core.bounds: {tier_messages_a_second(Rules()):.1f} messages a member and second at most in calm"
+        f"by core.bounds: {membership_datagrams_per_s(Rules()):.1f} messages a member and second at most in calm"
     )
     for row in rows:
         if row.way == "plain SWIM":
--- a/testbed/fleet/synthetic_peers.py
+++ b/testbed/fleet/synthetic_peers.py
@@ -35,7 +35,7 @@
 from topazbank.balancing.balancer import Balancer
 from topazbank.balancing.events import EndpointsUpdated, Event
 from topazbank.balancing.settings import Settings
-from topazbank.core.bounds import Fleet, bounds
+from topazbank.core.bounds import Fleet, FleetBounds, fleet_bounds
 from topazbank.core.driver import Sidecar, SidecarConfig
 from topazbank.core.trace import Trace
 from topazbank.discovery.list_format import parse_list
@@ -317,6 +317,20 @@
         return over + [name for name in ("lost", "twice") if self.counts[name]]
 
 
+def count_limits(bounds: FleetBounds) -> dict[str, float]:
+    """Return the limits by the names of the counts that are held against them."""
+    return {
+        "sends": bounds.attempts,
+        "accepted": bounds.connections_accepted,
+        "held": bounds.connections_open,
+        "most open": bounds.connections_open_per_sidecar,
+        "probes": bounds.health_checks,
+        "list calls": bounds.endpoint_polls,
+        "list calls a second, most": bounds.endpoint_polls_per_s,
+        "tells": bounds.gossip_messages,
+    }
+
+
 class Rig:
     """All processes of one fleet."""
 
@@ -391,7 +405,8 @@
         )
         found["list calls a second, most"] = self.registry.busiest(since)
         fleet = Fleet(self.settings, self.sidecars, self.nodes, self.rate, ANSWER_S)
-        return Result(scene, took, found, bounds(fleet, took, starts, scene == "outage"))
+        allowed = count_limits(fleet_bounds(fleet, took, starts, scene == "outage"))
+        return Result(scene, took, found, allowed)
 
     async def _restart(self) -> None:
         """All end; two fifths of the nodes are replaced; all come back with the list of before."""
--- a/tests/cluster/test_virtual_time_scenarios.py
+++ b/tests/cluster/test_virtual_time_scenarios.py
@@ -9,7 +9,7 @@
 from testbed.cluster.scenarios import SCENES
 from testbed.cluster.virtual_time import Played
 from topazbank.cluster.rules import Rules
-from topazbank.core.bounds import tier_messages_a_second
+from topazbank.core.bounds import membership_datagrams_per_s
 
 
 @pytest.mark.parametrize("members", [5, 12])
@@ -47,7 +47,7 @@
     rig.run(1.0)
     rig.sent.clear()
     rig.run(4.0)
-    assert rig.sent["messages"] / members / 3.0 <= tier_messages_a_second(Rules())
+    assert rig.sent["messages"] / members / 3.0 <= membership_datagrams_per_s(Rules())
     assert rig.sent["longest"] <= Rules().datagram
 
 
@@ -57,5 +57,5 @@
     rig.faults.loss = 0.4
     rig.sent_by.clear()
     rig.run(13.0)
-    assert max(rig.sent_by.values()) / 10.0 <= tier_messages_a_second(Rules(), trouble=True)
+    assert max(rig.sent_by.values()) / 10.0 <= membership_datagrams_per_s(Rules(), fault=True)
     assert rig.sent["longest"] <= Rules().datagram
--- a/tests/fleet/test_synthetic_peers.py
+++ b/tests/fleet/test_synthetic_peers.py
@@ -7,7 +7,7 @@
 import pytest
 
 from testbed.fleet import synthetic_peers
-from topazbank.core.bounds import Fleet, bounds, connections_each, list_calls_a_second
+from topazbank.core.bounds import Fleet, connections_per_sidecar, endpoint_polls_per_s, fleet_bounds
 from topazbank.estimation.poll_schedule import WATCH_TIMEOUT_MAX_S, WATCH_TIMEOUT_MIN_S, watch_timeout_s
 from topazbank.platform_names import settings_from_wire
 
@@ -35,11 +35,15 @@
 
 def test_what_one_sidecar_holds_open_hardly_grows_with_the_fleet() -> None:
     """Among more sidecars one is further from the mean by chance."""
-    assert connections_each(fleet(40)) <= connections_each(fleet(5000)) <= connections_each(fleet(40)) + 2
+    assert (
+        connections_per_sidecar(fleet(40))
+        <= connections_per_sidecar(fleet(5000))
+        <= connections_per_sidecar(fleet(40)) + 2
+    )
 
 
 def test_list_calls_of_a_fleet_grow_far_less_than_it_does() -> None:
-    small, large = list_calls_a_second(fleet(40), False), list_calls_a_second(fleet(5000), False)
+    small, large = endpoint_polls_per_s(fleet(40), False), endpoint_polls_per_s(fleet(5000), False)
     assert large < 5000 / 40 * small / 5
 
 
@@ -49,8 +53,8 @@
         "bounds": {"mayTell": True},
     }
     settings = settings_from_wire(given)
-    assert bounds(Fleet(settings, 40, 60, 1.0, 0.05), 10.0)["tells"] > 0
-    assert bounds(Fleet(settings, 5000, 60, 1.0, 0.05), 10.0)["tells"] == 0
+    assert fleet_bounds(Fleet(settings, 40, 60, 1.0, 0.05), 10.0).gossip_messages > 0
+    assert fleet_bounds(Fleet(settings, 5000, 60, 1.0, 0.05), 10.0).gossip_messages == 0
 
 
 @pytest.mark.parametrize(
--- a/topazbank/core/bounds.py
+++ b/topazbank/core/bounds.py
@@ -1,6 +1,7 @@
-"""What a whole fleet of sidecars may open, probe, ask and tell, as formulas in its size; no I/O.
+"""Upper bounds on what a whole fleet of sidecars opens, sends and polls, as formulas in its size; no I/O.
 
-Each bound names its owner, the code that keeps it.  docs/design/size.md derives them.
+Each function names the owner of its bound: the code that enforces it.  docs/design/size.md derives the formulas.
+Assumption: each sidecar gets the same rate of requests, at random times.
 """
 
 from __future__ import annotations
@@ -20,116 +21,144 @@
 from topazbank.estimation.load_gossip import SEND_INTERVAL_MIN_US, SENDERS_MAX
 from topazbank.estimation.startup_probes import PROBES_MAX, supports_startup_probes
 
-CHANCE = 4.0  # standard deviations allowed to what comes by chance
+STANDARD_DEVIATIONS = 4.0  # allowed above the mean of a random count
 PEAK_SPAN_S = 60.0
-PEAK_MISSED = 0.001  # the peak is passed once in so many such spans
+PEAK_EXCEEDED_RATIO = 0.001  # of such spans: the share in which the peak is exceeded
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """The size of a fleet."""
+    """The size of a fleet and its load."""
 
     settings: Settings
     sidecars: int
     servers: int
-    rate: float  # first tries a second at each sidecar
-    answer_s: float  # what the typical answer takes
+    requests_per_s: float  # first attempts at each sidecar
+    response_time_s: float  # of the typical response
 
     @property
-    def in_flight(self) -> float:
-        """Own requests in flight at one sidecar, in the mean (Little's law)."""
-        return self.rate * self.answer_s
+    def mean_in_flight(self) -> float:
+        """Requests in flight at one sidecar, in the mean (Little's law)."""
+        return self.requests_per_s * self.response_time_s
 
     @property
-    def peak(self) -> float:
-        """And the most that is there by chance at any of them in a minute or so, at any moment of it."""
-        moments = self.sidecars * PEAK_SPAN_S / max(self.answer_s, 1e-3)
-        most, left, term = 0, 1.0, math.exp(-self.in_flight)
-        while moments * (left := left - term) > PEAK_MISSED and most < 1000:
-            most += 1
-            term *= self.in_flight / most
-        return float(max(most, 1))
+    def peak_in_flight(self) -> float:
+        """The most requests in flight at any one sidecar within `PEAK_SPAN_S`: a tail of the Poisson distribution."""
+        moments = self.sidecars * PEAK_SPAN_S / max(self.response_time_s, 1e-3)
+        peak, tail, term = 0, 1.0, math.exp(-self.mean_in_flight)
+        while moments * (tail := tail - term) > PEAK_EXCEEDED_RATIO and peak < 1000:
+            peak += 1
+            term *= self.mean_in_flight / peak
+        return float(max(peak, 1))
 
 
-def connections_each(fleet: Fleet) -> float:
-    """Open at one sidecar: one to each server within its reach, and one more for each request in flight.
+@dataclass(frozen=True, slots=True)
+class FleetBounds:
+    """The most of each count in a span of time, for all sidecars together unless its name says otherwise."""
+
+    attempts: float
+    connections_accepted: float
+    connections_open: float  # at any moment
+    connections_open_per_sidecar: float  # at any moment
+    health_checks: float
+    endpoint_polls: float
+    endpoint_polls_per_s: float  # in the busiest second
+    gossip_messages: float
+
+
+def connections_per_sidecar(fleet: Fleet) -> float:
+    """Return the connections open at one sidecar: to each server in its subset, and one for each request in flight.
 
-    Owner: `Balancer._reach`, over which idle connections end by `HttpCarrier` after the settings' idle time; never more
-    than half of the sidecar's sockets (`core.nodes.Slots`).
+    Owner: `Balancer._reach`, over which idle connections are closed after the settings' idle time; never more than
+    half of the sidecar's sockets (`core.endpoints`).
     """
-    reach = min(REACH + REACH_PER_BUSY * fleet.peak, float(fleet.servers))
-    return max(reach, float(PROBES_MAX) if supports_startup_probes(fleet.settings) else 0.0) + fleet.peak
+    subset = min(REACH + REACH_PER_BUSY * fleet.peak_in_flight, float(fleet.servers))
+    probed = float(PROBES_MAX) if supports_startup_probes(fleet.settings) else 0.0
+    return max(subset, probed) + fleet.peak_in_flight
 
 
-def list_calls_a_second(fleet: Fleet, outage: bool) -> float:
-    """At the busiest, in the mean of a second: watches that run out, or in an outage calls made again.
+def endpoint_polls_per_s(fleet: Fleet, outage: bool) -> float:
+    """Return the mean rate of polls: watches that time out, or in an outage of the registry polls that are retried.
 
-    Owners: `sight.poll_schedule`.
+    Owner: `estimation.poll_schedule`.
     """
     if outage:
-        return fleet.sidecars / (0.5 * again_most_s(fleet))
+        return fleet.sidecars / (0.5 * retry_interval_max_s(fleet))
     return fleet.sidecars / max(
         (1.0 - poll_schedule.WATCH_JITTER_RATIO) * poll_schedule.watch_timeout_s(fleet.sidecars),
         poll_schedule.WATCH_TIMEOUT_MIN_S,
     )
 
 
-def busiest_second(fleet: Fleet, outage: bool) -> float:
-    """List calls in the busiest second: all start at once, and each watches as soon as it has heard.
+def endpoint_polls_in_busiest_second(fleet: Fleet, outage: bool) -> float:
+    """Return the polls in the busiest second: all sidecars start at once, and each opens a watch after its first poll.
 
-    Owner: `Balancer.handle`, which spreads the first call over what is left of the time allowed without one.  News
-    goes to every watch, and so each news costs a call of each sidecar.
+    Owner: `estimation.poll_schedule.first_poll_spread_us`.  An update answers every watch, so each update costs one
+    poll of each sidecar.
     """
-    spread_s = max(
-        poll_schedule.first_poll_spread_us(fleet.sidecars, fleet.settings.rules.poll_within_us) / 1e6, 1.0
-    )
+    spread_us = poll_schedule.first_poll_spread_us(fleet.sidecars, fleet.settings.rules.poll_within_us)
+    spread_s = max(spread_us / 1e6, 1.0)
     starting = 2.0 * fleet.sidecars / spread_s
-    news = float(fleet.sidecars) if outage else 0.0
-    steady = list_calls_a_second(fleet, outage)
-    return news + steady + starting + CHANCE * math.sqrt(starting + steady)
+    update = float(fleet.sidecars) if outage else 0.0
+    steady = endpoint_polls_per_s(fleet, outage)
+    return update + steady + starting + STANDARD_DEVIATIONS * math.sqrt(starting + steady)
 
 
-def again_most_s(fleet: Fleet) -> float:
-    """The longest wait between calls to a registry that fails, seconds."""
+def retry_interval_max_s(fleet: Fleet) -> float:
+    """Return the longest time between two polls of a registry that fails, seconds."""
     return poll_schedule.retry_interval_max_us(fleet.sidecars, fleet.settings.rules.poll_within_us) / 1e6
 
 
-def bounds(fleet: Fleet, seconds: float, starts: int = 0, outage: bool = False) -> dict[str, float]:
-    """The most of each over this span, in which all sidecars start so many times; all sidecars together."""
-    n, tries = fleet.sidecars, fleet.sidecars * fleet.rate * seconds
-    some = CHANCE * math.sqrt(max(tries, 1.0))  # more tries than the mean, by chance
-    attempts = (tries + some) * (1.0 + EXTRA_PER_REQUEST) + starts * n * EXTRA_PER_REQUEST * EXTRA_SAVED / 2
-    each = connections_each(fleet)
-    probes = (1 + starts) * n * PROBES_MAX if supports_startup_probes(fleet.settings) else 0.0
-    waits = list_calls_a_second(fleet, False) * seconds + 2.0 * n * (1 + starts)
-    failing = 0.0
-    if outage:
-        doublings = math.log2(1.0 / poll_schedule.BACKOFF_INITIAL_RATIO) + 1.0
-        failing = n * (1.0 + doublings) + list_calls_a_second(fleet, True) * seconds
-    listeners = n - 1
-    told = 0.0
-    if fleet.settings.limits.gossip and 0 < listeners < SENDERS_MAX:
-        told = n * seconds * 1e6 / SEND_INTERVAL_MIN_US
-    return {
-        "sends": attempts,
-        "accepted": attempts + probes,
-        "held": n * each,
-        "most open": each,
-        "probes": probes,
-        "list calls": waits + failing,
-        "list calls a second, most": busiest_second(fleet, outage),
-        "tells": told,
-    }
-
-
-def tier_messages_a_second(rules: Rules, trouble: bool = False) -> float:
-    """Datagrams that one sidecar sends for membership, whatever the size of its tier; each of `rules.datagram` at most.
-
-    In calm a probe and an answer in each period, and now and then one to who is gone and one to a silent seed.
-    `trouble`: every probe fails, and so do others': helpers are asked and ask in turn, and suspects are probed again.
-    Owner: `tier.detector.Detector`; what mends views is bounded apart (`tier.rules.MEND_DATAGRAMS` a reply).
+def fleet_bounds(fleet: Fleet, seconds: float, starts: int = 0, outage: bool = False) -> FleetBounds:
+    """Return the bounds over a span in which all sidecars start `starts` times; `outage`: of the registry."""
+    attempts = _attempts(fleet, seconds, starts)
+    per_sidecar = connections_per_sidecar(fleet)
+    probed = supports_startup_probes(fleet.settings)
+    health_checks = (1 + starts) * fleet.sidecars * PROBES_MAX if probed else 0.0
+    return FleetBounds(
+        attempts=attempts,
+        connections_accepted=attempts + health_checks,
+        connections_open=fleet.sidecars * per_sidecar,
+        connections_open_per_sidecar=per_sidecar,
+        health_checks=health_checks,
+        endpoint_polls=_endpoint_polls(fleet, seconds, starts, outage),
+        endpoint_polls_per_s=endpoint_polls_in_busiest_second(fleet, outage),
+        gossip_messages=_gossip_messages(fleet, seconds),
+    )
+
+
+def _attempts(fleet: Fleet, seconds: float, starts: int) -> float:
+    """Return the attempts of all sidecars, retries included; a start grants each its initial retry allowance anew."""
+    requests = fleet.sidecars * fleet.requests_per_s * seconds
+    deviation = STANDARD_DEVIATIONS * math.sqrt(max(requests, 1.0))
+    at_starts = starts * fleet.sidecars * EXTRA_PER_REQUEST * EXTRA_SAVED / 2
+    return (requests + deviation) * (1.0 + EXTRA_PER_REQUEST) + at_starts
+
+
+def _endpoint_polls(fleet: Fleet, seconds: float, starts: int, outage: bool) -> float:
+    watches = endpoint_polls_per_s(fleet, False) * seconds + 2.0 * fleet.sidecars * (1 + starts)
+    if not outage:
+        return watches
+    doublings = math.log2(1.0 / poll_schedule.BACKOFF_INITIAL_RATIO) + 1.0
+    retries = fleet.sidecars * (1.0 + doublings) + endpoint_polls_per_s(fleet, True) * seconds
+    return watches + retries
+
+
+def _gossip_messages(fleet: Fleet, seconds: float) -> float:
+    if not fleet.settings.limits.gossip or not 0 < fleet.sidecars - 1 < SENDERS_MAX:
+        return 0.0
+    return fleet.sidecars * seconds * 1e6 / SEND_INTERVAL_MIN_US
+
+
+def membership_datagrams_per_s(rules: Rules, fault: bool = False) -> float:
+    """Return the datagrams that one sidecar sends for membership, whatever the size of its cluster.
+
+    Each has `rules.datagram` bytes at most.  Without a fault these are a probe and an answer in each period, and at
+    intervals one to a removed member and one to a silent seed.  `fault`: every probe fails, and so do those of others:
+    helpers are asked and ask in turn, and suspects are probed again.  Owner: `cluster.failure_detector`; datagrams
+    that reconcile views are bounded apart (`cluster.rules`, for each reply).
     """
-    each = 2.0 + 2.0 / TOMB_EVERY
-    if trouble:
-        each += 1.0 + 4.0 * HELPERS + 2.0 * SUSPECTS_PROBED
-    return each * 1e6 / rules.period_us
+    per_period = 2.0 + 2.0 / TOMB_EVERY
+    if fault:
+        per_period += 1.0 + 4.0 * HELPERS + 2.0 * SUSPECTS_PROBED
+    return per_period * 1e6 / rules.period_us
