--- a/tests/estimation/test_load_gossip.py
+++ b/tests/estimation/test_load_gossip.py
@@ -1,4 +1,4 @@
-"""What sidecars tell one another: messages lost, old, strange and dear."""
+"""Gossip of requests in flight: messages that are lost, old, malformed or expensive."""
 
 from __future__ import annotations
 
@@ -26,55 +26,55 @@
 PRICE = 0.01
 
 
-def _rich(size: int = 4) -> LoadGossip:
-    """One that may send a message now."""
-    made = LoadGossip(PRICE, FleetSize(size))
+def _with_credit(size: int = 4) -> LoadGossip:
+    """A sidecar that has earned enough to send a message now."""
+    gossip = LoadGossip(PRICE, FleetSize(size))
     for _ in range(1_000):
-        made.note_request()
-    return made
-
-
-def test_counts_of_all_others_add_up_and_a_new_picture_replaces_the_old_one() -> None:
-    hearsay = LoadGossip(PRICE, FleetSize(4))
-    first, second = _rich(), _rich()
-    one = first.build_message(S, [(7, 3), (9, 1), (11, 0)])
-    two = second.build_message(S, [(7, 2)])
-    assert one is not None and two is not None
-    assert hearsay.receive(S, 1, one) and hearsay.receive(S, 2, two)
-    assert (hearsay.requests_at(7), hearsay.requests_at(9), hearsay.requests_at(11)) == (5, 1, 0)
-    again = first.build_message(2 * S, [(9, 4)])
-    assert again is not None and hearsay.receive(2 * S, 1, again)
-    assert (hearsay.requests_at(7), hearsay.requests_at(9)) == (2, 4)
-
-
-def test_a_lost_message_is_made_good_by_the_next() -> None:
-    heard, missed = LoadGossip(PRICE, FleetSize(4)), LoadGossip(PRICE, FleetSize(4))
-    sender = _rich()
+        gossip.note_request()
+    return gossip
+
+
+def test_counts_of_all_senders_add_up_and_a_new_snapshot_replaces_the_old_one() -> None:
+    gossip = LoadGossip(PRICE, FleetSize(4))
+    first, second = _with_credit(), _with_credit()
+    first_message = first.build_message(S, [(7, 3), (9, 1), (11, 0)])
+    second_message = second.build_message(S, [(7, 2)])
+    assert first_message is not None and second_message is not None
+    assert gossip.receive(S, 1, first_message) and gossip.receive(S, 2, second_message)
+    assert (gossip.requests_at(7), gossip.requests_at(9), gossip.requests_at(11)) == (5, 1, 0)
+    next_message = first.build_message(2 * S, [(9, 4)])
+    assert next_message is not None and gossip.receive(2 * S, 1, next_message)
+    assert (gossip.requests_at(7), gossip.requests_at(9)) == (2, 4)
+
+
+def test_the_next_message_makes_up_for_a_lost_one() -> None:
+    complete, lossy = LoadGossip(PRICE, FleetSize(4)), LoadGossip(PRICE, FleetSize(4))
+    sender = _with_credit()
     for now, counts in ((1 * S, [(1, 1)]), (2 * S, [(2, 5)]), (3 * S, [(3, 2)])):
         message = sender.build_message(now, counts)
         assert message is not None
-        heard.receive(now, 1, message)
+        complete.receive(now, 1, message)
         if now != 2 * S:
-            missed.receive(now, 1, message)
+            lossy.receive(now, 1, message)
     assert (
-        [heard.requests_at(tag) for tag in (1, 2, 3)]
-        == [missed.requests_at(tag) for tag in (1, 2, 3)]
+        [complete.requests_at(tag) for tag in (1, 2, 3)]
+        == [lossy.requests_at(tag) for tag in (1, 2, 3)]
         == [0, 0, 2]
     )
 
 
-def test_what_a_dead_sidecar_said_is_forgotten() -> None:
-    hearsay, sender = LoadGossip(PRICE, FleetSize(4)), _rich()
+def test_the_snapshot_of_a_dead_sidecar_expires() -> None:
+    gossip, sender = LoadGossip(PRICE, FleetSize(4)), _with_credit()
     message = sender.build_message(S, [(7, 3)])
-    assert message is not None and hearsay.receive(S, 1, message)
-    hearsay.expire(S + SNAPSHOT_TTL_US)
-    assert hearsay.requests_at(7) == 3
-    hearsay.expire(S + SNAPSHOT_TTL_US + 1)
-    assert hearsay.requests_at(7) == 0 and hearsay.sender_count() == 0
+    assert message is not None and gossip.receive(S, 1, message)
+    gossip.expire(S + SNAPSHOT_TTL_US)
+    assert gossip.requests_at(7) == 3
+    gossip.expire(S + SNAPSHOT_TTL_US + 1)
+    assert gossip.requests_at(7) == 0 and gossip.sender_count() == 0
 
 
-def test_who_has_nothing_any_more_says_so_once() -> None:
-    sender = _rich()
+def test_an_idle_sidecar_withdraws_its_counts_once() -> None:
+    sender = _with_credit()
     assert sender.build_message(S, []) is None
     assert sender.build_message(S, [(7, 1)]) is not None
     assert sender.build_message(2 * S, []) == bytes([MESSAGE_VERSION])
@@ -82,62 +82,62 @@
 
 
 @pytest.mark.parametrize(
-    "junk",
+    "payload",
     [b"", b"\x02", b"\x01\x00", b"\x01\x00\x00\x01\x00", b"GET / HTTP/1.1\r\n", bytes([1]) + bytes(3 * 100)],
 )
-def test_what_cannot_be_read_changes_nothing(junk: bytes) -> None:
-    hearsay, sender = LoadGossip(PRICE, FleetSize(4)), _rich()
+def test_a_malformed_message_changes_nothing(payload: bytes) -> None:
+    gossip, sender = LoadGossip(PRICE, FleetSize(4)), _with_credit()
     message = sender.build_message(S, [(7, 3)])
-    assert message is not None and hearsay.receive(S, 1, message)
-    assert not hearsay.receive(2 * S, 1, junk)
-    assert hearsay.requests_at(7) == 3
+    assert message is not None and gossip.receive(S, 1, message)
+    assert not gossip.receive(2 * S, 1, payload)
+    assert gossip.requests_at(7) == 3
 
 
-def test_a_message_to_a_large_fleet_of_servers_keeps_its_bound_and_the_largest_counts() -> None:
-    sender = _rich()
+def test_a_message_about_many_servers_stays_within_its_size_and_has_the_largest_counts() -> None:
+    sender = _with_credit()
     message = sender.build_message(S, [(tag, 1 + tag % 300) for tag in range(1_000)])
     assert message is not None and len(message) <= MESSAGE_BYTES_MAX
-    hearsay = LoadGossip(PRICE, FleetSize(4))
-    assert hearsay.receive(S, 1, message)
-    assert hearsay.requests_at(299) == COUNT_MAX and hearsay.requests_at(0) == 0
-    assert sum(hearsay.requests_at(tag) > 0 for tag in range(1_000)) == ENTRIES_MAX
+    gossip = LoadGossip(PRICE, FleetSize(4))
+    assert gossip.receive(S, 1, message)
+    assert gossip.requests_at(299) == COUNT_MAX and gossip.requests_at(0) == 0
+    assert sum(gossip.requests_at(tag) > 0 for tag in range(1_000)) == ENTRIES_MAX
 
 
 @pytest.mark.parametrize("size", [2, 5, 40, 200])
-def test_messages_cost_no_more_than_their_share_whatever_the_size_of_the_tier(size: int) -> None:
-    # The platform's price: points for each 256 bytes delivered, for each first try.
-    hearsay, delivered, tries = LoadGossip(PRICE, FleetSize(size)), 0, 0
-    chance = random.Random(size)
+def test_messages_cost_no_more_than_their_limit_whatever_the_size_of_the_cluster(size: int) -> None:
+    # The platform's price: points for each 256 bytes delivered, for each first attempt.
+    gossip, delivered, attempts = LoadGossip(PRICE, FleetSize(size)), 0, 0
+    generator = random.Random(size)
     now = 0
     for _ in range(20_000):
-        now += chance.randrange(1, 40_000)
-        if chance.random() < 0.5:
-            hearsay.note_request()
-            tries += 1
-        if hearsay.is_due(now):
-            message = hearsay.build_message(now, [(tag, 1) for tag in range(chance.randrange(1, 30))])
+        now += generator.randrange(1, 40_000)
+        if generator.random() < 0.5:
+            gossip.note_request()
+            attempts += 1
+        if gossip.is_due(now):
+            message = gossip.build_message(now, [(tag, 1) for tag in range(generator.randrange(1, 30))])
             delivered += len(message or b"") * (size - 1)
-    assert PRICE * delivered / MESSAGE_BYTES_MAX / tries <= SPEND_POINTS_MAX * 1.05
+    assert PRICE * delivered / MESSAGE_BYTES_MAX / attempts <= SPEND_POINTS_MAX * 1.05
     assert delivered > 0
 
 
-def test_messages_are_no_more_frequent_than_the_network_is_quick() -> None:
-    hearsay = LoadGossip(0.0, FleetSize(2))
+def test_messages_are_at_least_the_minimum_interval_apart() -> None:
+    gossip = LoadGossip(0.0, FleetSize(2))
     sent = 0
     for now in range(0, 10 * S, 1_000):
-        hearsay.note_request()
-        if hearsay.is_due(now):
-            sent += hearsay.build_message(now, [(7, 1)]) is not None
+        gossip.note_request()
+        if gossip.is_due(now):
+            sent += gossip.build_message(now, [(7, 1)]) is not None
     assert 0 < sent <= 10 * S // SEND_INTERVAL_MIN_US + 1
 
 
-def test_a_tier_too_large_says_nothing_and_hears_so_many_at_most() -> None:
-    large = _rich(5_000)
+def test_a_cluster_too_large_for_gossip_sends_none_and_the_number_of_senders_is_bounded() -> None:
+    large = _with_credit(5_000)
     assert not large.is_due(S)
-    hearsay = LoadGossip(PRICE, FleetSize(200))
+    gossip = LoadGossip(PRICE, FleetSize(200))
     message = bytes([MESSAGE_VERSION, 7, 0, 1])
-    assert sum(hearsay.receive(S, sender, message) for sender in range(1_000)) == SENDERS_MAX
-    assert hearsay.requests_at(7) == SENDERS_MAX
+    assert sum(gossip.receive(S, sender, message) for sender in range(1_000)) == SENDERS_MAX
+    assert gossip.requests_at(7) == SENDERS_MAX
 
 
 @given(
@@ -152,24 +152,28 @@
         max_size=40,
     )
 )
-def test_sums_are_those_of_the_pictures_that_live(
-    told: list[tuple[int, list[tuple[int, int]], int]],
+def test_totals_are_the_sums_of_the_snapshots_that_have_not_expired(
+    messages: list[tuple[int, list[tuple[int, int]], int]],
 ) -> None:
-    hearsay = LoadGossip(PRICE, FleetSize(8))
-    live: dict[int, tuple[int, dict[int, int]]] = {}
+    gossip = LoadGossip(PRICE, FleetSize(8))
+    current: dict[int, tuple[int, dict[int, int]]] = {}
     now = S
-    for sender, counts, pause in told:
+    for sender, counts, pause in messages:
         now += pause
-        message = _rich().build_message(now, [*counts, (99, 1)])
+        message = _with_credit().build_message(now, [*counts, (99, 1)])
         assert message is not None
-        hearsay.receive(now, sender, message)
-        live[sender] = (now, {tag: min(count, COUNT_MAX) for tag, count in counts})
-        hearsay.expire(now)
-        live = {each: (at, seen) for each, (at, seen) in live.items() if now - at <= SNAPSHOT_TTL_US}
+        gossip.receive(now, sender, message)
+        current[sender] = (now, {tag: min(count, COUNT_MAX) for tag, count in counts})
+        gossip.expire(now)
+        current = {
+            peer: (received_at, sent)
+            for peer, (received_at, sent) in current.items()
+            if now - received_at <= SNAPSHOT_TTL_US
+        }
     for tag in range(13):
-        assert hearsay.requests_at(tag) == sum(seen.get(tag, 0) for _, seen in live.values())
+        assert gossip.requests_at(tag) == sum(sent.get(tag, 0) for _, sent in current.values())
 
 
-def test_tags_tell_most_servers_apart() -> None:
+def test_few_servers_share_a_tag() -> None:
     tags = {server_tag(f"s-{number:08x}") for number in range(1_000)}
     assert len(tags) > 980
--- a/tests/estimation/test_slow_start_share.py
+++ b/tests/estimation/test_slow_start_share.py
@@ -1,4 +1,4 @@
-"""What servers that came back cold are given beside warm ones, where every counter is zero."""
+"""The share of requests that servers in slow start get beside warm ones, when all counters of this sidecar are zero."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from topazbank.balancing.events import ServerDescription
 
 
-def test_servers_that_are_half_warm_are_given_near_half_of_what_warm_ones_get() -> None:
-    # Guards against a zone that came back and stands idle: ties and odds both went against cold servers.
+def test_servers_halfway_through_slow_start_get_nearly_half_of_what_warm_ones_get() -> None:
+    # A zone restarts.  Its servers must not stay idle because both the order of ties and the odds disfavour them.
     share = 0.0
     seeds = 6
     for seed in range(seeds):
@@ -27,7 +27,7 @@
     assert share >= 0.45
 
 
-def test_ties_count_what_others_hold_there_by_pace_and_not_by_warmth() -> None:
+def test_ties_are_ordered_by_pace_and_not_by_the_progress_of_slow_start() -> None:
     stage = Stage()
     stage.servers([ServerDescription("10.0.1.1:80", "east", started_at=stage.now), *names(1)])
     cold, warm = stage.balancer._servers["10.0.1.1:80"], stage.balancer._servers[names(1)[0]]
--- a/tests/estimation/test_traffic_mix.py
+++ b/tests/estimation/test_traffic_mix.py
@@ -1,4 +1,4 @@
-"""What is asked by class and tenant, and which part of it is worth less."""
+"""The rank of requests by class and tenant."""
 
 from __future__ import annotations
 
@@ -8,32 +8,33 @@
 from topazbank.estimation.traffic_mix import FLOWS_MAX, TrafficMix
 
 
-def test_the_less_worthy_class_stands_below_the_other() -> None:
-    given = settings()
-    traffic, kinds = TrafficMix(given), {each.name: each for each in given.classes}
+def test_a_class_of_less_weight_ranks_below_the_other() -> None:
+    configured = settings()
+    mix, classes = TrafficMix(configured), {each.name: each for each in configured.classes}
     for now in range(0, 1000 * MS, 10 * MS):
-        look = traffic.note_request(now, kinds["look"], None)
-        pay = traffic.note_request(now, kinds["pay"], None)
-    assert traffic.rank(now, look) == pytest.approx(0.25)
-    assert traffic.rank(now, pay) == pytest.approx(0.75)
+        look = mix.note_request(now, classes["look"], None)
+        pay = mix.note_request(now, classes["pay"], None)
+    assert mix.rank(now, look) == pytest.approx(0.25)
+    assert mix.rank(now, pay) == pytest.approx(0.75)
 
 
-def test_a_tenant_far_over_its_share_stands_below_one_within() -> None:
-    given = settings(
+def test_a_tenant_that_exceeds_its_share_ranks_below_one_that_does_not() -> None:
+    configured = settings(
         tenants=[{"name": "a", "share": 0.5}, {"name": "b", "share": 0.5}], over_share_weight=0.2
     )
-    traffic, kind = TrafficMix(given), given.classes[0]
+    mix, request_class = TrafficMix(configured), configured.classes[0]
     for now in range(0, 1000 * MS, 10 * MS):
-        within = traffic.note_request(now, kind, "a")
+        within = mix.note_request(now, request_class, "a")
         for _ in range(9):
-            over = traffic.note_request(now, kind, "b")
-    assert traffic.rank(now, over) < traffic.rank(now, within)
+            over = mix.note_request(now, request_class, "b")
+    assert mix.rank(now, over) < mix.rank(now, within)
 
 
-def test_tenants_that_clients_make_up_take_no_memory_without_end() -> None:
-    # Guards against a table that any client can grow, and that is walked for each request.
-    given = settings()
-    traffic = TrafficMix(given)
+def test_tenants_invented_by_clients_do_not_grow_memory_without_bound() -> None:
+    # A client names a new tenant with each request.  The table of flows is walked for each request, so that it must not
+    # grow without bound.
+    configured = settings()
+    mix = TrafficMix(configured)
     for number in range(10 * FLOWS_MAX):
-        traffic.note_request(number * MS, given.classes[number % 3], f"made up {number}")
-    assert len(traffic._flows) <= FLOWS_MAX + len(given.classes)
+        mix.note_request(number * MS, configured.classes[number % 3], f"invented {number}")
+    assert len(mix._flows) <= FLOWS_MAX + len(configured.classes)
