--- a/tests/estimation/test_load_gossip.py
+++ b/tests/estimation/test_load_gossip.py
@@ -70,7 +70,7 @@
     gossip.expire(S + SNAPSHOT_TTL_US)
     assert gossip.requests_at(7) == 3
     gossip.expire(S + SNAPSHOT_TTL_US + 1)
-    assert gossip.requests_at(7) == 0 and gossip.sender_count() == 0
+    assert gossip.requests_at(7) == 0 and not gossip._snapshots
 
 
 def test_an_idle_sidecar_withdraws_its_counts_once() -> None:
--- a/tests/fleet/test_synthetic_peers.py
+++ b/tests/fleet/test_synthetic_peers.py
@@ -33,8 +33,8 @@
     return Fleet(settings_from_wire(given), sidecars, servers, rate, 0.05)
 
 
-def test_what_one_sidecar_holds_open_hardly_grows_with_the_fleet() -> None:
-    """Among more sidecars one is further from the mean by chance."""
+def test_connections_of_one_sidecar_hardly_grow_with_the_fleet() -> None:
+    """Among more sidecars the largest deviation from the mean is larger."""
     assert (
         connections_per_sidecar(fleet(40))
         <= connections_per_sidecar(fleet(5000))
@@ -42,12 +42,12 @@
     )
 
 
-def test_list_calls_of_a_fleet_grow_far_less_than_it_does() -> None:
+def test_endpoint_polls_grow_far_less_than_the_fleet() -> None:
     small, large = endpoint_polls_per_s(fleet(40), False), endpoint_polls_per_s(fleet(5000), False)
     assert large < 5000 / 40 * small / 5
 
 
-def test_messages_end_where_a_fleet_is_too_large_for_them() -> None:
+def test_a_fleet_too_large_for_gossip_sends_no_gossip_messages() -> None:
     given = {
         "lanes": [{"name": "check", "giveUpUs": 2_000_000, "promiseUs": 500_000, "repeat": "read_like"}],
         "bounds": {"mayTell": True},
@@ -58,8 +58,10 @@
 
 
 @pytest.mark.parametrize(
-    ("sidecars", "wait"),
+    ("sidecars", "timeout_s"),
     [(1, WATCH_TIMEOUT_MIN_S), (40, WATCH_TIMEOUT_MIN_S), (100, 20.0), (5000, WATCH_TIMEOUT_MAX_S)],
 )
-def test_a_watch_waits_longer_in_a_larger_fleet_up_to_the_platforms_most(sidecars: int, wait: float) -> None:
-    assert watch_timeout_s(sidecars) == wait
+def test_watch_timeouts_grow_with_the_fleet_up_to_the_platforms_maximum(
+    sidecars: int, timeout_s: float
+) -> None:
+    assert watch_timeout_s(sidecars) == timeout_s
--- a/topazbank/estimation/load_estimator.py
+++ b/topazbank/estimation/load_estimator.py
@@ -20,9 +20,7 @@
 __all__ = ["LatencyCheck", "LoadEstimator", "SustainedThroughput"]
 
 MEMORY_OBJECTIVES = 1.0  # an estimate is outdated after this many of the longest latency objective
-PROBE_INTERVAL_OBJECTIVES = (
-    0.25  # without a check for this many of them one request is admitted for its result
-)
+PROBE_INTERVAL_OBJECTIVES = 0.25  # without a check for so long one request is admitted for its result
 
 MEDIAN_STEP_MIN = 0.04  # some 25 answers turn the running median round
 MEDIAN_STEP_MAX = 0.16  # where answers are rare: a single one is chance to a large part
@@ -32,9 +30,7 @@
 CPU_STEP = 0.1  # the utilisation covers about the last ten load reports
 
 ACCEPTABLE_RATIO = 0.25  # beyond this median latency the fleet is overloaded
-ACCEPTABLE_RATIO_FEW = (
-    0.33  # or beyond this, where few requests are in flight and the median is largely chance
-)
+ACCEPTABLE_RATIO_FEW = 0.33  # or this, where few requests are in flight: the median is largely chance
 ACCEPTABLE_RATIO_MAX = 0.5  # in any case, or a lasting overload would pass for the usual
 LATE_VALUE_FACTOR = 0.8  # the ratios above grow by this much where late answers keep their full value
 FLOOR_MULTIPLE = 1.2  # the acceptable latency is at least this many times that of an idle fleet
--- a/topazbank/estimation/load_gossip.py
+++ b/topazbank/estimation/load_gossip.py
@@ -123,10 +123,6 @@
         """Return the requests that other sidecars have in flight at the server of this tag, as far as is known."""
         return self._totals.get(tag, 0)
 
-    def sender_count(self) -> int:
-        """Return how many other sidecars have a snapshot here."""
-        return len(self._snapshots)
-
     def _drop(self, sender: int) -> None:
         _, counts = self._snapshots.pop(sender, (0, {}))
         for tag, count in counts.items():
