--- a/topazbank/balancing/admission.py
+++ b/topazbank/balancing/admission.py
@@ -15,8 +15,8 @@
 from topazbank.balancing.requests import Request
 from topazbank.balancing.settings import RequestClass
 from topazbank.balancing.sparse_admission import SparseAdmission
-from topazbank.estimation.load_estimator import Strain
-from topazbank.estimation.traffic_mix import Traffic
+from topazbank.estimation.load_estimator import LoadEstimator
+from topazbank.estimation.traffic_mix import TrafficMix
 
 FULL_PRESSURE: Final = 4.0  # at a full limit: of the typical requests one in fifty is admitted
 PRIORITY_SLOPE: Final = 2.0  # the lowest priority feels this many times the pressure, the highest almost none
@@ -30,7 +30,7 @@
         context: DecisionContext,
         limit: ConcurrencyLimit,
         sparse: SparseAdmission,
-        estimator: Strain,
+        estimator: LoadEstimator,
         enabled: bool,
     ) -> None:
         """`enabled`: off where health checks for each request tell how full the servers are."""
@@ -39,7 +39,7 @@
         self._sparse = sparse
         self._estimator = estimator
         self._enabled = enabled
-        self._traffic = Traffic(context.settings)
+        self._traffic = TrafficMix(context.settings)
         self._longest_remaining_us: dict[str, int] = {}  # that a request of a class ever had left, by class
 
     def sheds(self, request: Request, tenant: str | None, remaining_us: int) -> bool:
@@ -49,22 +49,22 @@
 
     def _is_overloaded_for(self, request: Request, tenant: str | None) -> bool:
         now = self._context.now
-        flow = self._traffic.asked(now, request.request_class, tenant)
+        flow = self._traffic.note_request(now, request.request_class, tenant)
         if not self._enabled:
-            request.priority_rank = self._traffic.standing(now, flow)
+            request.priority_rank = self._traffic.rank(now, flow)
             return False
         if self._sparse.is_sparse():
-            return self._sparse.sheds(self._traffic.standing(now, flow))
+            return self._sparse.sheds(self._traffic.rank(now, flow))
         utilisation = self._limit.utilisation()
         if utilisation <= FREE_RATIO:
             return False
         pressure = FULL_PRESSURE * (utilisation - FREE_RATIO) / (1.0 - FREE_RATIO)
-        admitted = math.exp(-PRIORITY_SLOPE * pressure * (1.0 - self._traffic.standing(now, flow)))
+        admitted = math.exp(-PRIORITY_SLOPE * pressure * (1.0 - self._traffic.rank(now, flow)))
         if utilisation < 1.0 and self._context.random.random() < admitted:
             return False
         self._limit.has_shed = True
         # Guards against a balancer that sheds everything and so never learns that the overload is over.
-        return not self._estimator.asks_for_news(now)
+        return not self._estimator.claim_probe_admission(now)
 
     def _is_stale(self, request_class: RequestClass, remaining_us: int) -> bool:
         """Whether a request spent its objective waiting for this process, and a late answer is worth nothing.
@@ -75,4 +75,6 @@
         self._longest_remaining_us[request_class.name] = longest_us
         waited_us = longest_us - remaining_us
         worthless = request_class.late_value_ratio <= 0.0
-        return self._context.stall.back and worthless and waited_us >= request_class.latency_objective_us
+        return (
+            self._context.stall.just_resumed and worthless and waited_us >= request_class.latency_objective_us
+        )
--- a/topazbank/balancing/attempt_outcomes.py
+++ b/topazbank/balancing/attempt_outcomes.py
@@ -23,7 +23,7 @@
 from topazbank.balancing.retry_policy import RetryPolicy
 from topazbank.balancing.servers import RejectionBackoff, Server
 from topazbank.balancing.sparse_admission import SparseAdmission
-from topazbank.estimation.load_estimator import Strain
+from topazbank.estimation.load_estimator import LoadEstimator
 
 CPU_RATIO_REPORTED_MAX: Final = 2.0  # a report of more than noise can make of a ratio is junk
 ABANDONED_RATIO: Final = (
@@ -45,7 +45,7 @@
         times: ResponseTimes,
         limit: ConcurrencyLimit,
         sparse: SparseAdmission,
-        estimator: Strain,
+        estimator: LoadEstimator,
         ejection: OutlierEjection,
         retries: RetryPolicy,
         ordering: KeyOrdering,
@@ -72,9 +72,9 @@
         outcome = event.outcome
         attempt.pending = False
         if outcome is Outcome.DELIVERED:
-            self._estimator.answered(self._context.now, attempt.timing)
+            self._estimator.complete_check(self._context.now, attempt.timing)
         elif outcome is not Outcome.TIMED_OUT:
-            attempt.timing.open = False
+            attempt.timing.pending = False
         attempt.may_have_run = self._retries.may_have_run(outcome)
         self._ordering.attempt_ended(request, outcome)
         self._load.attempt_ended(attempt)
@@ -95,7 +95,7 @@
             return
         cpu_ratio = report.get("util", CPU_RATIO_REPORTED_MAX)
         if cpu_ratio < CPU_RATIO_REPORTED_MAX:
-            self._estimator.reported(min(max(cpu_ratio, 0.0), 1.0))
+            self._estimator.add_cpu_report(min(max(cpu_ratio, 0.0), 1.0))
 
     def _abandoned(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
         """An attempt was given up: it may still run."""
@@ -104,13 +104,13 @@
         abandoned_until = self._context.now + int(ABANDONED_RATIO * event.elapsed_us)
         attempt.server.abandoned_until.append(abandoned_until)
         usual_us = self._times.usual_us(request) * attempt.server.latency_ratio
-        if event.elapsed_us > usual_us and not self._context.stall.behind:
+        if event.elapsed_us > usual_us and not self._context.stall.catching_up:
             self._times.follow_latency(attempt.server, request, event.elapsed_us)
 
     def _delivered(self, request: Request, attempt: Attempt, elapsed_us: int) -> None:
         objective_us = request.request_class.latency_objective_us
         self._limit.delivered(objective_us, elapsed_us)
-        if self._context.stall.behind:
+        if self._context.stall.catching_up:
             return  # how long it took tells of this process, not of the server
         self._checks.learn(attempt, elapsed_us / objective_us)
         self._times.responded(attempt.server, request, elapsed_us)
@@ -144,11 +144,11 @@
         """
         stall = self._context.stall
         is_silent = self._ejection.is_silent(attempt)
-        if stall.behind:
+        if stall.catching_up:
             # Its response may be among what came meanwhile.
-            self._look_again(stall.caught_up_at + self._context.settings.tick_us, request, attempt)
+            self._look_again(stall.catching_up_until + self._context.settings.tick_us, request, attempt)
             return False
-        stalled_us = stall.absent_us - attempt.stalled_before_us
+        stalled_us = stall.stalled_total_us - attempt.stalled_before_us
         waited_us = self._context.now - attempt.sent_at - stalled_us
         self._compare_with_objective(request, attempt, waited_us, is_silent)
         objective_us = request.request_class.latency_objective_us
@@ -172,8 +172,8 @@
         if attempt.counted_late or attempt.server.ejected_until is not None:
             return
         attempt.counted_late = True
-        if self._estimator.cores is not None and is_silent:
-            self._estimator.reported(1.0)  # no response, no report: reports alone would look too good
+        if self._estimator.cpu_utilization is not None and is_silent:
+            self._estimator.add_cpu_report(1.0)  # no response, no report: reports alone would look too good
         self._limit.observe(LOST_SPENT_RATIO)
 
     def _look_again(self, due: int, request: Request, attempt: Attempt) -> None:
--- a/topazbank/balancing/balancer.py
+++ b/topazbank/balancing/balancer.py
@@ -46,7 +46,7 @@
 from topazbank.balancing.snapshot import BalancerSnapshot, ServerSnapshot
 from topazbank.balancing.sparse_admission import SparseAdmission
 from topazbank.estimation.fleet_size import FleetSize
-from topazbank.estimation.load_estimator import Strain
+from topazbank.estimation.load_estimator import LoadEstimator
 
 _OF_REQUESTS = (DeadlineKind.REQUEST, DeadlineKind.ATTEMPT_OVERDUE, DeadlineKind.HEALTH_CHECKS)
 
@@ -64,7 +64,9 @@
         agenda.is_stale = self._is_stale
         self.servers = servers = ServerTable(context)
         self.load = load = OwnLoad(context)
-        self.estimator = estimator = Strain(context.longest_objective_us, settings.mean_late_value_ratio())
+        self.estimator = estimator = LoadEstimator(
+            context.longest_objective_us, settings.mean_late_value_ratio()
+        )
         self.slow_start = slow_start = SlowStart(context, servers, load, plan)
         self.retries = retries = RetryPolicy(context)
         self.ejection = ejection = OutlierEjection(context, servers, load, slow_start, retries)
@@ -131,8 +133,8 @@
         context = self._context
         context.begin(now)
         self.load.follow(self.limit.limit)
-        context.stall.notice(now, isinstance(event, TimerFired))
-        if not context.stall.behind and self.estimator.mature(now):
+        context.stall.observe(now, isinstance(event, TimerFired))
+        if not context.stall.catching_up and self.estimator.expire_checks(now):
             self.limit.resize()
         if not self._started:
             self._started = True
@@ -163,12 +165,12 @@
             concurrency_limit=self.limit.limit,
             in_objective=self.load.in_objective,
             mean_in_objective=self.load.mean,
-            over_level_ratio=estimator._over.share,
-            hopeless_ratio=estimator._hopeless.share,
-            median_spent_ratio=estimator.spent,
-            late_ratio=estimator.late,
-            unloaded_spent_ratio=estimator.floor,
-            cpu_ratio=estimator.cores,
+            over_level_ratio=estimator.slow_share.share,
+            hopeless_ratio=estimator.overload_share.share,
+            median_spent_ratio=estimator.median_ratio,
+            late_ratio=estimator.late_share,
+            unloaded_spent_ratio=estimator.floor_ratio,
+            cpu_ratio=estimator.cpu_utilization,
             subset_size=self.load.subset_size(),
             ready=len(self.servers.ready),
             ejected=len(self.ejection.ejected),
@@ -215,11 +217,11 @@
             return not self._connections.closes_at(key, due)
         if kind is DeadlineKind.POLL:
             return due != self.polling.due
-        return due != self._context.stall.beat_due
+        return due != self._context.stall.heartbeat_due_at
 
     def _schedule_heartbeat(self) -> None:
         """While attempts are pending an event comes at a known time, which tells of a stall by coming late."""
         stall = self._context.stall
-        if self.load.pending and not stall.beat_due:
-            stall.beat_due = self._context.now + stall.beat_us
-            self.agenda.schedule(stall.beat_due, DeadlineKind.HEARTBEAT, 0)
+        if self.load.pending and not stall.heartbeat_due_at:
+            stall.heartbeat_due_at = self._context.now + stall.heartbeat_interval_us
+            self.agenda.schedule(stall.heartbeat_due_at, DeadlineKind.HEARTBEAT, 0)
--- a/topazbank/balancing/concurrency_limit.py
+++ b/topazbank/balancing/concurrency_limit.py
@@ -15,8 +15,9 @@
 from topazbank.balancing.servers import ServerTable
 from topazbank.balancing.slow_start import SlowStart
 from topazbank.balancing.sparse_admission import SparseAdmission
-from topazbank.estimation.decaying_sum import Rate
-from topazbank.estimation.load_estimator import Borne, Strain
+from topazbank.estimation.decaying_sum import DecayingRate
+from topazbank.estimation.load_estimator import LoadEstimator
+from topazbank.estimation.sustained_throughput import SustainedThroughput
 
 FIRST_SIZING_OBJECTIVES: Final = (
     2.0  # the limit is first sized this many of the longest objective after the start
@@ -48,7 +49,7 @@
         load: OwnLoad,
         slow_start: SlowStart,
         sparse: SparseAdmission,
-        estimator: Strain,
+        estimator: LoadEstimator,
         enabled: bool,
     ) -> None:
         """`enabled`: off where health checks for each request tell how full the servers are."""
@@ -60,8 +61,10 @@
         self._estimator = estimator
         self._enabled = enabled
         self._handshakes_cost = context.settings.prices.handshake > 0.0
-        self._sustained = Borne(context.longest_objective_us)
-        self._served_objectives = Rate(context.longest_objective_us)  # objectives of responses, per time
+        self._sustained = SustainedThroughput(context.longest_objective_us)
+        self._served_objectives = DecayingRate(
+            context.longest_objective_us
+        )  # objectives of responses, per time
         self.limit = math.inf
         self._capacity = 0.0
         self._capacity_due = 0  # when it is looked at again
@@ -80,29 +83,29 @@
 
     def is_crowded(self) -> bool:
         """Whether responses come late, or more of the limit is in use than may be without shedding."""
-        return self._estimator.late >= LATE_RATIO_ALLOWED or self.utilisation() > FREE_RATIO
+        return self._estimator.late_share >= LATE_RATIO_ALLOWED or self.utilisation() > FREE_RATIO
 
     def begin_at(self, limit: float) -> None:
         """Begin with a limit, where a first look at the servers has told that they are full."""
         self.limit = limit
         self._sized_at = self._size_from = self._context.now
-        self._estimator.pressed(self._context.now)
+        self._estimator.assume_at_capacity(self._context.now)
 
     def delivered(self, objective_us: int, elapsed_us: int) -> None:
         """Learn from a response: its objective and how long it took, microseconds."""
         now = self._context.now
         self._served_objectives.add(now, objective_us)
         if elapsed_us <= objective_us:
-            self._sustained.served(now, objective_us)
+            self._sustained.note_timely_response(now, objective_us)
 
     def observe(self, spent_ratio: float) -> None:
         """Take the part of its objective that a response took, and size the limit by it."""
         now = self._context.now
         self._sparse.responded(spent_ratio)
-        if self._estimator.floor is None and self.limit == math.inf:
+        if self._estimator.floor_ratio is None and self.limit == math.inf:
             self._size_from = now + int(FIRST_SIZING_OBJECTIVES * self._context.longest_objective_us)
         unloaded = self._load.in_objective <= FREE_RATIO * self.limit
-        self._estimator.feel(now, spent_ratio, unloaded)
+        self._estimator.add_latency(now, spent_ratio, unloaded)
         self.resize()
 
     def resize(self) -> None:
@@ -115,10 +118,10 @@
         if is_early and not self._is_plain_overload() and not costly:
             return  # every connection is new and the rates are not full: what is late may be chance
         lapse_us = self._advance()
-        level = self._estimator.level(self._load.chance())
+        level = self._estimator.acceptable_ratio(self._load.chance())
         excess = self._excess(cpu_excess, costly, is_early)
         saturated = (costly and is_early) or self._is_saturated()
-        if excess > 0.0 and self._estimator.late < LATE_RATIO_ALLOWED and not saturated:
+        if excess > 0.0 and self._estimator.late_share < LATE_RATIO_ALLOWED and not saturated:
             return  # slower than usual, yet in time
         if excess > 0.0:
             self.limit = min(self.limit, max(self._load.in_objective, self._load.mean / FREE_RATIO))
@@ -129,14 +132,16 @@
 
     def _cpu_excess(self) -> float:
         """How far reported CPU utilisation is beyond busy: 1 at full, -1 where nothing is reported."""
-        cpu_ratio = self._estimator.cores
+        cpu_ratio = self._estimator.cpu_utilization
         return -1.0 if cpu_ratio is None else (cpu_ratio - BUSY_CPU_RATIO) / (1.0 - BUSY_CPU_RATIO)
 
     def _is_plain_overload(self) -> bool:
-        return self._estimator.late >= 10 * LATE_RATIO_ALLOWED or self._estimator.is_plain()
+        return self._estimator.late_share >= 10 * LATE_RATIO_ALLOWED or self._estimator.is_overload_evident()
 
     def _is_saturated(self) -> bool:
-        return (self._estimator.cores or 0.0) >= SATURATED_CPU_RATIO or self._estimator.is_plain()
+        return (
+            self._estimator.cpu_utilization or 0.0
+        ) >= SATURATED_CPU_RATIO or self._estimator.is_overload_evident()
 
     def _advance(self) -> float:
         """The time since the last sizing, microseconds, as far as one sizing may account for it."""
@@ -147,8 +152,8 @@
 
     def _excess(self, cpu_excess: float, costly: bool, is_early: bool) -> float:
         """How far the fleet is beyond what it bears: 1 with nothing in time, -1 with everything."""
-        excess = self._estimator.excess()
-        cpu_ratio = self._estimator.cores
+        excess = self._estimator.overload_excess()
+        cpu_ratio = self._estimator.cpu_utilization
         if cpu_ratio is not None and (self._load.stretch() > 1.0 or cpu_ratio < SPARE_CPU_RATIO):
             # Late responses from servers with idle CPUs tell of a few slow ones, of broken connections or of this
             # process's own lag, not of too many requests: shedding would only bring clients back.  A busy balancer
@@ -164,15 +169,15 @@
         now, objective_us = self._context.now, self._context.longest_objective_us
         objectives = SHRINK_OBJECTIVES if excess > 0.0 else GROW_OBJECTIVES
         change = min(math.exp(-excess * lapse_us / (objectives * objective_us)), GROWTH_MAX)
-        self._served_objectives.over(self._load.stretch() * objective_us)
+        self._served_objectives.set_window_us(self._load.stretch() * objective_us)
         served = level * self._served_objectives.per_us(now)
-        sustained = level * self._sustained.least(now, self._ready_capacity())
+        sustained = level * self._sustained.admissible_load(now, self._ready_capacity())
         self.limit = max(self.limit * change, min(max(served, sustained), self.limit), LIMIT_MIN)
 
     def _ready_capacity(self) -> float:
         """The nominal capacity that ready servers have by now; looked at once a heartbeat."""
         if self._context.now >= self._capacity_due:
-            self._capacity_due = self._context.now + self._context.stall.beat_us
+            self._capacity_due = self._context.now + self._context.stall.heartbeat_interval_us
             usable = [each for each in self._servers.ready if each.ejected_until is None]
             self._capacity = sum(each.nominal_capacity * self._slow_start.warmth(each) for each in usable)
         return self._capacity
--- a/topazbank/balancing/context.py
+++ b/topazbank/balancing/context.py
@@ -7,7 +7,7 @@
 from topazbank.balancing.actions import Action
 from topazbank.balancing.settings import Settings
 from topazbank.estimation.fleet_size import FleetSize
-from topazbank.estimation.stall_detector import Stall
+from topazbank.estimation.stall_detector import StallDetector
 
 
 class DecisionContext:
@@ -22,7 +22,7 @@
         self.fleet_size = FleetSize(settings.fleet_size)
         self.longest_objective_us = settings.longest_objective_us()
         shortest_objective_us = min(each.latency_objective_us for each in settings.classes)
-        self.stall = Stall(shortest_objective_us, settings.tick_us)
+        self.stall = StallDetector(shortest_objective_us, settings.tick_us)
 
     def begin(self, now: int) -> None:
         """Begin to handle an event at clock time `now`."""
--- a/topazbank/balancing/endpoint_polling.py
+++ b/topazbank/balancing/endpoint_polling.py
@@ -29,7 +29,9 @@
 
     def start(self) -> None:
         """Plan the first poll: at once, or spread out in a fleet that may have started all at once."""
-        spread_us = poll_schedule.first_call_spread(self._context.fleet_size.most, self._poll_within_us)
+        spread_us = poll_schedule.first_poll_spread_us(
+            self._context.fleet_size.upper_bound, self._poll_within_us
+        )
         if spread_us > 0.0:
             self._poll_in(spread_us * self._jitter.random())
         else:
@@ -59,8 +61,11 @@
 
     def _poll_after_gap(self) -> None:
         """Plan a poll after a gap that grows with each poll since the last answer, however those polls end."""
-        gap_us = poll_schedule.retry_gap(
-            self._begun_polls, self._context.fleet_size.most, self._poll_within_us, self._jitter.random()
+        gap_us = poll_schedule.retry_interval_us(
+            self._begun_polls,
+            self._context.fleet_size.upper_bound,
+            self._poll_within_us,
+            self._jitter.random(),
         )
         self._begun_polls = min(self._begun_polls + 1, POLLS_COUNTED_MAX)
         self._poll_in(gap_us)
--- a/topazbank/balancing/health_checks.py
+++ b/topazbank/balancing/health_checks.py
@@ -23,9 +23,9 @@
 from topazbank.balancing.selection import Selection
 from topazbank.balancing.servers import Server, ServerTable
 from topazbank.balancing.slow_start import SlowStart
-from topazbank.estimation.decaying_sum import Fit
-from topazbank.estimation.load_estimator import Strain
-from topazbank.estimation.startup_probes import Soundings, can_tell
+from topazbank.estimation.decaying_sum import DecayingLinearFit
+from topazbank.estimation.load_estimator import LoadEstimator
+from topazbank.estimation.startup_probes import StartupProbes, supports_startup_probes
 
 WAIT_TIMES: Final = 3.0  # usual times of a health check that a request waits for its checks
 WAIT_OBJECTIVE_RATIO: Final = 0.05  # and never longer than this part of the objective
@@ -63,7 +63,7 @@
         slow_start: SlowStart,
         ejection: OutlierEjection,
         selection: Selection,
-        estimator: Strain,
+        estimator: LoadEstimator,
         costs: Costs,
     ) -> None:
         self._context = context
@@ -76,11 +76,13 @@
         self._estimator = estimator
         self._costs = costs
         self._waiting: dict[int, Request] = {}  # requests that wait for health checks, by number
-        self._spent_by_load = Fit()  # part of its objective that a response takes, by its server's load
+        self._spent_by_load = (
+            DecayingLinearFit()
+        )  # part of its objective that a response takes, by its server's load
         self._usual_us = math.inf  # of a health check; not known at first
         settings = context.settings
-        at_start = not costs.checks_each_request and can_tell(settings)
-        self._startup = Soundings(settings, context.fleet_size) if at_start else None
+        at_start = not costs.checks_each_request and supports_startup_probes(settings)
+        self._startup = StartupProbes(settings, context.fleet_size) if at_start else None
 
     # -- For a request ----------------------------------------------------------------------------------
 
@@ -129,7 +131,7 @@
         """Learn what a load means, from the part of its objective that a response took."""
         if attempt.load_when_sent is None:
             return
-        expected = self._spent_by_load.at(attempt.load_when_sent)
+        expected = self._spent_by_load.predict(attempt.load_when_sent)
         spent_max = LOST_SPENT_RATIO
         if expected is not None:
             spent_max = max(SPENT_CLIP * expected, SPENT_CLIP_MIN)
@@ -137,13 +139,13 @@
 
     def requests_per_us(self) -> float | None:
         """Requests a microsecond that a server gets, by what checks and responses tell; None: not known."""
-        return self._spent_by_load.rate(self._context.longest_objective_us)
+        return self._spent_by_load.throughput(self._context.longest_objective_us)
 
     def _is_worth_crossing(self, best: Server | None) -> bool:
         """Whether the best server of the own zone is so loaded that a crossing is worth its price."""
         if best is None:
             return True
-        expected, idle = self._expected_spent(best), self._spent_by_load.at(0.0)
+        expected, idle = self._expected_spent(best), self._spent_by_load.predict(0.0)
         return expected is not None and idle is not None and expected - idle > self._costs.zone_crossing
 
     def _is_unbearable(self, server: Server, request: Request) -> bool:
@@ -166,7 +168,7 @@
     def _expected_spent(self, server: Server) -> float | None:
         """The part of its objective that a response is expected to take there; None: not known."""
         load = self._relative_load(server)
-        return None if load is None else self._spent_by_load.at(load)
+        return None if load is None else self._spent_by_load.predict(load)
 
     def _rank(self, server: Server) -> tuple[int, float, float]:
         """Own requests in flight, then the expected time with the price of getting there, then the load."""
@@ -176,7 +178,7 @@
             detour += self._costs.handshake
         load = ((server.reported_in_flight or 0.0) + 1.0) * server.latency_ratio
         load /= self._slow_start.warmth(server)  # warming servers look idle
-        return server.load(self._context.now), (self._spent_by_load.at(load) or 0.0) + detour, load
+        return server.load(self._context.now), (self._spent_by_load.predict(load) or 0.0) + detour, load
 
     # -- Answers and starts -----------------------------------------------------------------------------
 
@@ -199,14 +201,14 @@
         ready = self._servers.ready
         if self._startup is None or not ready:
             return
-        count = self._startup.begin(self._context.now, len(ready))
+        count = self._startup.start(self._context.now, len(ready))
         checked: Sequence[Server] = ready[:count]
         for server in checked:
             self._ejection.send_health_check(server)
 
-    def _startup_check_ended(self, startup: Soundings, report: Mapping[str, float] | None) -> None:
+    def _startup_check_ended(self, startup: StartupProbes, report: Mapping[str, float] | None) -> None:
         """Begin with a fair share of what the fleet holds where it is full already, not with all that comes."""
-        startup.heard(report, self._estimator.level(1.0))
+        startup.add_result(report, self._estimator.acceptable_ratio(1.0))
         share = startup.fair_share(self._context.now, len(self._servers.ready))
         if share is not None and self._limit.limit == math.inf:
             self._limit.begin_at(max(share, 1.0))
--- a/topazbank/balancing/idle_connections.py
+++ b/topazbank/balancing/idle_connections.py
@@ -69,6 +69,6 @@
 
     def _requests_per_us(self) -> float:
         """Requests a microsecond that a server gets, from all balancers."""
-        from_all = self._load.arrivals.per_us(self._context.now) * self._context.fleet_size.most
+        from_all = self._load.arrivals.per_us(self._context.now) * self._context.fleet_size.upper_bound
         observed = self._checks.requests_per_us()
         return observed or from_all / max(len(self._servers.ready), 1)
--- a/topazbank/balancing/load.py
+++ b/topazbank/balancing/load.py
@@ -8,7 +8,7 @@
 from topazbank.balancing.context import DecisionContext
 from topazbank.balancing.requests import Attempt
 from topazbank.balancing.servers import Server
-from topazbank.estimation.decaying_sum import Rate
+from topazbank.estimation.decaying_sum import DecayingRate
 
 SUBSET_IDLE_SIZE: Final = 4.0  # servers that an idle balancer selects from: a choice, yet few enough to know
 SUBSET_PER_REQUEST: Final = 1.0  # and one more for each request in flight: as many servers may be idle
@@ -27,7 +27,7 @@
         self.in_objective = 0
         self.mean = 0.0  # of `in_objective` over time
         self._followed_at = 0
-        self.arrivals = Rate(RATE_WINDOWS * context.settings.rules.overload_window_us)
+        self.arrivals = DecayingRate(RATE_WINDOWS * context.settings.rules.overload_window_us)
 
     def follow(self, window: float) -> None:
         """Bring the mean up to now.  `window`: the concurrency limit; a mean far beyond it would delay relief."""
--- a/topazbank/balancing/outlier_ejection.py
+++ b/topazbank/balancing/outlier_ejection.py
@@ -102,7 +102,7 @@
         """Whether a failure says nothing against the server."""
         if outcome is Outcome.TIMED_OUT and attempt.server.last_response_at > attempt.sent_at:
             return True  # it is slow, not faulty: it answered others meanwhile
-        stalled = self._context.stall.behind and not attempt.is_probation
+        stalled = self._context.stall.catching_up and not attempt.is_probation
         return stalled and outcome in (Outcome.TIMED_OUT, Outcome.CONNECT_FAILED)  # this process was slow
 
     def _failed(self, attempt: Attempt, outcome: Outcome) -> None:
--- a/topazbank/balancing/request_lifecycle.py
+++ b/topazbank/balancing/request_lifecycle.py
@@ -34,7 +34,7 @@
 from topazbank.balancing.servers import Server
 from topazbank.balancing.settings import RequestClass
 from topazbank.balancing.slow_start import SlowStart
-from topazbank.estimation.load_estimator import Strain
+from topazbank.estimation.load_estimator import LoadEstimator
 
 ANSWER_TICKS_EARLY: Final = 2  # a final answer leaves this many ticks before the client's time is up
 RETRY_AFTER_OBJECTIVE_RATIO: Final = (
@@ -52,7 +52,7 @@
         load: OwnLoad,
         times: ResponseTimes,
         slow_start: SlowStart,
-        estimator: Strain,
+        estimator: LoadEstimator,
         ejection: OutlierEjection,
         retries: RetryPolicy,
         ordering: KeyOrdering,
@@ -231,9 +231,9 @@
             server.zone,
             server.cell,
             now,
-            self._context.stall.absent_us,
+            self._context.stall.stalled_total_us,
             self._ejection.responses,
-            self._estimator.sent(now, objective_us, self._load.chance()),
+            self._estimator.start_check(now, objective_us, self._load.chance()),
         )
         request.attempts.append(attempt)
         self._load.attempt_sent(server)
--- a/topazbank/balancing/requests.py
+++ b/topazbank/balancing/requests.py
@@ -8,7 +8,7 @@
 
 from topazbank.balancing.servers import Flow, Server
 from topazbank.balancing.settings import RequestClass
-from topazbank.estimation.load_estimator import Verdict
+from topazbank.estimation.latency_check import LatencyCheck
 
 _COST_BUCKET_MIN = -3
 _COST_BUCKET_MAX = 4
@@ -25,7 +25,7 @@
     sent_at: int  # clock time
     stalled_before_us: int  # how long this process had stalled by then
     responses_before: int  # how many responses had come by then, from all servers
-    timing: Verdict
+    timing: LatencyCheck
     is_probation: bool = False  # whether it may bring an ejected server back
     pending: bool = True
     in_objective: bool = True  # pending, and its latency objective has not passed
--- a/topazbank/balancing/selection.py
+++ b/topazbank/balancing/selection.py
@@ -86,7 +86,7 @@
             candidates, self._weights(candidates, request), CANDIDATES << request.rejections
         )
         best = min(sampled, key=self._rank)
-        if self._costs.checks_each_request and not self._context.stall.back:
+        if self._costs.checks_each_request and not self._context.stall.just_resumed:
             # Right after a stall, others that stalled as well would get the same answers at once.
             return Choice(best, sorted(sampled, key=self._own_load)[: self._costs.checks_per_request])
         return Choice(best, [])
@@ -123,7 +123,7 @@
 
     def _candidates(self, request: Request) -> list[Server]:
         """The eligible servers of this balancer's subset; first of its own zone, where the costs ask for that."""
-        request.any_zone = request.any_zone or self._context.stall.back
+        request.any_zone = request.any_zone or self._context.stall.just_resumed
         listed = self._servers.ready if request.any_zone else self._servers.ready_in_zone
         candidates = self._subset(listed, request)
         if len(candidates) < 2 and not request.any_zone:
--- a/topazbank/balancing/servers.py
+++ b/topazbank/balancing/servers.py
@@ -8,7 +8,7 @@
 
 from topazbank.balancing.context import DecisionContext
 from topazbank.balancing.events import ServerState
-from topazbank.estimation.load_gossip import tag_of
+from topazbank.estimation.load_gossip import server_tag
 
 Flow = tuple[str, str | None]  # the class and tenant of a request
 
@@ -85,7 +85,7 @@
         server = self.by_name.get(name)
         if server is None:
             self._numbers += 1
-            server = Server(name, self._numbers, self._context.random.random(), tag_of(name))
+            server = Server(name, self._numbers, self._context.random.random(), server_tag(name))
             self.by_name[name] = self.by_number[server.number] = server
         return server
 
--- a/topazbank/balancing/slow_start.py
+++ b/topazbank/balancing/slow_start.py
@@ -13,7 +13,7 @@
 from topazbank.balancing.fleet import RoutingPlan
 from topazbank.balancing.load import RATE_WINDOWS, OwnLoad
 from topazbank.balancing.servers import Server, ServerTable
-from topazbank.estimation.decaying_sum import Rate
+from topazbank.estimation.decaying_sum import DecayingRate
 
 FILL_RATIO: Final = 0.4  # of the collapsing load, at which the bucket fills: about what its warmth can bear
 BURST_RATIO: Final = 0.18  # of the collapsing load over its window, that may come at once
@@ -34,7 +34,7 @@
         self._load = load
         self._plan = plan
         # Cost of what warm servers served.  Overload serves the light requests, so arrivals would mislead.
-        self._served_warm = Rate(RATE_WINDOWS * self._rules.overload_window_us)
+        self._served_warm = DecayingRate(RATE_WINDOWS * self._rules.overload_window_us)
         self._bearable_per_us = 0.0  # what a warm server of mean capacity serves for this balancer
         self._mean_capacity = 1.0
         self._bearable_at = -1  # when these two were worked out
--- a/topazbank/balancing/sparse_admission.py
+++ b/topazbank/balancing/sparse_admission.py
@@ -6,8 +6,8 @@
 
 from topazbank.balancing.context import DecisionContext
 from topazbank.balancing.load import FEW_REQUESTS, OwnLoad
-from topazbank.estimation.decaying_sum import Rate
-from topazbank.estimation.load_estimator import Strain
+from topazbank.estimation.decaying_sum import DecayingRate
+from topazbank.estimation.load_estimator import LoadEstimator
 
 WINDOW_OBJECTIVES: Final = 4.0  # counts are taken over this many of the longest objective
 CAPACITY_MARGIN: Final = 1.2  # this many times what was answered in time is admitted
@@ -18,14 +18,14 @@
 class SparseAdmission:
     """Sheds requests of a balancer that has too few of them for a concurrency limit to be sized."""
 
-    def __init__(self, context: DecisionContext, load: OwnLoad, estimator: Strain) -> None:
+    def __init__(self, context: DecisionContext, load: OwnLoad, estimator: LoadEstimator) -> None:
         self._context = context
         self._load = load
         self._estimator = estimator
         self._window_us = WINDOW_OBJECTIVES * context.longest_objective_us
-        self._in_time = Rate(self._window_us)
-        self._late = Rate(self._window_us)
-        self._shed = Rate(self._window_us)
+        self._in_time = DecayingRate(self._window_us)
+        self._late = DecayingRate(self._window_us)
+        self._shed = DecayingRate(self._window_us)
 
     def is_sparse(self) -> bool:
         """Whether so few requests come that counts decide."""
@@ -43,7 +43,7 @@
 
     def sheds(self, priority_rank: float) -> bool:
         """Whether to shed a request; `priority_rank`: the part of the traffic with a lower priority."""
-        cpu_ratio = self._estimator.cores
+        cpu_ratio = self._estimator.cpu_utilization
         if cpu_ratio is not None and cpu_ratio < IDLE_CPU_RATIO:
             return False
         now = self._context.now
