--- a/benchmarks/ensemble_scale.py
+++ b/benchmarks/ensemble_scale.py
@@ -119,7 +119,7 @@
     made = []
     for number in range(first, first + count):
         made.append(ZooKeeperSource(Where(members, SESSION_S), PATH, told, number))
-        made[-1].follow(True)
+        made[-1].watch(True)
     while True:
         await asyncio.sleep(0.2)
         sizes = [len(each.roster.entries) - len(each.roster._unread) for each in made]
--- a/benchmarks/list_hold.py
+++ b/benchmarks/list_hold.py
@@ -23,7 +23,7 @@
 from topazbank.balancing import balancer
 from topazbank.balancing.events import EndpointsUpdated, ServerDescription, ServerState, UpdateKind
 from topazbank.core.driver import Sidecar, SidecarConfig
-from topazbank.core.endpoint_list import STEP
+from topazbank.core.endpoint_list import BATCH_SIZE
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList
 from topazbank.discovery import zkclient, zkwire
 from topazbank.discovery.merge import Merge
@@ -92,7 +92,7 @@
 
 
 def settled(made: Sidecar) -> bool:
-    return not made.server_list.listing.waits()
+    return not made.endpoint_watcher.updates.has_pending()
 
 
 class Turns:
@@ -123,10 +123,10 @@
     holds, steps = [], 0
     for _ in range(WHOLE_ROUNDS):
         made = Sidecar(config, wire(OperatorConfig()))
-        made.server_list.source.stop()  # nobody answers there
+        made.endpoint_watcher.source.stop()  # nobody answers there
         turns = Turns()
         began = time.perf_counter()
-        made.server_list.told(EndpointList(1, True, whole))
+        made.endpoint_watcher.receive(EndpointList(1, True, whole))
         turns.longest_s = time.perf_counter() - began
         await turns.until(partial(settled, made))
         holds.append(turns.longest_s)
@@ -135,7 +135,7 @@
 
     def change(number: int) -> None:
         line = whole[size // 2]
-        made.server_list.told(
+        made.endpoint_watcher.receive(
             EndpointList(
                 2,
                 False,
@@ -176,7 +176,7 @@
     """One change and a turn's part of a whole list, among two sources."""
     both = Merge(["zookeeper", "registry"])
     whole = lines(size)
-    some = lines(min(size, STEP), ServerState.DRAINING)
+    some = lines(min(size, BATCH_SIZE), ServerState.DRAINING)
     both.told("zookeeper", EndpointList(1, True, whole))
     both.told("registry", EndpointList(1, True, lines(size)))
     states = (ServerState.DRAINING, ServerState.READY)
@@ -187,7 +187,7 @@
         both.told("zookeeper", EndpointList(2, False, [DiscoveredServer(server, line.address)]))
 
     def again(number: int) -> None:
-        both.told("zookeeper", EndpointList(2, False, whole[:STEP] if number % 2 else some))
+        both.told("zookeeper", EndpointList(2, False, whole[:BATCH_SIZE] if number % 2 else some))
 
     return median_ms(change, ROUNDS), median_ms(again, WHOLE_ROUNDS)
 
--- a/benchmarks/notification_delay.py
+++ b/benchmarks/notification_delay.py
@@ -96,7 +96,7 @@
 
     everyone = {lodge.name for lodge, _ in nodes}
     await until(lambda: ready() == everyone)
-    tasks += [asyncio.create_task(load(sidecar.frontend.address, number)) for number in range(CALLERS)]
+    tasks += [asyncio.create_task(load(sidecar.listener.address, number)) for number in range(CALLERS)]
     took: dict[str, list[float]] = {"deleted": [], "leaving": []}
     changed: deque[int] = deque(maxlen=NODES - 6)
     loop = asyncio.get_running_loop()
--- a/benchmarks/planners.py
+++ b/benchmarks/planners.py
@@ -78,7 +78,7 @@
     def __init__(self, told: Any) -> None:
         self._told = told
 
-    def follow(self, wanted: bool) -> None:
+    def watch(self, wanted: bool) -> None:
         lines = [
             DiscoveredServer(
                 ServerDescription(f"n-{each:02}", "a", "std", each % 3, ServerState.READY, 1.0),
@@ -94,7 +94,7 @@
 
     def stop(self) -> None: ...
 
-    def standing(self) -> tuple[SourceStatus, ...]:
+    def status(self) -> tuple[SourceStatus, ...]:
         return ()
 
     def source_of(self, name: str) -> str:
@@ -133,7 +133,7 @@
     made = []
     for number in range(first, first + count):
         each = Forwarding(f"f-{number}", [planner], now, number)
-        each.listed(servers)
+        each.endpoints_updated(servers)
         each.start(list, lambda: None)
         made.append(each)
         if number % 50 == 49:
@@ -142,10 +142,12 @@
     while True:  # about one request a second each, as far as summaries tell
         await asyncio.sleep(0.1)
         for each in made[chance::10]:
-            each.arrived("check")
-            each.sent(servers[chance].name)
-            each.ended(servers[chance].name, True, 50_000, {"inflight": 2.0, "queue": 0.0, "util": 0.5})
-            each.answered("check", True)
+            each.request_arrived("check")
+            each.attempt_sent(servers[chance].name)
+            each.attempt_ended(
+                servers[chance].name, True, 50_000, {"inflight": 2.0, "queue": 0.0, "util": 0.5}
+            )
+            each.request_answered("check", True)
         chance = (chance + 1) % 10
         followed = sum(each.follower.trust(now()) > 0.0 for each in made)
         print(json.dumps({"followed": followed}), flush=True)
--- a/testbed/fleet/calling.py
+++ b/testbed/fleet/calling.py
@@ -111,12 +111,12 @@
 
             return made(config, hear)
 
-        made = wiring.source
-        return replace(wiring, source=source)
+        made = wiring.endpoint_source
+        return replace(wiring, endpoint_source=source)
 
     def hear(self, number: int, told: EndpointList) -> None:
         at, said = now(), set()
-        for line in told.lines:
+        for line in told.entries:
             said.add(line.server.name)
             self.words.append(Word(at, number, line.server.name, line.server.state is ServerState.READY))
         if told.complete:
--- a/testbed/fleet/harness.py
+++ b/testbed/fleet/harness.py
@@ -46,7 +46,7 @@
 class Silent:
     """A source that never says anything: the list of before the start is all there is."""
 
-    def follow(self, wanted: bool) -> None: ...
+    def watch(self, wanted: bool) -> None: ...
 
     def fetch(self) -> None: ...
 
@@ -54,7 +54,7 @@
 
     def stop(self) -> None: ...
 
-    def standing(self) -> tuple[SourceStatus, ...]:
+    def status(self) -> tuple[SourceStatus, ...]:
         return (SourceStatus("fixed", False, None),)
 
     def source_of(self, name: str) -> str:
@@ -128,8 +128,8 @@
         for process in self.processes:
             if process is not None:
                 process.task.cancel()
-                process.sidecar.server_list.source.stop()
-                process.sidecar.frontend.stop()
+                process.sidecar.endpoint_watcher.source.stop()
+                process.sidecar.listener.stop()
         for number in range(len(self.planners)):
             self.kill_planner(number)
         for way in self.ways.values():
@@ -231,7 +231,7 @@
         )
         wiring = wire(operator)
         if self.fixed:
-            wiring = replace(wiring, source=lambda config, told: Silent())
+            wiring = replace(wiring, endpoint_source=lambda config, told: Silent())
         wiring = self.ears.overhear(wiring, number)
         config = SidecarConfig(
             self._addresses[number],
@@ -241,11 +241,11 @@
             self._settings,
             EndpointList(0, True, known),
         )
-        self.ears.hear(number, config.known)
+        self.ears.hear(number, config.cached_endpoints)
         sidecar, stop = Sidecar(config, wiring), asyncio.Event()
         task = asyncio.get_running_loop().create_task(sidecar.run(stop))
-        await until(lambda: sidecar.frontend.address[1] != 0)
-        self._addresses[number] = sidecar.frontend.address
+        await until(lambda: sidecar.listener.address[1] != 0)
+        self._addresses[number] = sidecar.listener.address
         self.processes[number] = Process(sidecar, stop, task, now())
 
     async def restart_sidecar(self, number: int) -> None:
@@ -267,7 +267,7 @@
                 each.address,
                 each.protocol,
             )
-            for each in process.sidecar._nodes.endpoints.values()
+            for each in process.sidecar._endpoints.endpoints.values()
             if (server := process.sidecar._balancer._servers[each.name])
         ]
         process.stop.set()
@@ -288,7 +288,7 @@
 
     def sources(self) -> list[Any]:
         """The sidecars' own ensemble sources."""
-        several = [each.sidecar.server_list.source for each in self.processes if each is not None]
+        several = [each.sidecar.endpoint_watcher.source for each in self.processes if each is not None]
         return [each._sources[ZOOKEEPER] for each in several if not isinstance(each, Silent)]  # type: ignore[attr-defined]
 
     def _membership(self) -> Membership:
--- a/testbed/fleet/synthetic_peers.py
+++ b/testbed/fleet/synthetic_peers.py
@@ -125,11 +125,11 @@
         ended, self._lives = self._lives, []  # from here on no call goes to them, and what is out is cut off
         for sidecar, task in ended:
             task.cancel()
-            sidecar.frontend.stop()
-            for connection in sidecar.frontend.connections:
+            sidecar.listener.stop()
+            for connection in sidecar.listener.connections:
                 connection.abort()
-            sidecar.server_list.source.stop()
-            await sidecar._nodes.close()
+            sidecar.endpoint_watcher.source.stop()
+            await sidecar._endpoints.close()
         await asyncio.sleep(0)
 
     def load(self) -> None:
@@ -154,7 +154,7 @@
         key = f"key-{ident}" if kind == "amend" else None
         wish = Wish(kind, ident, body=b"" if kind == "check" else b"x", budget_s=BUDGET_S, key=key)
         life = self._lives[number][0]
-        caller = self._callers.pop(number, None) or HttpCaller(life.frontend.address)
+        caller = self._callers.pop(number, None) or HttpCaller(life.listener.address)
         self.counts["calls"] += 1
         got = await caller.call(wish)
         alive = number < len(self._lives) and self._lives[number][0] is life
@@ -165,7 +165,7 @@
             self._callers[number] = caller
 
     def told(self) -> dict[str, int]:
-        open_now = [sidecar._nodes.slots.open for sidecar, _ in self._lives]
+        open_now = [sidecar._endpoints.connection_limit.open_count for sidecar, _ in self._lives]
         return dict(self.counts) | {"open": sum(open_now), "most open": max(open_now, default=0)}
 
 
--- a/testbed/fleet/worker.py
+++ b/testbed/fleet/worker.py
@@ -78,7 +78,7 @@
         rate = self.spec.rate * len(self.sidecars)
         self._loading = asyncio.get_running_loop().create_task(
             self.clients.load(
-                rate, self._over, lambda: numbers, lambda number: self.sidecars[number].frontend.address
+                rate, self._over, lambda: numbers, lambda number: self.sidecars[number].listener.address
             )
         )
 
--- a/tests/discovery/test_combined.py
+++ b/tests/discovery/test_combined.py
@@ -22,7 +22,7 @@
     def __init__(self, told: Callable[[EndpointList | None], None]) -> None:
         self.told = told
 
-    def follow(self, wanted: bool) -> None: ...
+    def watch(self, wanted: bool) -> None: ...
 
     def fetch(self) -> None: ...
 
@@ -30,7 +30,7 @@
 
     def stop(self) -> None: ...
 
-    def standing(self) -> tuple[SourceStatus, ...]:
+    def status(self) -> tuple[SourceStatus, ...]:
         return ()
 
     def source_of(self, name: str) -> str:
@@ -52,7 +52,7 @@
         several = CombinedSource(
             {"registry": lambda told: RegistrySource(service.address, 1, told), "other": Silent}, heard.append
         )
-        several.follow(True)
+        several.watch(True)
         began = loop.time()
         for _ in range(4):
             service.answers.put_nowait(failing)
--- a/tests/discovery/test_histories.py
+++ b/tests/discovery/test_histories.py
@@ -50,7 +50,7 @@
         await self.change(lambda draft: draft.create(PATH, b"", OPEN, 0))
         members = self.ensemble.addresses
         self.source = ZooKeeperSource(Where(members, 1.0), PATH, self.told, self.random.randrange(10**6))
-        self.source.follow(True)
+        self.source.watch(True)
 
     def stop(self) -> None:
         self.source.stop()
@@ -59,10 +59,10 @@
     def told(self, told: EndpointList | None) -> None:
         assert told is not None
         if self.out:
-            assert not told.complete or told.lines, "emptied by an outage"
+            assert not told.complete or told.entries, "emptied by an outage"
         if told.complete:
             self.states = {}
-        for line in told.lines:
+        for line in told.entries:
             self.states[line.server.name] = line.server.state
             if line.server.state is ServerState.REMOVED:
                 del self.states[line.server.name]
--- a/tests/discovery/test_merge.py
+++ b/tests/discovery/test_merge.py
@@ -23,7 +23,7 @@
 
 def read(told: EndpointList | None) -> dict[str, ServerState]:
     assert told is not None
-    return {each.server.name: each.server.state for each in told.lines}
+    return {each.server.name: each.server.state for each in told.entries}
 
 
 def test_the_list_begins_when_all_sources_have_spoken_or_can_t() -> None:
--- a/tests/discovery/test_registering.py
+++ b/tests/discovery/test_registering.py
@@ -85,7 +85,7 @@
 
         def told(what: EndpointList | None) -> None:
             assert what is not None
-            states.extend(line.server.state for line in what.lines)
+            states.extend(line.server.state for line in what.entries)
 
         async with registered(ensemble) as (process, lines):
             await until(lambda: "n-1 is in" in lines)
@@ -94,7 +94,7 @@
             )
             members = where(ensemble).members
             source = ZooKeeperSource(Where(members, 2.0, "/site-a"), "/lodge/nodes", told, 1)
-            source.follow(True)
+            source.watch(True)
             await until(lambda: states == [ServerState.READY])
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
@@ -206,10 +206,10 @@
 
         def told(what: EndpointList | None, known: dict[str, ServerState] = states[number]) -> None:
             assert what is not None
-            known.update({line.server.name: line.server.state for line in what.lines})
+            known.update({line.server.name: line.server.state for line in what.entries})
 
         sources.append(ZooKeeperSource(where(ensemble, 5.0), "/nodes", told, number))
-        sources[-1].follow(True)
+        sources[-1].watch(True)
     await until(lambda: all(len(each) == NODES for each in states))
     try:
         yield ensemble, sources, states
--- a/tests/discovery/test_zookeeper.py
+++ b/tests/discovery/test_zookeeper.py
@@ -80,7 +80,7 @@
 
     @property
     def source(self) -> ZooKeeperSource:
-        several: Any = self.w.sidecar.server_list.source
+        several: Any = self.w.sidecar.endpoint_watcher.source
         made = several._sources[ZOOKEEPER]
         assert isinstance(made, ZooKeeperSource)
         return made
@@ -117,7 +117,7 @@
         async with stage(served, served) as s:
             for number in range(10):
                 assert (await s.w.ask(X_Call_Id=f"c-{number}"))[0] == 200
-            assert {each.protocol for each in s.w.sidecar._nodes.endpoints.values()} == {pair().nodes}
+            assert {each.protocol for each in s.w.sidecar._endpoints.endpoints.values()} == {pair().nodes}
             assert not s.w.discovery.targets  # the registry is not asked
 
     play(scene())
@@ -126,7 +126,7 @@
 def test_a_session_that_expires_under_a_running_lodge_takes_nothing_from_it_and_brings_nothing_new() -> None:
     async def scene() -> None:
         async with stage(hung) as s:
-            one = await client(s.w.sidecar.frontend.address)
+            one = await client(s.w.sidecar.listener.address)
             one.send(request("pay", body=b"x", X_Call_Id="lodge"))
             await until(s.w.sent)
             s.registrars[0]._task.cancel()  # type: ignore[union-attr]  # it does not register again
@@ -203,8 +203,8 @@
             for number in range(10):
                 assert (await s.w.ask(X_Call_Id=f"c-{number}"))[0] == 200
             assert s.ready == {"s-0", "s-1"}
-            standing = s.w.sidecar.server_list.source.standing()[0]
-            assert not standing.can_know and standing.heard_at is not None
+            standing = s.w.sidecar.endpoint_watcher.source.status()[0]
+            assert not standing.is_connected and standing.last_contact_at is not None
             s.ensemble.restore()
             # While it was away one node ended; the ensemble says so before the sidecar is back.
             await until(lambda: s.ensemble.leader is not None)
@@ -245,12 +245,12 @@
         told: list[EndpointList | None] = []
         assert empty.server is not None
         source = ZooKeeperSource(Where((empty.server.address,), 2.0), PATH, told.append, 1)
-        source.follow(True)
+        source.watch(True)
         await asyncio.sleep(0.6)
         assert not told and not source.roster.entries
         ensemble.heal(empty.number)
         await until(lambda: told)
-        assert told[0] is not None and [each.server.name for each in told[0].lines] == ["s-0"]
+        assert told[0] is not None and [each.server.name for each in told[0].entries] == ["s-0"]
         source.stop()
         registered.crash()
         node.stop()
@@ -370,7 +370,7 @@
     async def scene() -> None:
         async with stage(served, served) as s:
             status, _, body = await ask(
-                s.w.sidecar.frontend.address, b"GET /admin/roster HTTP/1.1\r\nHost: x\r\n\r\n"
+                s.w.sidecar.listener.address, b"GET /admin/roster HTTP/1.1\r\nHost: x\r\n\r\n"
             )
             told = json.loads(body)
             assert status == 200 and [each["name"] for each in told["nodes"]] == ["s-0", "s-1"]
--- a/tests/incidents/test_stopped_clients.py
+++ b/tests/incidents/test_stopped_clients.py
@@ -359,14 +359,14 @@
     # can't be ended any more.
     async def scene() -> None:
         async with world(_answers) as w:
-            sock = socket.create_connection(w.sidecar.frontend.address)
+            sock = socket.create_connection(w.sidecar.listener.address)
             sock.sendall(half)
-            await until(lambda: [each.state for each in w.sidecar.frontend.connections] == [READING_HEAD])
-            (connection,) = w.sidecar.frontend.connections
+            await until(lambda: [each.state for each in w.sidecar.listener.connections] == [READING_HEAD])
+            (connection,) = w.sidecar.listener.connections
             sock.close()  # before the loop has had a turn to hear of it
             if word == "_settle":
                 connection._sock.send(b"x")
             getattr(connection, word)()
-            await until(lambda: not w.sidecar.frontend.connections)
+            await until(lambda: not w.sidecar.listener.connections)
 
     play(scene())
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -259,7 +259,7 @@
         return [request for server in self.servers for request in server.requests]
 
     async def ask(self, **changes: Any) -> tuple[int, Head, bytes]:
-        return await ask(self.sidecar.frontend.address, request(**changes))
+        return await ask(self.sidecar.listener.address, request(**changes))
 
 
 # As the stage has them, with time enough for a slow machine.
@@ -292,7 +292,9 @@
     await until(lambda: made.sidecar._balancer._begun)
     try:
         yield made
-        broken = {name: count for name, count in made.sidecar.counters.show()["violations"].items() if count}
+        broken = {
+            name: count for name, count in made.sidecar.counters.as_mapping()["violations"].items() if count
+        }
         assert not broken, f"promises broken at run time: {broken}"
     finally:
         running.cancel()
--- a/tests/msgpackrpc/simulated.py
+++ b/tests/msgpackrpc/simulated.py
@@ -227,7 +227,7 @@
     """A client's connection: it notes each response and checks that it is its call's own."""
 
     def __init__(self, world: Played, room: int = _NO_END) -> None:
-        self.connection = RpcConnection(world.sidecar.frontend, world.quiet)
+        self.connection = RpcConnection(world.sidecar.listener, world.quiet)
         super().__init__(self.connection, room)
         self.world = world
         self.unpacker = msgpack.Unpacker(raw=False)
@@ -282,7 +282,7 @@
 
 
 class _NoSource:
-    def follow(self, wanted: bool) -> None: ...
+    def watch(self, wanted: bool) -> None: ...
 
     def fetch(self) -> None: ...
 
@@ -290,7 +290,7 @@
 
     def stop(self) -> None: ...
 
-    def standing(self) -> tuple[SourceStatus, ...]:
+    def status(self) -> tuple[SourceStatus, ...]:
         return ()
 
     def source_of(self, name: str) -> str:
@@ -335,11 +335,11 @@
             RpcConnection,
             carriers,
             lambda *_: _NoSource(),
-            dialects=ProtocolDefaults(MSGPACK_RPC),
+            protocol_defaults=ProtocolDefaults(MSGPACK_RPC),
         )
         self.sidecar = Sidecar(config, wiring, Clock(lambda: int(loop.time() * 1e9)))
-        self.sidecar.server_list.begin(at_once=False)
-        self._frontend: Listener = self.sidecar.frontend
+        self.sidecar.endpoint_watcher.start(at_once=False)
+        self._frontend: Listener = self.sidecar.listener
 
     def check(self, kept: bool, rule: str) -> None:
         if not kept:
@@ -361,17 +361,19 @@
 
     def give_up(self, index: int) -> None:
         """Stop waiting for an attempt of a request that is open, as the decision module does with a silent one."""
-        lives = [live for live in self.sidecar._live.values() if live.out and not live.answered]
-        lives = [live for live in lives if live.call.kind.name != "pay"]
+        lives = [live for live in self.sidecar._live.values() if live.attempts and not live.answered]
+        lives = [live for live in lives if live.call.request_class.name != "pay"]
         if lives:
             live = lives[index % len(lives)]
             self.sidecar._balancer._extra = 5.0  # so that its end draws again
-            self.sidecar._cancel(CancelAttempt(live.ident, next(iter(live.out))))
+            self.sidecar._cancel(CancelAttempt(live.request, next(iter(live.attempts))))
 
     def drain(self, node: Node) -> None:
         node.drained = True
         server = ServerDescription(node.name, "east", "m", 1, ServerState.DRAINING)
-        self.sidecar.server_list.told(EndpointList(2, False, [DiscoveredServer(server, ("127.0.0.1", 9))]))
+        self.sidecar.endpoint_watcher.receive(
+            EndpointList(2, False, [DiscoveredServer(server, ("127.0.0.1", 9))])
+        )
 
     async def settle(self) -> None:
         """Let all time pass that anything may take, and judge."""
--- a/tests/msgpackrpc/test_front.py
+++ b/tests/msgpackrpc/test_front.py
@@ -77,7 +77,7 @@
         async with world(
             lambda first, *_: None if "held" in first else answer(200, first.split(" ")[1].encode())
         ) as w:
-            one = await client(w.sidecar.frontend.address)
+            one = await client(w.sidecar.listener.address)
             one.writer.write(
                 call(1, path="/api/held") + b"".join(call(n, path=f"/api/{n}") for n in range(2, 30))
             )
@@ -95,11 +95,11 @@
 def test_a_live_message_id_given_again_never_runs_and_the_first_one_gets_its_own_answer() -> None:
     async def scene() -> None:
         async with world(hung) as w:
-            one = await client(w.sidecar.frontend.address)
+            one = await client(w.sidecar.listener.address)
             one.writer.write(call(5, "pay", "first", b"1"))
             await until(w.sent)
             one.writer.write(call(5, "pay", "second", b"2") + call(6, "pay", "third", b"3"))
-            await until(lambda: all(each._broken for each in w.sidecar.frontend.connections))  # type: ignore[attr-defined]
+            await until(lambda: all(each._broken for each in w.sidecar.listener.connections))  # type: ignore[attr-defined]
             w.servers[0].answer_held(answer(200, b"the first's"))
             assert (await answers(one, 1))[5]["body"] == b"the first's"
             assert await one.is_closed()
@@ -111,7 +111,7 @@
 def test_a_message_id_may_be_used_again_once_it_is_answered() -> None:
     async def scene() -> None:
         async with world(served) as w:
-            one = await client(w.sidecar.frontend.address)
+            one = await client(w.sidecar.listener.address)
             for _ in range(3):
                 one.writer.write(call(2**32 - 1))
                 assert (await answers(one, 1))[2**32 - 1]["body"] == b"served"
@@ -123,7 +123,7 @@
 def test_a_lodge_sent_as_a_notification_is_not_lost_in_silence() -> None:
     async def scene() -> None:
         async with world(served) as w:
-            one = await client(w.sidecar.frontend.address)
+            one = await client(w.sidecar.listener.address)
             one.writer.write(pack([2, "keep-alive", []]) + call(1))  # it asks for nothing, so nothing is lost
             assert (await answers(one, 1))[1]["body"] == b"served"
             one.writer.write(pack([2, "pay", [{"id": "x", "budget": 1.0}, b"body"]]))
@@ -147,7 +147,7 @@
     async def scene() -> None:
         data, msgid = BAD[name]
         async with world(served) as w:
-            one = await client(w.sidecar.frontend.address)
+            one = await client(w.sidecar.listener.address)
             began = asyncio.get_running_loop().time()
             one.writer.write(data)
             if msgid is not None:
@@ -156,7 +156,7 @@
             assert asyncio.get_running_loop().time() - began < 10.0  # 2 s here; generous for a slow machine
             one.close()
             assert await still_serves(w)
-            await until(lambda: not w.sidecar.frontend.connections)
+            await until(lambda: not w.sidecar.listener.connections)
 
     play(scene())
 
@@ -180,7 +180,7 @@
 def test_a_bad_call_is_answered_and_its_neighbours_feel_nothing(bad: bytes, code: int) -> None:
     async def scene() -> None:
         async with world(lambda first, *_: None if "held" in first else served()) as w:
-            one = await client(w.sidecar.frontend.address)
+            one = await client(w.sidecar.listener.address)
             one.writer.write(call(1, "pay", "held", b"x", path="/api/held"))
             await until(w.sent)
             one.writer.write(bad)
@@ -200,7 +200,7 @@
 def test_a_message_id_out_of_range_is_answered_under_itself(msgid: int) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            one = await client(w.sidecar.frontend.address)
+            one = await client(w.sidecar.listener.address)
             one.writer.write(call(msgid))
             assert (await answers(one, 1))[msgid][0] == 400
             assert not w.sent()
@@ -212,7 +212,7 @@
 def test_half_a_message_and_silence_end_the_connection_after_its_calls_are_answered() -> None:
     async def scene() -> None:
         async with world(hung) as w:
-            one = await client(w.sidecar.frontend.address)
+            one = await client(w.sidecar.listener.address)
             one.writer.write(call(1, "pay", body=b"x") + call(9)[:-5])
             got = await answers(one, 1)  # the half one's, within its limit
             assert got[9][0] == 408
@@ -230,13 +230,13 @@
 def test_a_connection_that_says_no_more_is_ended(said: bytes) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            one = await client(w.sidecar.frontend.address)
+            one = await client(w.sidecar.listener.address)
             one.writer.write(said)
             if len(said) > 3:
                 assert (await answers(one, 1))[7][0] == 408
             assert await one.is_closed()
             one.close()
-            await until(lambda: not w.sidecar.frontend.connections)
+            await until(lambda: not w.sidecar.listener.connections)
 
     play(scene())
 
@@ -244,13 +244,15 @@
 def test_a_client_that_closes_with_many_calls_out_leaves_nothing_behind() -> None:
     async def scene() -> None:
         async with world(hung, hung) as w:
-            one = await client(w.sidecar.frontend.address)
+            one = await client(w.sidecar.listener.address)
             kinds = ("pay", "look")
             one.writer.write(b"".join(call(n, kinds[n % 2], body=b"x" * (n % 2 == 0)) for n in range(40)))
             await until(lambda: len(w.sent()) == 40)
             one.close()
-            await until(lambda: not w.sidecar._live and not w.sidecar.frontend.connections)
-            await until(lambda: not w.sidecar._nodes.slots.open)  # given up means that connections are closed
+            await until(lambda: not w.sidecar._live and not w.sidecar.listener.connections)
+            await until(
+                lambda: not w.sidecar._endpoints.connection_limit.open_count
+            )  # given up means that connections are closed
 
     play(scene())
 
@@ -261,7 +263,7 @@
             each | {"latency_objective_us": 600 * S} for each in CLASSES
         ]  # else what was late here may be refused
         async with world(hung, hung, sockets=1024, classes=unhurried) as w:
-            one = await client(w.sidecar.frontend.address)
+            one = await client(w.sidecar.listener.address)
             many = CALLS_MOST + 100
             one.writer.write(b"".join(call(n, "pay", body=b"x") for n in range(many)))
             await until(lambda: len(w.sent()) == CALLS_MOST)
@@ -287,11 +289,11 @@
             slow = socket.socket()
             slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
             slow.setblocking(False)
-            await asyncio.get_running_loop().sock_connect(slow, w.sidecar.frontend.address)
+            await asyncio.get_running_loop().sock_connect(slow, w.sidecar.listener.address)
             slow.send(b"".join(call(n) for n in range(100)))
             await until(w.sent)
             assert await still_serves(w)
-            await until(lambda: not w.sidecar.frontend.connections and not w.sidecar._live)
+            await until(lambda: not w.sidecar.listener.connections and not w.sidecar._live)
             assert RpcConnection._waiting_in_all == 0
             slow.close()
 
@@ -304,7 +306,7 @@
             raw = socket.socket()
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             raw.setblocking(False)
-            await asyncio.get_running_loop().sock_connect(raw, w.sidecar.frontend.address)
+            await asyncio.get_running_loop().sock_connect(raw, w.sidecar.listener.address)
             one = Client(*await asyncio.open_connection(sock=raw, limit=4096))
             for n in range(60):  # 3.6 MB of answers, of which little fits on the way
                 one.writer.write(call(n))
@@ -319,7 +321,7 @@
     async def scene() -> None:
         async with world(served) as w:
             for number in range(6):
-                reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+                reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
                 if number % 2:
                     writer.write(call(number))
                     assert (await asyncio.wait_for(reader.read(1), PATIENCE_S)) == b"\x94"
@@ -334,11 +336,11 @@
 def test_calls_that_still_come_when_a_drain_takes_no_more_are_refused_at_once() -> None:
     async def scene() -> None:
         async with world(hung) as w:
-            one = await client(w.sidecar.frontend.address)
+            one = await client(w.sidecar.listener.address)
             one.writer.write(call(1, "pay", body=b"x"))
             await until(w.sent)
             w.stop.set()
-            await until(lambda: w.sidecar.frontend.stopped)
+            await until(lambda: w.sidecar.listener.rejects_new)
             one.writer.write(call(2, "pay", body=b"y"))
             assert (await answers(one, 1))[2][:2] == [503, "refused"]
             w.servers[0].answer_held(answer(200, b"held"))
--- a/tests/msgpackrpc/test_mapping.py
+++ b/tests/msgpackrpc/test_mapping.py
@@ -33,15 +33,20 @@
 
 def test_a_call_is_read_whole() -> None:
     call = read("amend", idempotency_key="k-1", cost_us=120, again=True, type="text/plain")
-    assert (call.ident, call.kind.name, call.target, call.body) == ("c-1", "amend", b"/api/7f?q=1", b"\0b")
-    assert (call.tenant, call.key, call.budget_us, call.cost_us, call.again) == (
+    assert (call.call_id, call.request_class.name, call.target, call.body) == (
+        "c-1",
+        "amend",
+        b"/api/7f?q=1",
+        b"\0b",
+    )
+    assert (call.tenant, call.key, call.timeout_us, call.cost_us, call.is_retry) == (
         "acme",
         0x7F,
         1_500_000,
         120,
         True,
     )
-    assert call.idempotency_key == "k-1" and call.about == [(b"content-type", b"text/plain")]
+    assert call.idempotency_key == "k-1" and call.content_headers == [(b"content-type", b"text/plain")]
 
 
 def test_a_key_stands_for_its_path_and_neither_for_the_application_s_root() -> None:
@@ -121,7 +126,7 @@
 )
 def test_what_makes_no_sense_is_named(changes: dict[str, Any], status: int | None, field: str) -> None:
     if status is None:
-        assert read(**changes, body=None).kind.name == "look"  # a text of either type
+        assert read(**changes, body=None).request_class.name == "look"  # a text of either type
         return
     with pytest.raises(InvalidRequest) as bad:
         read(**changes)
@@ -136,9 +141,9 @@
 
 def test_a_content_type_that_would_end_a_header_is_left_out() -> None:
     for junk in ("a\r\nX-Evil: 1", "", "é", 7, "x" * 2000):
-        assert read(type=junk).about is None
+        assert read(type=junk).content_headers is None
     reply = Reply(1, None, {b"body": b"x", b"type": b"a\r\nSet-Cookie: x"})
-    assert read_reply(reply, ())[1].about is None  # type: ignore[union-attr]
+    assert read_reply(reply, ())[1].content_headers is None  # type: ignore[union-attr]
 
 
 # Guards rule 2: only the node's own word proves that a call never ran.
@@ -195,8 +200,12 @@
     [
         (FinalAnswer(Verdict.SERVED, b"\xff"), None, {"body": b"\xff"}),
         (FinalAnswer(Verdict.SERVED, b"x", [(b"content-type", b"a/b")]), None, {"body": b"x", "type": "a/b"}),
-        (FinalAnswer(Verdict.REFUSED), [503, "refused", {}], None),
-        (FinalAnswer(Verdict.REFUSED, retry_after_us=250_000), [503, "refused", {"retry_after": 0.25}], None),
+        (FinalAnswer(Verdict.REJECTED), [503, "refused", {}], None),
+        (
+            FinalAnswer(Verdict.REJECTED, retry_after_us=250_000),
+            [503, "refused", {"retry_after": 0.25}],
+            None,
+        ),
         (FinalAnswer(Verdict.FAILED), [500, "failed", {}], None),
     ],
 )
--- a/tests/msgpackrpc/test_third_party.py
+++ b/tests/msgpackrpc/test_third_party.py
@@ -26,7 +26,7 @@
     async def scene() -> None:
         use(Pair(MSGPACK_RPC, nodes))
         async with world(lambda first, given, body: answer(200, given["x-call-id"].encode() + body)) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             client = aio_msgpack_rpc.Client(reader, writer)
             calls = [client.call("pay", envelope(f"c-{n}"), b"\xff%d" % n) for n in range(20)]
             got = await asyncio.gather(*calls)
@@ -82,7 +82,7 @@
         sidecar = Sidecar(config, wire(OperatorConfig(MsgpackRpc(clients=True, nodes=True))))
         running = asyncio.create_task(sidecar.run(asyncio.Event()))
         await until(lambda: sidecar._balancer._begun)
-        where = sidecar.frontend.address
+        where = sidecar.listener.address
         asked = [ask(where, request("pay", body=b"%d" % n, X_Call_Id=f"c-{n}")) for n in range(10)]
         assert [each[2] for each in await asyncio.gather(*asked)] == [b"paid %d" % n for n in range(10)]
         assert (await ask(where, request("look", X_Call_Id="l")))[2] == b"seen"
--- a/tests/msgpackrpc/test_upstream.py
+++ b/tests/msgpackrpc/test_upstream.py
@@ -55,7 +55,9 @@
 def a_call(kind: str = "pay", body: bytes = b"x") -> Call:
     key = "k" if kind == "amend" else None
     ident = f"c-{next(idents)}"
-    return Call(ident, RULES.kind(kind), b"/api/1", body, None, None, 5 * S, None, False, key, lambda _: None)
+    return Call(
+        ident, RULES.request_class(kind), b"/api/1", body, None, None, 5 * S, None, False, key, lambda _: None
+    )
 
 
 class Told:
@@ -73,7 +75,7 @@
 
 def rpc_nodes_of(sharing: Sharing | None = None, most: int = 50, dial_s: float = 5.0) -> EndpointTable:
     nodes = EndpointTable(ConnectionLimit(most), 4.0)
-    nodes.add(RPC, RpcUpstreamClient(dial_s, 60.0, nodes.slots, (), sharing))
+    nodes.add_client(RPC, RpcUpstreamClient(dial_s, 60.0, nodes.connection_limit, (), sharing))
     return nodes
 
 
@@ -209,7 +211,7 @@
             for at in (ends[index] - 1, ends[index - 1] + 1 if index else 1):
                 idents = itertools.count(100)
                 connection, kernel, told, attempts = shared(at)
-                attempts[index].unsend()  # its request is over
+                attempts[index].cancel_unwritten()  # its request is over
                 assert told[index].outcome is Outcome.UNSENT
                 kernel.give_room(10**6, connection)
                 assert len(kernel.taken) == at  # half a call can't be taken back: its connection ends
@@ -223,7 +225,7 @@
     async def scene() -> None:
         connection, kernel, told, attempts = shared(10)
         attempts[2].cancel(final=False)
-        attempts[3].unsend()
+        attempts[3].cancel_unwritten()
         kernel.give_room(10**6, connection)
         unpacker = msgpack.Unpacker(raw=False)
         unpacker.feed(kernel.taken)
@@ -236,7 +238,7 @@
 def test_nothing_new_leaves_a_write_buffer_after_a_drain_is_told() -> None:
     async def scene() -> None:
         connection, kernel, told, _ = shared(10)  # the first call is begun, four wait
-        connection._carrier.withdraw(connection.endpoint)
+        connection._carrier.drain_endpoint(connection.endpoint)
         assert [each.outcome for each in told] == [None] + [Outcome.CONNECT_FAILED] * 4
         kernel.give_room(10**6, connection)
         unpacker = msgpack.Unpacker(raw=False)
@@ -429,7 +431,7 @@
         written, _ = send(nodes, seconds=0.3)
         await until(lambda: written.outcome)
         assert written.outcome is Outcome.TIMED_OUT
-        await until(lambda: nodes.slots.open == 0)
+        await until(lambda: nodes.connection_limit.open_count == 0)
 
     play(scene())
 
@@ -457,13 +459,13 @@
 def test_an_idle_connection_is_closed_before_its_node_would() -> None:
     async def scene() -> None:
         nodes = EndpointTable(ConnectionLimit(5), 4.0)
-        nodes.add(RPC, RpcUpstreamClient(5.0, 0.5, nodes.slots))
+        nodes.add_client(RPC, RpcUpstreamClient(5.0, 0.5, nodes.connection_limit))
         server = await node(nodes, served)
         told, _ = send(nodes)
         await until(lambda: told.outcome)
         timer = connections(nodes)[0].idle_timer
         assert timer is not None and timer.when() - asyncio.get_running_loop().time() < 0.46
-        await until(lambda: server.closed == 1 and nodes.slots.open == 0)
+        await until(lambda: server.closed == 1 and nodes.connection_limit.open_count == 0)
         server.stop()
 
     play(scene())
@@ -529,7 +531,7 @@
     async def scene() -> None:
         async with world(served) as w:
             w.servers[0].script = hung
-            one = await client(w.sidecar.frontend.address)
+            one = await client(w.sidecar.listener.address)
             one.send(request("pay", body=b"x"))
             await until(w.sent)
             w.discovery.say(42, [w.servers[0].entry(protocol="smoke-signals")])
--- a/tests/planning/test_links.py
+++ b/tests/planning/test_links.py
@@ -188,7 +188,7 @@
         await until(lambda: min(rig.trusts()) > 0.2)
         process, server = rig.processes[0], rig.planners[0]
         assert process is not None and server is not None
-        places = {"show": process.sidecar.frontend.address, "status": server.address}
+        places = {"show": process.sidecar.listener.address, "status": server.address}
         for what, (host, port) in places.items():
             code = await asyncio.to_thread(command.main, [what, f"{host}:{port}"])
             assert code == 0
--- a/tests/test_any_sequence.py
+++ b/tests/test_any_sequence.py
@@ -111,8 +111,12 @@
             forgotten = maybe[0]["at"] + kind.idempotency_window_us
             assert self.now < action.write_by < forgotten, "sent, or to be written, after servers forgot"
             for each in maybe:
-                assert kind.idempotency_scope.value != "zone" or each["line"].zone == line.zone, "left the zone"
-                assert kind.idempotency_scope.value != "cell" or each["line"].cell == line.cell, "left the cell"
+                assert kind.idempotency_scope.value != "zone" or each["line"].zone == line.zone, (
+                    "left the zone"
+                )
+                assert kind.idempotency_scope.value != "cell" or each["line"].cell == line.cell, (
+                    "left the cell"
+                )
         earlier.append(
             {"server": action.server, "line": line, "at": self.now, "pending": True, "outcome": None}
         )
@@ -135,7 +139,10 @@
             maybe = [
                 each for each in request["attempts"] if each["pending"] or each["outcome"] not in self.proofs
             ]
-            whole = request["kind"].idempotency is Idempotency.KEYED and request["kind"].idempotency_scope.value == "all"
+            whole = (
+                request["kind"].idempotency is Idempotency.KEYED
+                and request["kind"].idempotency_scope.value == "all"
+            )
             assert not maybe or whole, "a refusal that may have run"
         request["over"] = True
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -59,7 +59,7 @@
         body = bytes(range(256)) * 16
         async with world(lambda *_: answer(200, body, Content_Type="x/y")) as w:
             sent = request("amend", "/api/7f3a?q=1", b"\0body\xff", X_Caller="acme")
-            status, headers, got = await ask(w.sidecar.frontend.address, sent)
+            status, headers, got = await ask(w.sidecar.listener.address, sent)
             assert (status, headers["content-type"], got) == (200, "x/y", body)
             ((first, given, there),) = w.sent()
             assert first.split(" ")[1] == "/api/7f3a?q=1" and there == b"\0body\xff"
@@ -202,7 +202,7 @@
 def test_a_client_that_leaves_ends_its_attempt() -> None:
     async def scene() -> None:
         async with world(hung) as w:
-            leaving = await client(w.sidecar.frontend.address)
+            leaving = await client(w.sidecar.listener.address)
             leaving.send(request("pay", body=b"x"))
             await until(w.sent)
             leaving.close()
@@ -218,9 +218,9 @@
         async with world(served) as w:
             assert (await w.ask(path="/api/1"))[0] == 200
             await asyncio.sleep(0.05)  # its connection has rested: what comes next is written at once
-            accepted, fresh = [socket.create_connection(w.sidecar.frontend.address) for _ in range(2)]
-            await until(lambda: len(w.sidecar.frontend.connections) >= 2)
-            for each in (accepted, fresh, socket.create_connection(w.sidecar.frontend.address)):
+            accepted, fresh = [socket.create_connection(w.sidecar.listener.address) for _ in range(2)]
+            await until(lambda: len(w.sidecar.listener.connections) >= 2)
+            for each in (accepted, fresh, socket.create_connection(w.sidecar.listener.address)):
                 each.sendall(request(path="/api/2", X_Call_Id="gone"))
                 each.close()  # before the loop has had a turn
             assert (await w.ask(path="/api/3", X_Call_Id="next"))[0] == 200
@@ -251,7 +251,7 @@
                 assert (await w.ask())[0] == 200
             assert len(w.servers[0].writers) == 9
             await until(lambda: w.servers[0].closed == 5)
-            assert w.sidecar._nodes.slots.open == 4  # all that the descriptors allow
+            assert w.sidecar._endpoints.connection_limit.open_count == 4  # all that the descriptors allow
 
     play(scene())
 
@@ -264,7 +264,7 @@
         limits = LIMITS | {"connect_timeout_us": 600 * S}
         async with world(first_only, sockets=50, limits=limits) as w:
             assert (await w.ask(X_Call_Id="first"))[2] == b"first"
-            one = await client(w.sidecar.frontend.address)
+            one = await client(w.sidecar.listener.address)
             one.send(request("pay", body=b"x", X_Call_Id="second"))
             await until(lambda: len(w.sent()) == 2)
             used = w.servers[0].writers
@@ -284,7 +284,7 @@
     async def scene() -> None:
         async with world(served) as w:
             assert (await w.ask(kind="pay", body=b"x"))[0] == 200
-            connection = w.sidecar._nodes.endpoints["s-0"].pool.idle[0][0]
+            connection = w.sidecar._endpoints.endpoints["s-0"].pool.idle[0][0]
             writer = w.servers[0].writers[0]
             if how == "end":
                 raw = writer.get_extra_info("socket")
@@ -309,7 +309,7 @@
         async with world(served, limits=limits) as w:
             assert (await w.ask())[0] == 200
             loop = asyncio.get_running_loop()
-            timer = w.sidecar._nodes.endpoints["s-0"].pool.idle[0][1]
+            timer = w.sidecar._endpoints.endpoints["s-0"].pool.idle[0][1]
             assert timer.when() - loop.time() < 0.95
             await until(lambda: w.servers[0].closed == 1)
 
@@ -338,8 +338,8 @@
 
 def nodes_of(dial_limit_s: float, most: int = 10) -> EndpointTable:
     nodes = EndpointTable(ConnectionLimit(most), 4.0)
-    nodes.add(HTTP, HttpUpstreamClient(dial_limit_s, 60.0, nodes.slots))
-    nodes.add(MSGPACK_RPC, RpcUpstreamClient(dial_limit_s, 60.0, nodes.slots))
+    nodes.add_client(HTTP, HttpUpstreamClient(dial_limit_s, 60.0, nodes.connection_limit))
+    nodes.add_client(MSGPACK_RPC, RpcUpstreamClient(dial_limit_s, 60.0, nodes.connection_limit))
     return nodes
 
 
@@ -361,7 +361,7 @@
 
 
 def a_call(body: bytes = b"") -> Call:
-    kind = RequestClasses(settings()).kind("pay")
+    kind = RequestClasses(settings()).request_class("pay")
     return Call("1", kind, b"/api/1", body, None, None, 5 * S, None, False, None, lambda _: None)
 
 
@@ -417,7 +417,7 @@
             nodes = nodes_of(dial_limit, 10)
             note(nodes, address, None, ServerState.READY)
             assert await outcome_of(nodes, seconds) is Outcome.CONNECT_FAILED
-            await until(lambda: nodes.slots.open == 0)
+            await until(lambda: nodes.connection_limit.open_count == 0)
 
     play(scene())
 
@@ -430,7 +430,7 @@
         nodes = nodes_of(0.1, 10)
         note(nodes, server.address, None, ServerState.READY)
         outcome = asyncio.create_task(outcome_of(nodes))
-        while not nodes.slots.open:
+        while not nodes.connection_limit.open_count:
             await asyncio.sleep(0)
         await asyncio.sleep(0)  # now it is dialled
         time.sleep(0.5)
@@ -449,10 +449,10 @@
             nodes = nodes_of(30.0, 10)
             note(nodes, address, None, ServerState.READY)
             sending = asyncio.create_task(outcome_of(nodes))
-            await until(lambda: nodes.slots.open == 1)
+            await until(lambda: nodes.connection_limit.open_count == 1)
             note(nodes, address, None, state)
             assert await sending is Outcome.CONNECT_FAILED
-            await until(lambda: nodes.slots.open == 0)
+            await until(lambda: nodes.connection_limit.open_count == 0)
 
     play(scene())
 
@@ -468,10 +468,10 @@
                 nodes = nodes_of(30.0, 10)
                 note(nodes, listener.getsockname(), None, ServerState.READY)
                 sending = asyncio.create_task(outcome_of(nodes))
-                await until(lambda nodes=nodes: nodes.slots.open == 1)  # type: ignore[misc]
+                await until(lambda nodes=nodes: nodes.connection_limit.open_count == 1)  # type: ignore[misc]
                 note(nodes, place, started_at, ServerState.READY)
                 assert await sending is Outcome.UNSENT  # it says nothing of the server
-                await until(lambda nodes=nodes: nodes.slots.open == 0)  # type: ignore[misc]
+                await until(lambda nodes=nodes: nodes.connection_limit.open_count == 0)  # type: ignore[misc]
             assert not await heard_at(listener, fillers, 1.5)
             server.stop()
 
@@ -492,10 +492,10 @@
                 forgotten = loop.time() + 1.0
                 host, port = listener.getsockname()
                 w.discovery.say(42, [w.servers[0].entry(name="s-slow", address=f"{host}:{port}")])
-                await until(lambda: "s-slow" in w.sidecar._nodes.endpoints)
+                await until(lambda: "s-slow" in w.sidecar._endpoints.endpoints)
                 (live,) = w.sidecar._live.values()
                 w.servers[0].answer_held(answer(500, b""))
-                await until(lambda: live.sent == 2)
+                await until(lambda: live.attempts_sent == 2)
                 await asyncio.sleep(forgotten - loop.time() + 0.1)
                 assert not await heard_at(listener, fillers)
                 assert asking.done() and (await asking)[0] == 500  # at once, not as its time is up
@@ -546,7 +546,7 @@
         exchange.cancel(final=False)
         exchange.cancel(final=False)
         await until(lambda: server.closed == 1)
-        assert outcomes == [Outcome.CANCELLED] and nodes.slots.open == 0
+        assert outcomes == [Outcome.CANCELLED] and nodes.connection_limit.open_count == 0
         server.stop()
 
     play(scene())
@@ -603,13 +603,13 @@
             slow = socket.socket()
             slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
             slow.setblocking(False)
-            await asyncio.get_running_loop().sock_connect(slow, w.sidecar.frontend.address)
+            await asyncio.get_running_loop().sock_connect(slow, w.sidecar.listener.address)
             _, writer = await asyncio.open_connection(sock=slow, limit=16)
             data = b"".join(request(X_Call_Id=f"{number}") for number in range(50))
             writer.write(data)  # and it reads nothing
             await until(w.sent)
             assert len((await w.ask())[2]) == 60_000
-            await until(lambda: not w.sidecar.frontend.connections)  # and its place is free again
+            await until(lambda: not w.sidecar.listener.connections)  # and its place is free again
             writer.close()
 
     play(scene())
@@ -622,11 +622,13 @@
         limits = {"max_attempts": 3, "cancellation": False, "connect_timeout_us": 600 * S}
         with deaf() as address:
             async with world(served, limits=limits) as w:
-                w.sidecar._nodes.update("s-0", address, None, ServerState.READY, pair().nodes)
-                leaving = await client(w.sidecar.frontend.address)
+                w.sidecar._endpoints.update("s-0", address, None, ServerState.READY, pair().nodes)
+                leaving = await client(w.sidecar.listener.address)
                 leaving.send(request("pay", body=b"x", budget="600"))
-                await until(lambda: w.sidecar._nodes.slots.open == 1)
+                await until(lambda: w.sidecar._endpoints.connection_limit.open_count == 1)
                 leaving.close()
-                await until(lambda: not w.sidecar._live and not w.sidecar._nodes.slots.open)
+                await until(
+                    lambda: not w.sidecar._live and not w.sidecar._endpoints.connection_limit.open_count
+                )
 
     play(scene())
--- a/tests/test_connection_states.py
+++ b/tests/test_connection_states.py
@@ -5,12 +5,12 @@
 import pytest
 
 from topazbank.core.connection_states import (
-    HEAD_S,
-    LIMITS_S,
-    OWED_S,
+    HEAD_LIMIT_S,
     PARTIAL_STATES,
-    STOPPED_S,
-    SWEEP_S,
+    STALL_ANSWER_S,
+    STALL_LIMIT_S,
+    STATE_LIMITS_S,
+    SWEEP_INTERVAL_S,
     ConnectionState,
     PartialRequest,
 )
@@ -19,14 +19,14 @@
 
 
 def test_every_state_but_that_of_a_held_request_has_one_limit() -> None:
-    limited = [*LIMITS_S, *PARTIAL_STATES]
+    limited = [*STATE_LIMITS_S, *PARTIAL_STATES]
     assert sorted(each.name for each in limited) == sorted(
-        each.name for each in ConnectionState if each is not ConnectionState.HOLDING
+        each.name for each in ConnectionState if each is not ConnectionState.AWAITING_ANSWER
     )
 
 
 def test_the_limits_leave_room_for_a_look_and_a_hold_up() -> None:
-    assert max(STOPPED_S, HEAD_S) + SWEEP_S + HELD_UP_S <= OWED_S
+    assert max(STALL_LIMIT_S, HEAD_LIMIT_S) + SWEEP_INTERVAL_S + HELD_UP_S <= STALL_ANSWER_S
 
 
 @pytest.mark.parametrize("in_body", [False, True])
@@ -34,24 +34,26 @@
 def test_whoever_stops_is_overdue_within_what_is_owed(in_body: bool, went_on_s: float) -> None:
     partial = PartialRequest(NOW)
     if in_body:
-        partial.head_came(NOW)
+        partial.head_completed(NOW)
     stopped = NOW + went_on_s
-    partial.progressed(stopped, 100_000_000)
+    partial.received(stopped, 100_000_000)
     assert not partial.is_overdue(stopped)
-    assert partial.is_overdue(stopped + STOPPED_S) and partial.due_at() <= stopped + STOPPED_S
-    assert not partial.is_unheard(stopped + OWED_S) and partial.is_unheard(stopped + OWED_S + 0.01)
+    assert partial.is_overdue(stopped + STALL_LIMIT_S) and partial.deadline() <= stopped + STALL_LIMIT_S
+    assert not partial.answer_is_late(stopped + STALL_ANSWER_S) and partial.answer_is_late(
+        stopped + STALL_ANSWER_S + 0.01
+    )
 
 
 def test_a_head_in_two_seconds_and_a_body_at_the_least_pace_are_never_overdue() -> None:
     partial = PartialRequest(NOW)
     for step in range(1, 21):
-        partial.progressed(NOW + step * 0.1, 10)
+        partial.received(NOW + step * 0.1, 10)
         assert not partial.is_overdue(NOW + step * 0.1)
-    partial.head_came(NOW + 2.0)
+    partial.head_completed(NOW + 2.0)
     for second in range(1, 501):  # 32 MB
         now = NOW + 2.0 + second
         assert not partial.is_overdue(now)
-        partial.progressed(now, RATE)
+        partial.received(now, RATE)
 
 
 def test_a_body_that_drips_is_overdue_soon_though_it_never_stops() -> None:
@@ -59,16 +61,16 @@
     now = NOW
     while not partial.is_overdue(now):
         now += 0.5
-        partial.progressed(now, 1)
-    assert now <= NOW + OWED_S
+        partial.received(now, 1)
+    assert now <= NOW + STALL_ANSWER_S
 
 
 def test_the_time_stands_still_while_this_process_reads_no_further() -> None:
     partial = PartialRequest(NOW)
-    partial.progressed(NOW + 1.0, 10)
+    partial.received(NOW + 1.0, 10)
     partial.pause(NOW + 1.0)
     partial.pause(NOW + 2.0)
-    assert partial.is_paused and not partial.is_overdue(NOW + 99.0) and not partial.is_unheard(NOW + 99.0)
+    assert partial.is_paused and not partial.is_overdue(NOW + 99.0) and not partial.answer_is_late(NOW + 99.0)
     partial.resume(NOW + 99.0)
     assert not partial.is_overdue(NOW + 100.0)
-    assert partial.is_overdue(NOW + 99.0 + STOPPED_S)
+    assert partial.is_overdue(NOW + 99.0 + STALL_LIMIT_S)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -55,7 +55,7 @@
             assert not first.requests
             w.discovery.say(43, [first.entry()], snapshot=True)  # who is missing is gone
             await until(lambda: "s-1" not in states)
-            assert set(w.sidecar._nodes.endpoints) == {"s-0"}
+            assert set(w.sidecar._endpoints.endpoints) == {"s-0"}
             seen = len(second.requests)
             for _ in range(10):
                 assert (await w.ask())[0] == 200
@@ -106,10 +106,10 @@
         await down.start()
         down.stop()
         discovery = RegistrySource(down.address, 1, heard.append)
-        discovery.follow(True)
+        discovery.watch(True)
         await until(lambda: heard == [None])
         assert discovery._watch is None and not discovery._polls
-        discovery.follow(True)  # and a new watch may begin
+        discovery.watch(True)  # and a new watch may begin
         await until(lambda: heard == [None, None])
 
     play(scene())
@@ -123,7 +123,7 @@
         await new.start()
         heard: list[EndpointList | None] = []
         discovery = RegistrySource(old.address, 41, heard.append)
-        discovery.follow(True)
+        discovery.watch(True)
         discovery.fetch()
         await until(lambda: old.called(2))
         for _ in range(2):
@@ -137,7 +137,7 @@
         await until(lambda: any(heard))
         assert [told.version for told in heard if told is not None] == [7]
         discovery.stop()
-        discovery.follow(True)
+        discovery.watch(True)
         discovery.move(old.address)
         assert discovery._watch is None
         old.stop()
@@ -155,7 +155,7 @@
         with deaf() as address:
             heard: list[EndpointList | None] = []
             discovery = RegistrySource(address, 1, heard.append)
-            discovery.follow(True)
+            discovery.watch(True)
             await until(lambda: heard == [None])
             assert discovery._watch is None and not discovery._polls
 
@@ -169,14 +169,14 @@
         heard: list[EndpointList | None] = []
         discovery = RegistrySource(service.address, 1, heard.append)
         for _ in range(3):
-            discovery.follow(True)
+            discovery.watch(True)
         await until(lambda: service.targets)
         discovery.fetch()
         await until(lambda: len(service.targets) == 2)
         assert service.targets[1] == "/registry/instances"
         service.say(7, [entry()], snapshot=True)
         await until(lambda: heard)
-        discovery.follow(False)
+        discovery.watch(False)
         assert discovery._watch is None
         service.stop()
 
@@ -190,7 +190,7 @@
         waits = []
         for seed in range(8):
             discovery = RegistrySource(service.address, 1, lambda told: None, FleetSize(5000), seed)
-            discovery.follow(True)
+            discovery.watch(True)
             service.say(2, [])
             await until(lambda: len(service.targets) == 2 * (seed + 1))  # noqa: B023
             waits.append(int(service.targets[-1].rpartition("=")[2]))
@@ -267,7 +267,7 @@
         await service.start()
         heard: list[EndpointList | None] = []
         discovery = RegistrySource(service.address, 1, heard.append, FleetSize(sidecars))
-        discovery.follow(True)
+        discovery.watch(True)
         service.say(2, [entry()])
         await until(lambda: service.called(3))
         assert [each.rpartition("?")[2] for each in service.targets] == [
@@ -291,7 +291,7 @@
         heard: list[EndpointList | None] = []
         discovery = RegistrySource(service.address, 1, heard.append)
         for calls in range(1, 8):
-            discovery.follow(True)
+            discovery.watch(True)
             await until(lambda: service.called(calls))  # noqa: B023
             assert len(discovery._polls) == min(calls, registry._POLLS_MOST)
         for _ in range(7):
@@ -337,7 +337,7 @@
             raise RuntimeError("a defect")
 
         discovery = RegistrySource(service.address, 1, told)
-        discovery.follow(True)
+        discovery.watch(True)
         for version in (2, 3, 4):
             service.say(version, [])
         await until(lambda: heard == [2, 3, 4])
@@ -383,11 +383,11 @@
         entry(zone="\ud800"),
     ]
     told = parse_list({"index": 5, "snapshot": True, "endpoints": [*junk, entry(since_ms=2, group=3)]})
-    assert [each.server.name for each in told.lines] == ["s-1"]
-    line = told.lines[0]
+    assert [each.server.name for each in told.entries] == ["s-1"]
+    line = told.entries[0]
     assert (told.version, told.complete, line.address) == (5, True, ("127.0.0.1", 9))
     assert (line.server.started_at, line.server.cell, line.server.zone) == (2000, 3, "a")
-    assert parse_list({"index": 5, "endpoints": [entry()]}).lines[0].server.started_at is None
+    assert parse_list({"index": 5, "endpoints": [entry()]}).entries[0].server.started_at is None
 
 
 @pytest.mark.parametrize(
@@ -401,7 +401,7 @@
 )
 def test_a_status_that_is_not_known_takes_nothing_new(status: str, state: ServerState) -> None:
     told = parse_list({"index": 5, "snapshot": False, "endpoints": [entry(status=status)]})
-    assert told.lines[0].server.state is state
+    assert told.entries[0].server.state is state
 
 
 @pytest.mark.parametrize(
@@ -421,7 +421,7 @@
     status: str, junk: dict[str, Any]
 ) -> None:
     # Guards rule 3, as above.
-    (line,) = parse_list({"index": 5, "endpoints": [entry(status=status, **junk)]}).lines
+    (line,) = parse_list({"index": 5, "endpoints": [entry(status=status, **junk)]}).entries
     assert line.server.name == "s-1" and line.server.state is not ServerState.READY
 
 
@@ -460,7 +460,7 @@
             await until(lambda: old.closed == 1)
             w.discovery.say(43, [new, old.entry()], snapshot=True)
             await until(lambda: len(w.discovery.targets) == 3)
-            assert list(w.sidecar._balancer._servers) == list(w.sidecar._nodes.endpoints) == ["s-new"]
+            assert list(w.sidecar._balancer._servers) == list(w.sidecar._endpoints.endpoints) == ["s-new"]
             assert (await w.ask())[0] == 200 and len(old.writers) == 2
 
     play(scene())
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -29,7 +29,7 @@
 from topazbank.balancing import balancer
 from topazbank.balancing.actions import Action, Reject
 from topazbank.balancing.events import Event, RequestArrived
-from topazbank.core.body import LARGE_MOST
+from topazbank.core.body import BODY_BYTES_MAX
 from topazbank.core.call import FinalAnswer, RequestCallbacks, RequestClasses, Verdict
 from topazbank.core.listener import ClientConnection, Listener
 from topazbank.http.server import HttpConnection
@@ -73,7 +73,7 @@
         (request(budget="5.0\r\nX-Budget: 6.0"), 400),
         (request("look\r\nX-Call-Class: pay"), 400),
         (request(X_Caller="stranger"), 400),
-        (request("pay", Content_Length=str(LARGE_MOST + 1)), 413),
+        (request("pay", Content_Length=str(BODY_BYTES_MAX + 1)), 413),
         (request(path="/api/1").replace(b"HTTP/1.1", b"HTTP/2.0"), 505),
         (request(path="/elsewhere"), 404),
         (request(path="/apix/1"), 404),
@@ -83,7 +83,7 @@
 def test_bad_input_is_answered_and_never_sent_on(data: bytes, status: int) -> None:
     async def scene() -> None:
         async with world(served, tenants=[{"name": "acme"}]) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(data)
             head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
             assert head.startswith(b"HTTP/1.1 %d " % status)
@@ -99,7 +99,7 @@
 def test_requests_on_one_connection_are_answered_in_order_even_if_sent_ahead() -> None:
     async def scene() -> None:
         async with world(lambda first, *_: answer(200, first.encode())) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(
                 b"".join(request(path=f"/api/{number}", X_Call_Id=f"{number}") for number in range(20))
             )
@@ -114,7 +114,7 @@
 def test_a_body_of_the_largest_size_in_pieces_is_taken() -> None:
     async def scene() -> None:
         async with world(served) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             data = request("pay", body=BIG[:-1], Expect="100-continue")
             head = data.index(b"\r\n\r\n") + 4
             writer.write(data[:head])
@@ -135,7 +135,7 @@
             began = loop.time()
             assert (await w.ask(budget="30"))[0] == 503
             assert loop.time() - began < 15.0
-            assert (await ask(w.sidecar.frontend.address, request(path="/health/ready")))[0] == 200
+            assert (await ask(w.sidecar.listener.address, request(path="/health/ready")))[0] == 200
 
     play(scene())
 
@@ -145,7 +145,7 @@
     # Guards against taking what is answered by the time it has been taken for a defect, which ended its connection.
     async def scene() -> None:
         async with world() as w:
-            one = await client(w.sidecar.frontend.address)
+            one = await client(w.sidecar.listener.address)
             for number in range(3):
                 one.send(request(X_Call_Id=f"refused-{number}"))
                 assert (await one.answer())[0] == 503
@@ -195,7 +195,7 @@
 def test_a_defect_in_carrying_out_fails_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            monkeypatch.setattr(w.sidecar._nodes, "send", None)
+            monkeypatch.setattr(w.sidecar._endpoints, "send", None)
             assert (await w.ask(kind="pay", body=b"x"))[0] == 500
             monkeypatch.undo()
             assert (await w.ask())[0] == 200
@@ -229,7 +229,7 @@
     # Guards the descriptors: 50 sockets leave one for clients.
     async def scene() -> None:
         async with world(served, sockets=50) as w:
-            first = await client(w.sidecar.frontend.address)
+            first = await client(w.sidecar.listener.address)
             first.send(request())
             assert (await first.answer())[0] == 200
             for _ in range(3):
@@ -242,12 +242,12 @@
 
 async def taking_slowly(w: World) -> tuple[socket.socket, bytes]:
     """A client whose answer is written by now as far as small buffers let it, and what it has read of it."""
-    w.sidecar.frontend.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    w.sidecar.listener.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     slow = socket.socket()
     slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     slow.setblocking(False)
     loop = asyncio.get_running_loop()
-    await loop.sock_connect(slow, w.sidecar.frontend.address)
+    await loop.sock_connect(slow, w.sidecar.listener.address)
     await loop.sock_sendall(slow, request())
     return slow, await loop.sock_recv(slow, 1)
 
@@ -289,10 +289,10 @@
 
             def crossed(connection: HttpConnection, *args: Any) -> None:
                 over(connection, *args)
-                room.append(w.sidecar.frontend._make_room())
+                room.append(w.sidecar.listener._make_room())
 
             monkeypatch.setattr(HttpConnection, "_over", crossed)
-            one = await client(w.sidecar.frontend.address)
+            one = await client(w.sidecar.listener.address)
             one.send(request() + request(X_Call_Id="ahead"))
             for _ in range(2):
                 assert (await one.answer())[0] == 200
@@ -331,7 +331,7 @@
         assert (await ask(frontend.address, request()))[2] == b"taken"
         frontend._sock = real
         frontend.stop()
-        await until(lambda: not frontend.held)
+        await until(lambda: not frontend.open_connections)
 
     play(scene())
 
@@ -340,9 +340,9 @@
     # Guards against closing a connection under a request that was taken by the kernel, not yet by us.
     async def scene() -> None:
         async with world(served) as w:
-            _, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
-            await until(lambda: w.sidecar.frontend.connections)
-            connection: ClientConnection = next(iter(w.sidecar.frontend.connections))
+            _, writer = await asyncio.open_connection(*w.sidecar.listener.address)
+            await until(lambda: w.sidecar.listener.connections)
+            connection: ClientConnection = next(iter(w.sidecar.listener.connections))
             assert connection.is_idle()
             peer = writer.get_extra_info("socket")
             peer_fd = socket.socket(fileno=socket.dup(peer.fileno()))
@@ -358,8 +358,8 @@
     # Guards against closing on unread bytes, which resets the connection and the answer with it.
     async def scene() -> None:
         async with world(served) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
-            writer.write(request("unheard-of", Content_Length=str(2 * LARGE_MOST)) + BIG * 64)
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
+            writer.write(request("unheard-of", Content_Length=str(2 * BODY_BYTES_MAX)) + BIG * 64)
             with contextlib.suppress(ConnectionError):
                 await writer.drain()
             assert (await read_answer(reader))[0] == 413
@@ -373,7 +373,7 @@
 def test_a_defect_in_taking_a_request_fails_it(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            monkeypatch.setattr(w.sidecar.frontend.hooks, "taken", None)
+            monkeypatch.setattr(w.sidecar.listener.callbacks, "on_request", None)
             assert (await w.ask())[0] == 500
             monkeypatch.undo()
             assert (await w.ask())[0] == 200
@@ -386,7 +386,7 @@
     async def scene() -> None:
         async with world(served) as w:
             data = request(Host=None).replace(b"HTTP/1.1", b"HTTP/1.0")
-            assert (await ask(w.sidecar.frontend.address, data))[0] == 200
+            assert (await ask(w.sidecar.listener.address, data))[0] == 200
 
     play(scene())
 
@@ -395,7 +395,7 @@
 def test_the_id_of_a_request_that_is_still_out_is_turned_away() -> None:
     async def scene() -> None:
         async with world(lambda *_: None) as w:
-            first = await client(w.sidecar.frontend.address)
+            first = await client(w.sidecar.listener.address)
             first.send(request("pay", body=b"first"))
             await until(w.sent)
             assert (await w.ask(kind="pay", body=b"second"))[0] == 409
@@ -412,7 +412,7 @@
 def test_a_head_request_gets_no_body() -> None:
     async def scene() -> None:
         async with world(served) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(request(path="/elsewhere", method="HEAD"))
             got = await asyncio.wait_for(reader.read(), PATIENCE_S)
             assert got.startswith(b"HTTP/1.1 404 ") and got.endswith(b"\r\n\r\n")
@@ -434,10 +434,10 @@
 def test_a_connection_that_says_no_more_is_ended(said: bytes, heard: bytes) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(said)
             assert (await asyncio.wait_for(reader.read(), PATIENCE_S)).startswith(heard)
-            await until(lambda: not w.sidecar.frontend.connections)
+            await until(lambda: not w.sidecar.listener.connections)
             writer.close()
 
     play(scene())
@@ -447,7 +447,7 @@
 def test_what_can_t_be_read_behind_a_held_request_ends_both(behind: bytes) -> None:
     async def scene() -> None:
         async with world(lambda *_: None) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(request("pay", body=b"held"))
             await until(w.sent)
             writer.write(behind)
@@ -465,11 +465,11 @@
 def test_clients_that_say_nothing_do_not_keep_others_out() -> None:
     async def scene() -> None:
         async with world(served, sockets=64) as w:
-            address = w.sidecar.frontend.address
+            address = w.sidecar.listener.address
             silent = [await asyncio.open_connection(*address) for _ in range(200)]
             for number in range(20):
                 assert (await w.ask(X_Call_Id=f"{number}"))[0] == 200
-            assert len(w.sidecar.frontend.connections) <= 16
+            assert len(w.sidecar.listener.connections) <= 16
             for _, writer in silent:
                 writer.close()
 
@@ -483,11 +483,11 @@
         async with world(served, sockets=72) as w:
             staying = []
             for number in range(8):
-                one = await client(w.sidecar.frontend.address)
+                one = await client(w.sidecar.listener.address)
                 one.send(request(X_Call_Id=f"{number}"))
                 assert (await one.answer())[0] == 200
                 staying.append(one)
-            assert len(w.sidecar.frontend.connections) <= 4  # a third of the twelve allowed
+            assert len(w.sidecar.listener.connections) <= 4  # a third of the twelve allowed
             assert await staying[0].is_closed()
             for one in staying:
                 one.close()
@@ -499,7 +499,7 @@
 def test_few_new_connections_end_unread_while_the_program_lags_under_many_and_none_after() -> None:
     async def scene() -> None:
         async with world(lambda *_: None) as w:
-            address = w.sidecar.frontend.address
+            address = w.sidecar.listener.address
             held = [await client(address) for _ in range(40)]
             for number, one in enumerate(held):
                 one.send(request(X_Call_Id=f"held-{number}"))
@@ -507,19 +507,19 @@
 
             def lags() -> bool:
                 time.sleep(0.15)  # longer than it takes to the next sweep
-                return w.sidecar.frontend._most_busy < 33
+                return w.sidecar.listener._most_busy < 33
 
             await until(lags)
-            w.sidecar.frontend._may_end = 1.0
+            w.sidecar.listener._may_end = 1.0
             reader, _ = await asyncio.open_connection(*address)
             assert await is_closed(reader)
             for _ in range(20):  # and no more than one in 200
-                w.sidecar.frontend._most_busy = 0.0  # it is as far behind as before
+                w.sidecar.listener._most_busy = 0.0  # it is as far behind as before
                 assert (await ask(address, request(path="/health/ready")))[0] == 200
-            w.sidecar.frontend._may_end = 1.0
+            w.sidecar.listener._may_end = 1.0
             for one in held:
                 one.close()
-            await until(lambda: not w.sidecar.frontend._is_swamped())
+            await until(lambda: not w.sidecar.listener._is_swamped())
             assert (await ask(address, request(path="/health/ready")))[0] == 200
 
     play(scene())
@@ -543,10 +543,10 @@
     # Guards honest clients under a crowd: room goes by what a connection has done, not by age alone.
     async def scene() -> None:
         async with world(served, sockets=56) as w:
-            slow = await client(w.sidecar.frontend.address)
+            slow = await client(w.sidecar.listener.address)
             data = request("pay", body=b"x", X_Call_Id="slow")
             slow.writer.write(data[:30])
-            await until(lambda: w.sidecar.frontend.connections)
+            await until(lambda: w.sidecar.listener.connections)
             await asyncio.sleep(0.15)
             for number in range(12):
                 assert (await w.ask(X_Call_Id=f"quick-{number}"))[0] == 200
@@ -560,15 +560,15 @@
 def test_in_a_drain_a_head_that_goes_no_further_is_not_waited_for() -> None:
     async def scene() -> None:
         async with world(served) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(request()[:30])
-            await until(lambda: w.sidecar.frontend.connections)
+            await until(lambda: w.sidecar.listener.connections)
             w.sidecar.drain.standby(asyncio.get_running_loop().time())
-            w.sidecar.carry_out()
+            w.sidecar.apply_drain()
             assert await is_closed(reader)
             assert not w.sidecar.drain.is_ready()
             w.sidecar.drain.active()
-            w.sidecar.carry_out()
+            w.sidecar.apply_drain()
             assert (await w.ask())[0] == 200
             writer.close()
 
--- a/tests/test_gossip_transport.py
+++ b/tests/test_gossip_transport.py
@@ -69,8 +69,8 @@
 @in_loop
 async def test_a_message_reaches_all_others_and_names_its_sender() -> None:
     peers, heard, _ = await _three()
-    peers[1].tell(None, b"to all")
-    peers[2].tell(0, b"to one")
+    peers[1].send_gossip(None, b"to all")
+    peers[2].send_gossip(0, b"to one")
     await _until(heard[0], 2)
     await _until(heard[2], 1)
     assert sorted(heard[0]) == [(1, b"to all"), (2, b"to one")] and heard[2] == [(1, b"to all")]
@@ -86,7 +86,7 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         stranger.sendto(b"from nobody", addresses[0])
         for _ in range(5):
-            peers[1].tell(None, b"still here")
+            peers[1].send_gossip(None, b"still here")
             await asyncio.sleep(0.01)
     await _until(heard[0], 5)
     assert set(heard[0]) == {(1, b"still here")}
@@ -97,8 +97,8 @@
 @in_loop
 async def test_a_message_over_the_platforms_limit_never_leaves() -> None:
     peers, heard, _ = await _three()
-    peers[1].tell(None, bytes(MESSAGE_MOST + 1))
-    peers[1].tell(None, bytes(MESSAGE_MOST))
+    peers[1].send_gossip(None, bytes(MESSAGE_MOST + 1))
+    peers[1].send_gossip(None, bytes(MESSAGE_MOST))
     await _until(heard[0], 1)
     assert [len(payload) for _, payload in heard[0]] == [MESSAGE_MOST]
     for each in peers:
@@ -111,7 +111,7 @@
     async def run(address: Address) -> None:
         peers = GossipTransport(GossipAddresses(address), lambda *_: None)
         await peers.start()
-        peers.tell(None, b"lost")
+        peers.send_gossip(None, b"lost")
 
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
         taken.bind(("127.0.0.1", 0))
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -11,7 +11,7 @@
 
 from testbed.wire import HTTP, reset
 from topazbank.balancing.events import ServerState
-from topazbank.core.call import BODY_MOST
+from topazbank.core.call import BUFFERED_BODY_BYTES_MAX
 from topazbank.msgpackrpc import server as rpc_server
 
 Leave = Callable[[Client], None]
@@ -48,10 +48,13 @@
     one.send(request("pay", body=b"x"))
     await until(w.sent)
     if pair().client == HTTP:
-        one.send(request("pay", body=b"y" * BODY_MOST, X_Call_Id="behind") + bytes(BODY_MOST))
+        one.send(
+            request("pay", body=b"y" * BUFFERED_BODY_BYTES_MAX, X_Call_Id="behind")
+            + bytes(BUFFERED_BODY_BYTES_MAX)
+        )
     else:
         one.send(request("pay", body=b"y", X_Call_Id="behind"))
-    connection = next(iter(w.sidecar.frontend.connections))
+    connection = next(iter(w.sidecar.listener.connections))
     await until(lambda: connection._transport is not None and not connection._transport.is_reading())
 
 
@@ -64,14 +67,14 @@
 
     async def scene() -> None:
         async with world(silent, silent) as w:
-            one = await client(w.sidecar.frontend.address)
+            one = await client(w.sidecar.listener.address)
             await held_unread(w, one)
             leave(one)
             await asyncio.sleep(0.05)
             for server in w.servers:
                 server.answer_held(FULL)
             await none_more(w, 1)
-            await until(lambda: not w.sidecar.frontend.connections)
+            await until(lambda: not w.sidecar.listener.connections)
 
     play(scene())
 
@@ -85,7 +88,7 @@
 
     async def scene() -> None:
         async with world(silent) as w:
-            one = await client(w.sidecar.frontend.address)
+            one = await client(w.sidecar.listener.address)
             if unseen:
                 await held_unread(w, one)
             else:
@@ -106,7 +109,7 @@
 def test_no_further_attempt_is_made_for_a_client_that_left(kind: str, leave: Leave) -> None:
     async def scene() -> None:
         async with world(silent, silent) as w:
-            one = await client(w.sidecar.frontend.address)
+            one = await client(w.sidecar.listener.address)
             one.send(request(kind, body=b"" if kind == "look" else b"x"))
             await until(w.sent)
             leave(one)
@@ -130,12 +133,12 @@
         with full() as (listener, fillers):
             async with world(silent, limits=limits) as w:
                 address = listener.getsockname()
-                w.sidecar._nodes.update("s-0", address, None, ServerState.READY, pair().nodes)
-                one = await client(w.sidecar.frontend.address)
+                w.sidecar._endpoints.update("s-0", address, None, ServerState.READY, pair().nodes)
+                one = await client(w.sidecar.listener.address)
                 one.send(request("pay", body=b"x"))
-                await until(lambda: w.sidecar._nodes.slots.open == 1)
+                await until(lambda: w.sidecar._endpoints.connection_limit.open_count == 1)
                 if unread:
-                    connection = next(iter(w.sidecar.frontend.connections))
+                    connection = next(iter(w.sidecar.listener.connections))
                     assert connection._transport is not None
                     connection._transport.pause_reading()
                 leave(one)
@@ -143,7 +146,9 @@
                 assert not await heard_at(listener, fillers)
                 await until(lambda: not w.sidecar._live)
                 # A connection that others may share is kept.
-                assert not w.sent() and w.sidecar._nodes.slots.open <= (pair().nodes != HTTP)
+                assert not w.sent() and w.sidecar._endpoints.connection_limit.open_count <= (
+                    pair().nodes != HTTP
+                )
 
     play(scene())
 
@@ -155,12 +160,12 @@
 
     async def scene() -> None:
         async with world(silent, classes=ordered) as w:
-            first, second = [await client(w.sidecar.frontend.address) for _ in range(2)]
+            first, second = [await client(w.sidecar.listener.address) for _ in range(2)]
             first.send(request("pay", body=b"x", X_Call_Id="first"))
             await until(w.sent)
             second.send(request("pay", body=b"y", X_Call_Id="second"))
             await until(lambda: len(w.sidecar._live) == 2)
-            for each in w.sidecar.frontend.connections:
+            for each in w.sidecar.listener.connections:
                 if each._transport is not None:
                     each._transport.pause_reading()
             leave(second)
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -212,13 +212,13 @@
     # Guards against closing a listener over connections that were accepted by the kernel alone: they would be reset.
     async def scene() -> None:
         async with world(lambda *_: None, sockets=50) as w:  # one connection of a client
-            holding = await client(w.sidecar.frontend.address)
+            holding = await client(w.sidecar.listener.address)
             holding.send(request("pay", body=b"x"))
             await until(w.sent)
-            waiting = await client(w.sidecar.frontend.address)
+            waiting = await client(w.sidecar.listener.address)
             waiting.send(request("pay", body=b"y", X_Call_Id="waiting"))
             w.stop.set()
-            await until(lambda: w.sidecar.frontend.stopped)
+            await until(lambda: w.sidecar.listener.rejects_new)
             await asyncio.sleep(0.05)  # a few steps of the drain
             w.servers[0].script = lambda *_: answer(200, b"served")
             w.servers[0].answer_held(answer(200, b"held"))
@@ -257,12 +257,12 @@
 
     async def scene() -> None:
         async with world(lambda *_: answer(200, b"served")) as w:
-            listen = w.sidecar.frontend.address
+            listen = w.sidecar.listener.address
             rested = await client(listen)
             rested.send(request())
             assert (await rested.answer())[0] == 200
             opened = await client(listen)
-            await until(lambda: len(w.sidecar.frontend.connections) == 2)
+            await until(lambda: len(w.sidecar.listener.connections) == 2)
             w.stop.set()
             # What is at rest is closed while a request that crosses it can still come again.
             assert await rested.is_closed()
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -83,14 +83,14 @@
 @pytest.mark.parametrize(
     ("changes", "name", "complaint"),
     [
-        ({"tier": None}, "", "tier.on: the configuration names no peer_listen"),
+        ({"gossip": None}, "", "tier.on: the configuration names no peer_listen"),
         ({"settings": settings()}, "", "tier.on: the settings do not allow messages"),
         (
-            {"tier": GossipAddresses(("127.0.0.1", 9))},
+            {"gossip": GossipAddresses(("127.0.0.1", 9))},
             "",
             "tier.name: wanted where the configuration names no peers",
         ),
-        ({"tier": GossipAddresses(("127.0.0.1", 9))}, "desk-7", None),
+        ({"gossip": GossipAddresses(("127.0.0.1", 9))}, "desk-7", None),
     ],
 )
 def test_membership_without_what_it_needs_is_told_at_the_start(
@@ -142,10 +142,10 @@
     operator = operator_config_from(tomllib.loads(text))
     dialects = ProtocolDefaults(operator.protocol, operator.pods)
     in_pod, elsewhere = ServerDescription("a", cell=7), ServerDescription("b", cell=8)
-    assert dialects.of(DiscoveredServer(in_pod, None)) == MSGPACK_RPC
-    assert dialects.of(DiscoveredServer(elsewhere, None)) == HTTP
-    assert dialects.of(DiscoveredServer(in_pod, None, HTTP)) == HTTP
-    assert dialects.of(DiscoveredServer(elsewhere, None, "grpc")) == "grpc"
+    assert dialects.protocol_of(DiscoveredServer(in_pod, None)) == MSGPACK_RPC
+    assert dialects.protocol_of(DiscoveredServer(elsewhere, None)) == HTTP
+    assert dialects.protocol_of(DiscoveredServer(in_pod, None, HTTP)) == HTTP
+    assert dialects.protocol_of(DiscoveredServer(elsewhere, None, "grpc")) == "grpc"
 
 
 def test_a_secret_is_in_no_complaint_and_in_no_picture_of_the_settings(tmp_path: Path) -> None:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -13,11 +13,11 @@
 from loopback import PATIENCE_S, FakeServer, answer, play, read_answer, request, until, world
 
 from topazbank.core import connection_states
-from topazbank.core.body import CHUNK, Intake, Large, NoRoom, Spool
-from topazbank.core.connection_states import LIMITS_S, ConnectionState
+from topazbank.core.body import CHUNK_BYTES, BodyBuffer, Spool, SpooledBody, SpoolFull
+from topazbank.core.connection_states import STATE_LIMITS_S, ConnectionState
 from topazbank.http import connection
 
-BIG = hashlib.shake_256(b"body").digest(3 * CHUNK + 77)
+BIG = hashlib.shake_256(b"body").digest(3 * CHUNK_BYTES + 77)
 
 
 def served(*_: object) -> bytes:
@@ -52,7 +52,7 @@
 ) -> AsyncIterator[tuple[asyncio.StreamReader, asyncio.StreamWriter, FakeServer]]:
     """A client that has asked, and a server that has begun to answer with these bytes."""
     async with world(lambda *_: None) as w:
-        reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address, limit=2**25)
+        reader, writer = await asyncio.open_connection(*w.sidecar.listener.address, limit=2**25)
         writer.write(request("pay", body=b"x", Connection="close"))
         await until(w.sent)
         for part in parts:
@@ -64,13 +64,15 @@
 # -- Requests -----------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("size", [CHUNK - 1, CHUNK, CHUNK + 1, 2 * CHUNK, 3 * CHUNK + 5])
+@pytest.mark.parametrize(
+    "size", [CHUNK_BYTES - 1, CHUNK_BYTES, CHUNK_BYTES + 1, 2 * CHUNK_BYTES, 3 * CHUNK_BYTES + 5]
+)
 @pytest.mark.parametrize("step", [1000, 65536, 10**9])
 def test_a_request_of_any_size_reaches_its_node_as_it_came(size: int, step: int) -> None:
     async def scene() -> None:
         async with world(served) as w:
             body = BIG[:size]
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             data = request("pay", body=body)
             for at in range(0, len(data), step):
                 writer.write(data[at : at + step])
@@ -85,9 +87,9 @@
 def test_chunks_with_extensions_and_trailers_are_one_body() -> None:
     async def scene() -> None:
         async with world(served) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             head = request("pay", Content_Length=None, Transfer_Encoding="chunked")
-            halves = (BIG[: 2 * CHUNK], BIG[2 * CHUNK :])
+            halves = (BIG[: 2 * CHUNK_BYTES], BIG[2 * CHUNK_BYTES :])
             chunks = b"".join(b"%x;name=value\r\n%b\r\n" % (len(each), each) for each in halves)
             writer.write(head + chunks + b"0\r\nX-After: all\r\n\r\n")
             assert (await read_answer(reader))[0] == 200
@@ -109,7 +111,7 @@
 
     async def scene() -> None:
         async with world(counted, counted) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(request("pay", body=BIG))
             status, _, body = await read_answer(reader)
             assert (status, body) == (200, b"second")
@@ -122,19 +124,19 @@
 def test_the_spool_is_empty_again_once_requests_are_over_or_broken_off() -> None:
     async def scene() -> None:
         async with world(served) as w:
-            spool = w.sidecar.frontend.hooks.spool
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            spool = w.sidecar.listener.callbacks.spool
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(request("pay", body=BIG)[:-1])
-            await until(lambda: spool.used)
+            await until(lambda: spool.used_bytes)
             writer.transport.abort()
-            await until(lambda: not spool.used)
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            await until(lambda: not spool.used_bytes)
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(request("pay", body=BIG))
             assert (await read_answer(reader))[0] == 200
-            await until(lambda: not spool.used)
+            await until(lambda: not spool.used_bytes)
             writer.write(request("unheard-of", body=BIG))
             assert (await read_answer(reader))[0] == 400
-            await until(lambda: not spool.used)
+            await until(lambda: not spool.used_bytes)
             writer.close()
 
     play(scene())
@@ -143,8 +145,8 @@
 def test_without_room_a_large_request_is_refused_and_small_ones_are_served() -> None:
     async def scene() -> None:
         async with world(served) as w:
-            w.sidecar.frontend.hooks.spool = Spool(None, CHUNK)
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            w.sidecar.listener.callbacks.spool = Spool(None, CHUNK_BYTES)
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(request("pay", body=BIG))
             assert (await read_answer(reader))[0] == 503
             assert not w.sent() and (await w.ask())[0] == 200
@@ -154,20 +156,20 @@
 
 
 def test_a_spool_uses_its_chunks_again_and_keeps_its_bound() -> None:
-    spool = Spool(None, 3 * CHUNK)
-    intake = Intake(spool)
-    intake.add(BIG[: 2 * CHUNK + 5])
-    first = intake.whole()
-    assert isinstance(first, Large) and b"".join(first.pieces()) == BIG[: 2 * CHUNK + 5]
-    assert b"".join(first.pieces()) == BIG[: 2 * CHUNK + 5]  # read anew
-    with pytest.raises(NoRoom):
-        intake.add(BIG[: CHUNK + 1])
-    intake.drop()
+    spool = Spool(None, 3 * CHUNK_BYTES)
+    intake = BodyBuffer(spool)
+    intake.append(BIG[: 2 * CHUNK_BYTES + 5])
+    first = intake.finish()
+    assert isinstance(first, SpooledBody) and b"".join(first.chunks()) == BIG[: 2 * CHUNK_BYTES + 5]
+    assert b"".join(first.chunks()) == BIG[: 2 * CHUNK_BYTES + 5]  # read anew
+    with pytest.raises(SpoolFull):
+        intake.append(BIG[: CHUNK_BYTES + 1])
+    intake.discard()
     first.release()
     first.release()
-    assert spool.used == 0
-    intake.add(BIG[:CHUNK])
-    assert intake.whole() == BIG[:CHUNK]
+    assert spool.used_bytes == 0
+    intake.append(BIG[:CHUNK_BYTES])
+    assert intake.finish() == BIG[:CHUNK_BYTES]
     spool.close()
 
 
@@ -248,8 +250,8 @@
             assert isinstance(writer.transport, asyncio.Transport)
             writer.transport.pause_reading()
             giving = server.writers[-1]
-            for _ in range(size // CHUNK):
-                giving.write(bytes(CHUNK))
+            for _ in range(size // CHUNK_BYTES):
+                giving.write(bytes(CHUNK_BYTES))
             before = -1
             while before != giving.transport.get_write_buffer_size():  # until nothing moves any more
                 before = giving.transport.get_write_buffer_size()
@@ -267,19 +269,19 @@
     ends: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against cutting off what the node gave: its end is here long before a slow client has taken it.
-    monkeypatch.setitem(LIMITS_S, ConnectionState.CLOSING, 0.1)
+    monkeypatch.setitem(STATE_LIMITS_S, ConnectionState.CLOSING, 0.1)
 
     async def scene() -> None:
         async with world(lambda *_: None) as w:
             size = 1024 * 1024
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            sock.connect(w.sidecar.frontend.address)
+            sock.connect(w.sidecar.listener.address)
             reader, writer = await asyncio.open_connection(sock=sock, limit=1024)
             writer.write(request("pay", body=b"x", **({"Connection": "close"} if ends else {})))
             await until(w.sent)
             # A small buffer, so that the last piece is sure to wait here.
-            taking = w.sidecar.frontend.connections[0]
+            taking = w.sidecar.listener.connections[0]
             taking._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             giving = w.servers[0].writers[-1]
             giving.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + bytes(size))
@@ -357,9 +359,9 @@
 @pytest.mark.parametrize(
     ("limit", "begun"),
     [
-        ("HEAD_S", b"GET /api/1 HTTP/1.1\r\nX-Long: "),
-        ("STOPPED_S", request("pay", Content_Length="99999")),  # behind it a body has a least pace
-        ("BODY_S", request("pay", Content_Length="99999")),
+        ("HEAD_LIMIT_S", b"GET /api/1 HTTP/1.1\r\nX-Long: "),
+        ("STALL_LIMIT_S", request("pay", Content_Length="99999")),  # behind it a body has a least pace
+        ("REQUEST_LIMIT_S", request("pay", Content_Length="99999")),
     ],
 )
 def test_a_request_that_drips_is_turned_away_in_time(
@@ -370,7 +372,7 @@
 
     async def scene() -> None:
         async with world(served) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(begun)
             answered = asyncio.create_task(reader.readuntil(b"\r\n\r\n"))
             for _ in range(200):
@@ -399,7 +401,7 @@
 def test_a_client_of_http_1_0_gets_a_large_answer_until_the_connection_ends() -> None:
     async def scene() -> None:
         async with world(lambda *_: None) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(request("pay", body=b"x").replace(b"HTTP/1.1", b"HTTP/1.0"))
             await until(w.sent)
             chunk = b"%x\r\n%b\r\n0\r\n\r\n" % (len(BIG), BIG)
@@ -417,7 +419,7 @@
 def test_every_cut_of_a_request_reads_the_same() -> None:
     async def scene() -> None:
         async with world(lambda first, head, body: answer(200, body)) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             chunked = request("pay", Content_Length=None, Transfer_Encoding="chunked")
             forms = [
                 request("pay", body=b"plain body"),
@@ -445,7 +447,7 @@
 def test_headers_that_a_client_names_as_its_connections_own_are_not_passed_on() -> None:
     async def scene() -> None:
         async with world(served) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(request("pay", body=b"x", Connection="keep-alive, X-Hop", X_Hop="1", X_Kept="2"))
             assert (await read_answer(reader))[0] == 200
             _, headers, _ = w.sent()[0]
@@ -458,7 +460,7 @@
 def test_a_head_that_takes_two_seconds_is_waited_for() -> None:
     async def scene() -> None:
         async with world(served) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             data = request("pay", body=b"x")
             writer.write(data[:20])
             await asyncio.sleep(2.3)
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -15,7 +15,7 @@
         loop, chance = asyncio.get_running_loop(), random.Random(1)
         began = loop.time()
         times = [chance.randrange(50) / 1000 for _ in range(500)]
-        waiting = [timers.at(began + each, fired.append, each) for each in times]
+        waiting = [timers.call_at(began + each, fired.append, each) for each in times]
         for timer in waiting[::3]:
             timer.cancel()
             timer.cancel()  # twice is once
@@ -36,8 +36,8 @@
         done = asyncio.Event()
         for each in range(200):
             due = loop.time() + each / 10_000
-            timers.at(due, lambda due: early.append(due - loop.time()), due)
-        timers.after(0.05, lambda _: done.set())
+            timers.call_at(due, lambda due: early.append(due - loop.time()), due)
+        timers.call_after(0.05, lambda _: done.set())
         await done.wait()
         assert len(early) == 200 and max(early) <= 0.0
 
@@ -48,8 +48,8 @@
     async def scene() -> None:
         timers, done = Timers(), asyncio.Event()
         now = asyncio.get_running_loop().time()
-        timers.at(now, [].remove, "not there")
-        timers.at(now, lambda _: done.set())
+        timers.call_at(now, [].remove, "not there")
+        timers.call_at(now, lambda _: done.set())
         await done.wait()
 
     asyncio.run(asyncio.wait_for(scene(), 20.0))
@@ -59,14 +59,14 @@
     async def scene() -> list[str]:
         timers, fired, done = Timers(), list[str](), asyncio.Event()
         now = asyncio.get_running_loop().time()
-        never = timers.at(now + 0.001, fired.append, "cancelled")
+        never = timers.call_at(now + 0.001, fired.append, "cancelled")
 
         def first(_: object) -> None:
             never.cancel()
-            timers.at(now, fired.append, "due already")
-            timers.after(0.002, lambda _: done.set())
+            timers.call_at(now, fired.append, "due already")
+            timers.call_after(0.002, lambda _: done.set())
 
-        timers.at(now, first)
+        timers.call_at(now, first)
         await done.wait()
         return fired
 
@@ -79,9 +79,9 @@
     async def scene() -> None:
         timers, most = Timers(), 0
         later = asyncio.get_running_loop().time() + 60.0
-        lasting = [timers.at(later, print) for _ in range(10)]
+        lasting = [timers.call_at(later, print) for _ in range(10)]
         for _ in range(20_000):
-            timers.at(later, print).cancel()
+            timers.call_at(later, print).cancel()
             most = max(most, len(timers))
         assert most <= len(lasting) + made._CANCELLED_LEAST + 1
         assert not any(each.cancelled() for each in lasting)
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -35,7 +35,7 @@
         settings = made_settings()
         self.balancer = Balancer(settings, 3)
         self.trace = Trace(self.balancer, lines_per_second, self.text.append)
-        self.trace.begin(
+        self.trace.record_start(
             self.now,
             [(each.name, each.priority_weight, each.latency_objective_us) for each in settings.classes],
             40,
@@ -46,7 +46,7 @@
 
     def play(self, event: Event) -> list[SendAttempt]:
         actions = self.balancer.handle(self.now, event)
-        self.trace.noted(self.now, event, actions)
+        self.trace.record(self.now, event, actions)
         return [each for each in actions if isinstance(each, SendAttempt)]
 
     def call(self, ident: int, took_us: int, outcome: Outcome = Outcome.DELIVERED) -> None:
--- a/topazbank/cluster/service.py
+++ b/topazbank/cluster/service.py
@@ -45,13 +45,13 @@
 
         `wall`: Unix milliseconds by the machine's clock, which may be set back between two lives.
         """
-        assert config.tier is not None
+        assert config.gossip is not None
         self._clock = clock
         self._others = others
         self._told = config.settings.fleet_size
         self._key = given.key.encode()
-        members = config.tier.members
-        listen = config.tier.listen
+        members = config.gossip.members
+        listen = config.gossip.listen
         number = members.index(listen) if listen in members else config.settings.instance
         self.name = given.name or str(number)
         self._names = {ident_of(self.name): self.name}
--- a/topazbank/config.py
+++ b/topazbank/config.py
@@ -32,12 +32,12 @@
         listen=_address(environ.get("RELAY_LISTEN") or given.get("listen"), "listen"),
         discovery=_address(given.get("discovery") or environ.get("RELAY_DISCOVERY"), "discovery"),
         seed=_seed(given.get("seed", "0")),
-        sockets=_sockets(given.get("limits")),
+        max_descriptors=_sockets(given.get("limits")),
         settings=settings_from_wire(given.get("settings")),
-        known=EndpointList(0, True, []) if known is None else parse_list(known),
-        tier=_tier(given),
-        operator=_operator(environ.get("RELAY_OPERATOR") or given.get("operator")),
-        folder=environ.get("TMPDIR") or None,
+        cached_endpoints=EndpointList(0, True, []) if known is None else parse_list(known),
+        gossip=_tier(given),
+        admin_address=_operator(environ.get("RELAY_OPERATOR") or given.get("operator")),
+        handover_folder=environ.get("TMPDIR") or None,
     )
 
 
@@ -46,13 +46,13 @@
     given = operator.tier
     if not given.on:
         return
-    if config.tier is None:
+    if config.gossip is None:
         raise ValueError("tier.on: the configuration names no peer_listen, where other sidecars are heard")
     if not config.settings.limits.gossip:
         raise ValueError("tier.on: the settings do not allow messages between sidecars (bounds.mayTell)")
-    if not given.name and not config.tier.members:
+    if not given.name and not config.gossip.members:
         raise ValueError("tier.name: wanted where the configuration names no peers, whose numbers are names")
-    names = {str(number) for number in range(len(config.tier.members))}
+    names = {str(number) for number in range(len(config.gossip.members))}
     for each in operator.budgets:
         for keeper in each.budget.keepers:
             if not given.name and keeper not in names:
@@ -73,7 +73,7 @@
     return GossipAddresses(
         listen=_address(given["peer_listen"], "peer_listen"),
         members=tuple(_address(each, f"peers[{number}]") for number, each in enumerate(members)),
-        all=None if reaches_all is None else _address(reaches_all, "peers_all"),
+        broadcast=None if reaches_all is None else _address(reaches_all, "peers_all"),
     )
 
 
--- a/topazbank/core/body.py
+++ b/topazbank/core/body.py
@@ -12,56 +12,56 @@
 from collections.abc import Callable, Iterator
 from typing import Protocol
 
-CHUNK = 64 * 1024  # bytes: pieces that are spooled, and the most of a body that is held in memory
-SPOOL_MOST = (
+CHUNK_BYTES = 64 * 1024  # bytes: pieces that are spooled, and the most of a body that is held in memory
+SPOOL_BYTES_MAX = (
     2 * 1024 * 1024 * 1024
 )  # bytes of all bodies spooled at a time, unless the operator file says otherwise
-LARGE_MOST = 32 * 1024 * 1024  # bytes of one body, as the platform has it
+BODY_BYTES_MAX = 32 * 1024 * 1024  # bytes of one body, as the platform has it
 
 
-class NoRoom(Exception):
+class SpoolFull(Exception):
     """The spool is full, or its disk is."""
 
 
 class Spool:
     """One file without a name for all bodies: one descriptor, chunks used again, gone with the process."""
 
-    def __init__(self, folder: str | None, most: int = SPOOL_MOST) -> None:
+    def __init__(self, folder: str | None, most: int = SPOOL_BYTES_MAX) -> None:
         """`folder`: where the file lies; None: where the system keeps temporary files.  It is made once needed."""
         self._folder = folder
-        self._most = most // CHUNK
+        self._most = most // CHUNK_BYTES
         self._fd: int | None = None
         self._free: list[int] = []
         self._made = 0  # chunks that the file holds, free ones included
 
     @property
-    def used(self) -> int:
+    def used_bytes(self) -> int:
         """Bytes that are taken."""
-        return (self._made - len(self._free)) * CHUNK
+        return (self._made - len(self._free)) * CHUNK_BYTES
 
-    def put(self, data: bytes) -> int:
-        """Keep a chunk; give its number.  Raise NoRoom where that is not possible."""
+    def write(self, data: bytes) -> int:
+        """Keep a chunk; give its number.  Raise SpoolFull where that is not possible."""
         if not self._free and self._made >= self._most:
-            raise NoRoom("too many large bodies at once")
+            raise SpoolFull("too many large bodies at once")
         number = self._free.pop() if self._free else self._made
         self._made = max(self._made, number + 1)
         try:
             if self._fd is None:
                 self._fd = _nameless(self._folder)
-            written = os.pwrite(self._fd, data, number * CHUNK)
+            written = os.pwrite(self._fd, data, number * CHUNK_BYTES)
         except OSError as fault:
             self._free.append(number)
-            raise NoRoom(f"the spool can't be written: {fault.strerror}") from fault
+            raise SpoolFull(f"the spool can't be written: {fault.strerror}") from fault
         if written != len(data):
             self._free.append(number)
-            raise NoRoom("the spool's disk is full")
+            raise SpoolFull("the spool's disk is full")
         return number
 
-    def get(self, number: int, length: int) -> bytes:
+    def read(self, number: int, length: int) -> bytes:
         assert self._fd is not None
-        return os.pread(self._fd, length, number * CHUNK)
+        return os.pread(self._fd, length, number * CHUNK_BYTES)
 
-    def give(self, numbers: list[int]) -> None:
+    def free(self, numbers: list[int]) -> None:
         """Take chunks back.  With none in use the file is emptied: the disk is others' too."""
         self._free += numbers
         if len(self._free) == self._made and self._fd is not None:
@@ -79,7 +79,7 @@
         return os.dup(file.fileno())
 
 
-class Large:
+class SpooledBody:
     """A body that was spooled whole."""
 
     def __init__(self, spool: Spool, chunks: list[int], length: int) -> None:
@@ -87,20 +87,20 @@
         self._chunks = chunks
         self.length = length
 
-    def pieces(self) -> Iterator[bytes]:
+    def chunks(self) -> Iterator[bytes]:
         """All of it, read anew each time."""
         left = self.length
         for number in self._chunks:
-            yield self._spool.get(number, min(left, CHUNK))
-            left -= CHUNK
+            yield self._spool.read(number, min(left, CHUNK_BYTES))
+            left -= CHUNK_BYTES
 
     def release(self) -> None:
         """Nothing reads it any more."""
         chunks, self._chunks = self._chunks, []
-        self._spool.give(chunks)
+        self._spool.free(chunks)
 
 
-class Intake:
+class BodyBuffer:
     """A request's body as it comes: in memory while it is small, else spooled."""
 
     def __init__(self, spool: Spool) -> None:
@@ -112,42 +112,42 @@
     def __len__(self) -> int:
         return self._length
 
-    def add(self, data: bytes) -> None:
-        """Take what came next; raise NoRoom where it can't be kept."""
+    def append(self, data: bytes) -> None:
+        """Take what came next; raise SpoolFull where it can't be kept."""
         self._tail += data
         self._length += len(data)
-        while len(self._tail) > CHUNK:
-            self._chunks.append(self._spool.put(bytes(self._tail[:CHUNK])))
-            del self._tail[:CHUNK]
+        while len(self._tail) > CHUNK_BYTES:
+            self._chunks.append(self._spool.write(bytes(self._tail[:CHUNK_BYTES])))
+            del self._tail[:CHUNK_BYTES]
 
-    def whole(self) -> bytes | Large:
+    def finish(self) -> bytes | SpooledBody:
         """All has come: give it, and begin anew."""
         if not self._chunks:
-            body: bytes | Large = bytes(self._tail)
+            body: bytes | SpooledBody = bytes(self._tail)
         else:
-            self._chunks.append(self._spool.put(bytes(self._tail)))
-            body = Large(self._spool, self._chunks, self._length)
+            self._chunks.append(self._spool.write(bytes(self._tail)))
+            body = SpooledBody(self._spool, self._chunks, self._length)
         self._tail, self._chunks, self._length = bytearray(), [], 0
         return body
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         """The rest won't come."""
         chunks, self._chunks = self._chunks, []
         if chunks:
-            self._spool.give(chunks)
+            self._spool.free(chunks)
         self._tail, self._length = bytearray(), 0
 
 
-class Taker(Protocol):
+class StreamReceiver(Protocol):
     """Who passes an answer on to its client."""
 
-    def piece(self, data: bytes) -> None: ...
+    def stream_data(self, data: bytes) -> None: ...
 
-    def ended(self, whole: bool) -> None:
+    def stream_ended(self, whole: bool) -> None:
         """No more comes; not `whole`: it was cut short, and the client must be able to tell."""
 
 
-class Stream:
+class ResponseStream:
     """An answer that has begun and is passed on as it comes; it has one end."""
 
     def __init__(
@@ -155,23 +155,23 @@
     ) -> None:
         """`length`: of all of it, where its head says; `first`: what is here; `pause(True)` stops what gives it."""
         self.length = length
-        self.first = first
+        self.first_data = first
         self.pause = pause
         self._abort = abort
-        self.taker: Taker | None = None
-        self.given_up = False  # whether its client has gone
+        self.receiver: StreamReceiver | None = None
+        self.is_aborted = False  # whether its client has gone
 
-    def give_up(self) -> None:
+    def abort(self) -> None:
         """Nobody takes it any more: end what gives it."""
-        self.taker = None
-        self.given_up = True
+        self.receiver = None
+        self.is_aborted = True
         self._abort()
 
-    def piece(self, data: bytes) -> None:
-        if self.taker is not None:
-            self.taker.piece(data)
+    def feed(self, data: bytes) -> None:
+        if self.receiver is not None:
+            self.receiver.stream_data(data)
 
-    def end(self, whole: bool) -> None:
-        taker, self.taker = self.taker, None
+    def finish(self, whole: bool) -> None:
+        taker, self.receiver = self.receiver, None
         if taker is not None:
-            taker.ended(whole)
+            taker.stream_ended(whole)
--- a/topazbank/core/driver.py
+++ b/topazbank/core/driver.py
@@ -50,7 +50,15 @@
 from topazbank.balancing.settings import DiscoveryMode, Settings
 from topazbank.cluster.member import Generations
 from topazbank.core.body import Spool
-from topazbank.core.call import FAILED, Call, FinalAnswer, RequestCallbacks, RequestClasses, Response, Verdict
+from topazbank.core.call import (
+    FAILED_ANSWER,
+    Call,
+    FinalAnswer,
+    RequestCallbacks,
+    RequestClasses,
+    Response,
+    Verdict,
+)
 from topazbank.core.counters import Counters
 from topazbank.core.endpoint_source import EndpointList, EndpointSource, ProtocolDefaults
 from topazbank.core.endpoint_watcher import EndpointWatcher
@@ -58,7 +66,7 @@
 from topazbank.core.gossip_transport import GossipAddresses, GossipTransport
 from topazbank.core.listener import ConnectionFactory, Listener
 from topazbank.core.net import Address
-from topazbank.core.request_rules import Denied, RequestRules
+from topazbank.core.request_rules import DenialReason, RequestRules
 from topazbank.core.timers import Timer, Timers
 from topazbank.core.trace import Trace
 from topazbank.estimation.fleet_size import FleetSize
@@ -91,23 +99,23 @@
     def now(self) -> int:
         return self._monotonic_ns() // 1000 + self._offset_us
 
-    def on_loop(self, at_us: int) -> float:
+    def to_loop_time(self, at_us: int) -> float:
         """A clock time as the event loop counts it."""
         return (at_us - self._offset_us) / 1e6
 
 
 @dataclass(slots=True, eq=False)
-class Live:
+class LiveRequest:
     """A request that is not over: unanswered, or with attempts still out."""
 
-    ident: int
+    request: int
     call: Call
-    answer_by: int
+    deadline_us: int
     answered: bool = False
-    sent: int = 0  # attempts so far
-    out: dict[int, Attempt | None] = field(default_factory=dict)  # those that have not ended, by number
-    backstop: Timer | None = None
-    began: tuple[int, int] | None = (
+    attempts_sent: int = 0  # attempts so far
+    attempts: dict[int, Attempt | None] = field(default_factory=dict)  # those that have not ended, by number
+    deadline_timer: Timer | None = None
+    streamed: tuple[int, int] | None = (
         None  # the attempt whose large answer is passed on, and when its first bytes came
     )
 
@@ -119,13 +127,13 @@
     listen: Address
     discovery: Address
     seed: int
-    sockets: int
+    max_descriptors: int
     settings: Settings
-    known: EndpointList
-    tier: GossipAddresses | None = None  # None: sidecars do not hear one another
-    operator: Address | None = None  # where operators call; None: nowhere
-    others: FleetSize | None = None  # the size of the tier, as it is seen; None: nobody looks
-    folder: str | None = None  # where one process of a sidecar hands over to the next; None: nowhere
+    cached_endpoints: EndpointList
+    gossip: GossipAddresses | None = None  # None: sidecars do not hear one another
+    admin_address: Address | None = None  # where operators call; None: nowhere
+    fleet_size: FleetSize | None = None  # the size of the tier, as it is seen; None: nobody looks
+    handover_folder: str | None = None  # where one process of a sidecar hands over to the next; None: nowhere
     inherited: bool = False  # whether `known` is from the process before, in an upgrade
 
 
@@ -138,19 +146,19 @@
 
     def stop(self) -> None: ...
 
-    def listed(self, servers: Sequence[ServerDescription]) -> None: ...
+    def endpoints_updated(self, servers: Sequence[ServerDescription]) -> None: ...
 
-    def arrived(self, kind: str) -> None: ...
+    def request_arrived(self, kind: str) -> None: ...
 
-    def answered(self, kind: str, served: bool) -> None: ...
+    def request_answered(self, kind: str, served: bool) -> None: ...
 
-    def sent(self, server: str) -> None: ...
+    def attempt_sent(self, server: str) -> None: ...
 
-    def ended(
+    def attempt_ended(
         self, server: str, delivered: bool, elapsed_us: int, report: Mapping[str, float] | None
     ) -> None: ...
 
-    def show(self) -> dict[str, Any]: ...
+    def status(self) -> dict[str, Any]: ...
 
 
 class ClusterMembership(Protocol):
@@ -181,15 +189,17 @@
 class Components:
     """The protocols that a sidecar speaks: what makes its clients' connections, and its carriers by name."""
 
-    text: ConnectionFactory
-    binary: ConnectionFactory | None
-    carriers: Callable[[Settings, ConnectionLimit], Mapping[str, UpstreamClient]]
-    source: Callable[[SidecarConfig, Callable[[EndpointList | None], None]], EndpointSource]
-    show_roster: bool = False  # whether clients may ask for the list as it stands
-    dialects: ProtocolDefaults = field(default_factory=ProtocolDefaults)
+    text_connection: ConnectionFactory
+    binary_connection: ConnectionFactory | None
+    upstream_clients: Callable[[Settings, ConnectionLimit], Mapping[str, UpstreamClient]]
+    endpoint_source: Callable[[SidecarConfig, Callable[[EndpointList | None], None]], EndpointSource]
+    has_status_page: bool = False  # whether clients may ask for the list as it stands
+    protocol_defaults: ProtocolDefaults = field(default_factory=ProtocolDefaults)
     observer: Callable[[SidecarConfig, Callable[[], int]], RequestObserver] | None = None
     trace: Callable[[Balancer], Trace] | None = None
-    tier_part: Callable[[SidecarConfig, FleetSize, Mapping[str, Any]], ClusterMembership] | None = None
+    cluster_membership: Callable[[SidecarConfig, FleetSize, Mapping[str, Any]], ClusterMembership] | None = (
+        None
+    )
 
 
 class Sidecar:
@@ -216,43 +226,54 @@
         self._balancer = Balancer(settings, config.seed, self._observer)
         self._trace = wiring.trace(self._balancer) if wiring.trace is not None else None
         self._timers = Timers()
-        self._live: dict[int, Live] = {}
-        self._by_call: dict[Call, Live] = {}
+        self._live: dict[int, LiveRequest] = {}
+        self._by_call: dict[Call, LiveRequest] = {}
         self._out: set[str] = set()  # the ids that the application gave to what is live
         self._idents = itertools.count(1)
         self._events: deque[Event] = deque()
         self._handling = False
-        self.connections_most = half = max((config.sockets - _FDS_KEPT) // 2, 1)
-        self._nodes = EndpointTable(
+        self.max_connections = half = max((config.max_descriptors - _FDS_KEPT) // 2, 1)
+        self._endpoints = EndpointTable(
             ConnectionLimit(half), _PROBE_DIALS * settings.limits.connect_timeout_us / 1e6
         )
-        for protocol, carrier in wiring.carriers(settings, self._nodes.slots).items():
-            self._nodes.add(protocol, carrier)
-        self._known = config.known
+        for protocol, carrier in wiring.upstream_clients(settings, self._endpoints.connection_limit).items():
+            self._endpoints.add_client(protocol, carrier)
+        self._known = config.cached_endpoints
         self._inherited = config.inherited
         pushed = settings.discovery is DiscoveryMode.PUSHED
-        self.server_list = EndpointWatcher(config.known, pushed, self._nodes, self._servers_listed)
-        self.server_list.come_from(partial(wiring.source, self._with_others(config)), wiring.dialects)
-        told = config.tier is not None and settings.limits.gossip
-        self._peers = None
-        self._tier_part: ClusterMembership | None = None
-        if told and config.tier is not None:
+        self.endpoint_watcher = EndpointWatcher(
+            config.cached_endpoints, pushed, self._endpoints, self._servers_listed
+        )
+        self.endpoint_watcher.set_source(
+            partial(wiring.endpoint_source, self._with_others(config)), wiring.protocol_defaults
+        )
+        told = config.gossip is not None and settings.limits.gossip
+        self._gossip = None
+        self._membership: ClusterMembership | None = None
+        if told and config.gossip is not None:
             member = None
-            if wiring.tier_part is not None:
-                self._tier_part = wiring.tier_part(config, self._balancer.others, tier or {})
-                member = self._tier_part.datagram
-                self._balancer.spending = self._tier_part.spending(self._clock.offset_us)
-            self._peers = GossipTransport(config.tier, self._message, peers, member)
-        roster = self._show_roster if wiring.show_roster else None
+            if wiring.cluster_membership is not None:
+                self._membership = wiring.cluster_membership(config, self._balancer.others, tier or {})
+                member = self._membership.datagram
+                self._balancer.spending = self._membership.spending(self._clock.offset_us)
+            self._gossip = GossipTransport(config.gossip, self._message, peers, member)
+        roster = self._show_roster if wiring.has_status_page else None
         self.drain = Drain(max(each.deadline_us for each in settings.classes) / 1e6)
         self._looking: asyncio.TimerHandle | None = None  # at what holds, while the sidecar is emptied
         self._over = asyncio.Event()
-        self._spool = Spool(config.folder)
+        self._spool = Spool(config.handover_folder)
         ready = self.drain.is_ready
         hooks = RequestCallbacks(self._taken, self._gone, self._out.__contains__, ready, roster, self._spool)
         rules = RequestClasses(settings)
-        self.frontend = Listener(
-            config.listen, half, hooks, rules, wiring.text, wiring.binary, clients, self.counters
+        self.listener = Listener(
+            config.listen,
+            half,
+            hooks,
+            rules,
+            wiring.text_connection,
+            wiring.binary_connection,
+            clients,
+            self.counters,
         )
         self._carry: dict[type[Any], Callable[[Any], None]] = {
             SendAttempt: self._send,
@@ -261,8 +282,8 @@
             CancelAttempt: self._cancel,
             SetTimer: self._set_timer,
             CheckHealth: self._probe,
-            CloseIdleConnections: lambda action: self._nodes.close_idle(action.server),
-            WatchEndpoints: lambda action: self.server_list.source.follow(action.wanted),
+            CloseIdleConnections: lambda action: self._endpoints.close_idle(action.server),
+            WatchEndpoints: lambda action: self.endpoint_watcher.source.watch(action.wanted),
             SendGossip: self._tell,
             LogMessage: lambda action: log.info("%s", action.text),
         }
@@ -284,54 +305,54 @@
                 (each.name, each.priority_weight, each.latency_objective_us)
                 for each in self._settings.classes
             ]
-            self._trace.begin(self._clock.now(), classes, self._settings.fleet_size)
+            self._trace.record_start(self._clock.now(), classes, self._settings.fleet_size)
         rules = self._settings.rules
         log.info(
             "list at the start: version %d, %d servers; ask within %.1f s, drain grace %.2f s, %d sidecars",
             self._known.version,
-            len(self._known.lines),
+            len(self._known.entries),
             rules.poll_within_us / 1e6,
             rules.drain_grace_us / 1e6,
             self._settings.fleet_size,
         )
-        self.server_list.begin(at_once=self._inherited)
-        if self._peers is not None:
-            await self._peers.start()
-            if self._tier_part is not None:
-                self._tier_part.start(self._peers.send)
-        self.frontend.start()
+        self.endpoint_watcher.start(at_once=self._inherited)
+        if self._gossip is not None:
+            await self._gossip.start()
+            if self._membership is not None:
+                self._membership.start(self._gossip.send)
+        self.listener.start()
         if self._observer is not None:
-            part = self._tier_part
+            part = self._membership
             lives = part.lives if part is not None else lambda: None
             self._observer.start(lambda: [each.name for each in self._balancer.ejected], lives)
         lag = asyncio.get_running_loop().create_task(self._watch_lag())
         began()
         self.drain.serve()
-        self.carry_out()  # an operator may have called already
+        self.apply_drain()  # an operator may have called already
         await stop.wait()
         await self._end(succeeded())
         lag.cancel()
         if self._observer is not None:
             self._observer.stop()
-        self.server_list.stop()
-        if self._tier_part is not None:
-            self._tier_part.leave()
-            self._tier_part.stop()
-        if self._peers is not None:
-            self._peers.stop()
-        await self._nodes.close()
+        self.endpoint_watcher.stop()
+        if self._membership is not None:
+            self._membership.leave()
+            self._membership.stop()
+        if self._gossip is not None:
+            self._gossip.stop()
+        await self._endpoints.close()
         self._spool.close()
 
-    def rest_in_tier(self) -> None:
+    def pause_membership(self) -> None:
         """Another process is this member of the tier from now on."""
-        if self._tier_part is not None and self._peers is not None:
-            self._tier_part.rest()
-            self._peers.rest()
+        if self._membership is not None and self._gossip is not None:
+            self._membership.rest()
+            self._gossip.pause()
 
-    def resume_in_tier(self) -> None:
+    def resume_membership(self) -> None:
         """That process has ended, and this one is the member again."""
-        if self._tier_part is not None and self._peers is not None:
-            asyncio.get_running_loop().create_task(self._resume(self._peers, self._tier_part))
+        if self._membership is not None and self._gossip is not None:
+            asyncio.get_running_loop().create_task(self._resume(self._gossip, self._membership))
 
     @staticmethod
     async def _resume(peers: GossipTransport, part: ClusterMembership) -> None:
@@ -339,65 +360,67 @@
         part.resume()
 
     @property
-    def tier(self) -> dict[str, Any]:
+    def cluster_state(self) -> dict[str, Any]:
         """What the next process is told of the others."""
-        return self._tier_part.handed() if self._tier_part is not None else {}
+        return self._membership.handed() if self._membership is not None else {}
 
     def move_discovery(self, address: Address) -> None:
         """Go on with discovery at another address; also where it is the same, asked for by name."""
-        self.server_list.move(address)
+        self.endpoint_watcher.move(address)
 
     def replace_source(self, config: SidecarConfig, wiring: Components) -> None:
         """Turn to another source of the list; the list as it is holds until the new one has told a whole one."""
         log.info("the list comes from other sources now")
-        self.server_list.come_from(partial(wiring.source, self._with_others(config)), wiring.dialects)
-        self.server_list.replaced()
+        self.endpoint_watcher.set_source(
+            partial(wiring.endpoint_source, self._with_others(config)), wiring.protocol_defaults
+        )
+        self.endpoint_watcher.source_replaced()
 
     def _with_others(self, config: SidecarConfig) -> SidecarConfig:
-        return replace(config, others=self._balancer.others)
+        return replace(config, fleet_size=self._balancer.others)
 
-    def carry_out(self) -> None:
+    def apply_drain(self) -> None:
         """Carry out what holds of the sidecar as a whole, and look again while it is emptied."""
-        orders = self.drain.look(asyncio.get_running_loop().time(), self.frontend.held)
-        self.frontend.follow(orders)
+        orders = self.drain.look(asyncio.get_running_loop().time(), self.listener.open_connections)
+        self.listener.apply(orders)
         if self._looking is not None:
             self._looking.cancel()
             self._looking = None
         if orders.over:
             self._over.set()
         elif orders.closes:
-            self._looking = asyncio.get_running_loop().call_later(_DRAIN_STEP_S, self.carry_out)
+            self._looking = asyncio.get_running_loop().call_later(_DRAIN_STEP_S, self.apply_drain)
 
     async def _end(self, succeeded: bool) -> None:
         """Answer all that is held, in the time that the platform gives."""
         log.info("draining: %d requests held", len(self._by_call))
         self.drain.end(asyncio.get_running_loop().time(), succeeded)
-        self.carry_out()
+        self.apply_drain()
         await self._over.wait()
         for live in list(self._by_call.values()):
-            self._answer(live, FAILED)
-        log.info("drained; counters %s", json.dumps(self.counters.show()))
+            self._answer(live, FAILED_ANSWER)
+        log.info("drained; counters %s", json.dumps(self.counters.as_mapping()))
 
     @property
-    def listening(self) -> list[socket.socket]:
+    def listening_sockets(self) -> list[socket.socket]:
         """What a process that takes this one's place needs to listen there: for clients, and for other sidecars."""
-        peers = self._peers.sock if self._peers is not None else None
-        return [self.frontend.sock, *([peers] if peers is not None else [])]
+        peers = self._gossip.socket if self._gossip is not None else None
+        return [self.listener.sock, *([peers] if peers is not None else [])]
 
     @property
-    def known(self) -> EndpointList:
+    def endpoints(self) -> EndpointList:
         """The list as it was taken so far."""
-        return self.server_list.known
+        return self.endpoint_watcher.snapshot
 
     @property
-    def open(self) -> tuple[int, int]:
+    def open_connections(self) -> tuple[int, int]:
         """Connections with clients and with nodes."""
-        return self.frontend.held, self._nodes.slots.open
+        return self.listener.open_connections, self._endpoints.connection_limit.open_count
 
-    def bound(self, clients: int | None, nodes: int | None) -> None:
+    def set_max_connections(self, clients: int | None, nodes: int | None) -> None:
         """Hold so many connections from now on; None: as many as the limits allow."""
-        self.frontend.bound(clients or self.connections_most)
-        self._nodes.slots.most = nodes or self.connections_most
+        self.listener.set_max_connections(clients or self.max_connections)
+        self._endpoints.connection_limit.max_open = nodes or self.max_connections
 
     async def _watch_lag(self) -> None:
         loop = asyncio.get_running_loop()
@@ -430,7 +453,7 @@
             self._give_up(getattr(event, "request", None))
             return
         if self._trace is not None:
-            self._trace.noted(self._clock.now(), event, actions)
+            self._trace.record(self._clock.now(), event, actions)
         for action in actions:
             try:
                 self._carry[type(action)](action)
@@ -442,30 +465,30 @@
         """Guards against a defect that would leave its request unanswered: it fails."""
         live = self._live.get(ident) if ident is not None else None
         if live is not None:
-            self._answer(live, FAILED)
-            for attempt in list(live.out.values()):
+            self._answer(live, FAILED_ANSWER)
+            for attempt in list(live.attempts.values()):
                 if attempt is not None:
                     attempt.cancel(final=True)
 
     # -- Requests -------------------------------------------------------------------------------------
 
     def _taken(self, call: Call) -> None:
-        live = Live(next(self._idents), call, self._clock.now() + call.budget_us)
-        self._live[live.ident] = self._by_call[call] = live
-        self._out.add(call.ident)
+        live = LiveRequest(next(self._idents), call, self._clock.now() + call.timeout_us)
+        self._live[live.request] = self._by_call[call] = live
+        self._out.add(call.call_id)
         if self._observer is not None:
-            self._observer.arrived(call.kind.name)
-        at = call.answer_by = self._clock.on_loop(live.answer_by)
-        live.backstop = self._timers.at(at, self._give_up, live.ident)
+            self._observer.request_arrived(call.request_class.name)
+        at = call.deadline = self._clock.to_loop_time(live.deadline_us)
+        live.deadline_timer = self._timers.call_at(at, self._give_up, live.request)
         self.handle(
             RequestArrived(
-                live.ident,
-                call.kind.name,
+                live.request,
+                call.request_class.name,
                 call.tenant,
                 call.key,
-                call.budget_us,
+                call.timeout_us,
                 call.cost_us,
-                call.again,
+                call.is_retry,
             )
         )
 
@@ -473,122 +496,136 @@
         """Clients have left.  All are noted before any is told of: giving one up can end others' attempts."""
         lives = [live for call in calls if (live := self._by_call.pop(call, None)) and not live.answered]
         for live in lives:
-            live.answered = live.call.over = True
+            live.answered = live.call.is_over = True
         for live in lives:
             self._mark_answered(live)
-            self.handle(RequestCancelled(live.ident))
+            self.handle(RequestCancelled(live.request))
 
-    def _answer(self, live: Live, answer: FinalAnswer) -> None:
+    def _answer(self, live: LiveRequest, answer: FinalAnswer) -> None:
         if live.answered:
             return
         if self._observer is not None:
-            self._observer.answered(live.call.kind.name, answer.verdict is Verdict.SERVED)
+            self._observer.request_answered(live.call.request_class.name, answer.verdict is Verdict.SERVED)
         self._mark_answered(live)
-        self._request_rules.answered(live.call, asyncio.get_running_loop().time())
+        self._request_rules.check_answer(live.call, asyncio.get_running_loop().time())
         live.call.answer(answer)
 
-    def _mark_answered(self, live: Live) -> None:
-        live.answered = live.call.over = True
+    def _mark_answered(self, live: LiveRequest) -> None:
+        live.answered = live.call.is_over = True
         self._by_call.pop(live.call, None)
-        if live.backstop is not None:
-            live.backstop.cancel()
-        for attempt in list(live.out.values()):
+        if live.deadline_timer is not None:
+            live.deadline_timer.cancel()
+        for attempt in list(live.attempts.values()):
             if attempt is not None:
-                attempt.unsend()  # nothing is sent for a request that is over
+                attempt.cancel_unwritten()  # nothing is sent for a request that is over
         self._forget_if_over(live)
 
-    def _forget_if_over(self, live: Live) -> None:
-        if live.answered and not live.out:
-            self._live.pop(live.ident, None)
-            self._out.discard(live.call.ident)
+    def _forget_if_over(self, live: LiveRequest) -> None:
+        if live.answered and not live.attempts:
+            self._live.pop(live.request, None)
+            self._out.discard(live.call.call_id)
             live.call.release()
 
     def _refuse(self, action: Reject) -> None:
         live = self._live.get(action.request)
         if live is not None:
-            self._answer(live, FinalAnswer(Verdict.REFUSED, retry_after_us=action.retry_after_us))
+            self._answer(live, FinalAnswer(Verdict.REJECTED, retry_after_us=action.retry_after_us))
 
     def _fail(self, action: Fail) -> None:
         live = self._live.get(action.request)
         if live is not None:
-            self._answer(live, FAILED)
+            self._answer(live, FAILED_ANSWER)
 
     # -- Attempts -------------------------------------------------------------------------------------
 
     def _send(self, action: SendAttempt) -> None:
         live = self._live.get(action.request)
-        denied: Denied | None = Denied.OVER
+        denied: DenialReason | None = DenialReason.REQUEST_OVER
         if live is not None:
-            denied = self._request_rules.denied(live.call, asyncio.get_running_loop().time())
-            if denied is Denied.CLIENT_LEFT:
+            denied = self._request_rules.check_send(live.call, asyncio.get_running_loop().time())
+            if denied is DenialReason.CLIENT_DISCONNECTED:
                 self._gone([live.call])
-        index = live.sent if live is not None else 0
+        index = live.attempts_sent if live is not None else 0
         if live is None or denied is not None:
             if live is not None:
-                live.sent += 1
+                live.attempts_sent += 1
             self.handle(AttemptEnded(action.request, index, action.server, Outcome.UNSENT, 0, True))
             return
-        live.sent += 1
-        live.out[index] = None
+        live.attempts_sent += 1
+        live.attempts[index] = None
         if self._observer is not None:
-            self._observer.sent(action.server)
-        last = not 0 < action.give_up_at < live.answer_by
-        until = self._clock.on_loop(live.answer_by if last else action.give_up_at)
+            self._observer.attempt_sent(action.server)
+        last = not 0 < action.give_up_at < live.deadline_us
+        until = self._clock.to_loop_time(live.deadline_us if last else action.give_up_at)
         ended = partial(self._attempt_ended, live, index, action.server, self._clock.now())
         try:
-            terms = AttemptDeadlines(until, last, self._clock.on_loop(action.write_by), self._request_rules)
-            attempt = self._nodes.send(action.server, live.call, terms, ended)
+            terms = AttemptDeadlines(
+                until, last, self._clock.to_loop_time(action.write_by), self._request_rules
+            )
+            attempt = self._endpoints.send(action.server, live.call, terms, ended)
         except Exception:
             ended(Outcome.CONNECTION_LOST, None)  # a defect; nobody knows how far it went
             raise
-        if index in live.out:
-            live.out[index] = attempt
-            attempt.began = partial(self._answer_began, live, index, action.server, self._clock.now())
+        if index in live.attempts:
+            live.attempts[index] = attempt
+            attempt.on_response_started = partial(
+                self._answer_began, live, index, action.server, self._clock.now()
+            )
 
-    def _answer_began(self, live: Live, index: int, server: str, sent_at: int, response: Response) -> None:
+    def _answer_began(
+        self, live: LiveRequest, index: int, server: str, sent_at: int, response: Response
+    ) -> None:
         """The first bytes of a large answer are here: that is its time, however long the rest takes."""
         if live.answered:  # by another attempt, or its client has left
             if response.stream is not None:
-                response.stream.give_up()
+                response.stream.abort()
             return
         elapsed = self._clock.now() - sent_at
-        live.began = (index, elapsed)
-        self._answer(live, FinalAnswer(Verdict.SERVED, response.body, response.about, stream=response.stream))
-        self.handle(ResponseStarted(live.ident, index, server, elapsed))
+        live.streamed = (index, elapsed)
+        self._answer(
+            live, FinalAnswer(Verdict.SERVED, response.body, response.content_headers, stream=response.stream)
+        )
+        self.handle(ResponseStarted(live.request, index, server, elapsed))
 
     def _attempt_ended(
-        self, live: Live, index: int, server: str, sent_at: int, outcome: Outcome, response: Response | None
+        self,
+        live: LiveRequest,
+        index: int,
+        server: str,
+        sent_at: int,
+        outcome: Outcome,
+        response: Response | None,
     ) -> None:
-        if index not in live.out:
+        if index not in live.attempts:
             return
-        del live.out[index]
+        del live.attempts[index]
         if outcome is Outcome.DELIVERED and response is not None:
-            self._answer(live, FinalAnswer(Verdict.SERVED, response.body, response.about))
+            self._answer(live, FinalAnswer(Verdict.SERVED, response.body, response.content_headers))
         elapsed = self._clock.now() - sent_at
-        if live.began is not None and live.began[0] == index:
-            elapsed = live.began[1]
+        if live.streamed is not None and live.streamed[0] == index:
+            elapsed = live.streamed[1]
         report = response.report if response is not None else None
         if self._observer is not None:
-            self._observer.ended(server, outcome is Outcome.DELIVERED, elapsed, report)
+            self._observer.attempt_ended(server, outcome is Outcome.DELIVERED, elapsed, report)
         self._forget_if_over(live)
-        self.handle(AttemptEnded(live.ident, index, server, outcome, elapsed, live.answered, report))
+        self.handle(AttemptEnded(live.request, index, server, outcome, elapsed, live.answered, report))
 
     def _cancel(self, action: CancelAttempt) -> None:
         live = self._live.get(action.request)
-        attempt = live.out.get(action.attempt) if live is not None else None
+        attempt = live.attempts.get(action.attempt) if live is not None else None
         if attempt is not None:
             attempt.cancel(final=live is not None and live.answered)
 
     def _probe(self, action: CheckHealth) -> None:
-        self._nodes.probe(action.server, partial(self._probed, action.server, self._clock.now()))
+        self._endpoints.check_health(action.server, partial(self._probed, action.server, self._clock.now()))
 
     def _probed(self, server: str, sent_at: int, outcome: Outcome, response: Response | None) -> None:
         report = response.report if response is not None else None
         self.handle(HealthCheckEnded(server, outcome, self._clock.now() - sent_at, report))
 
     def _tell(self, action: SendGossip) -> None:
-        if self._peers is not None:
-            self._peers.tell(action.receiver, action.payload)
+        if self._gossip is not None:
+            self._gossip.send_gossip(action.receiver, action.payload)
 
     def _message(self, sender: int, payload: bytes) -> None:
         self.handle(GossipReceived(sender, payload))
@@ -600,7 +637,7 @@
 
     def _servers_listed(self, event: EndpointsUpdated) -> None:
         if self._observer is not None and event.kind is not UpdateKind.FAILED:
-            self._observer.listed(event.servers)
+            self._observer.endpoints_updated(event.servers)
         self.handle(event)
 
     def _show_roster(self) -> bytes:
@@ -612,26 +649,26 @@
                 "state": each.state.value,
                 "address": f"{each.address[0]}:{each.address[1]}",
                 "protocol": each.protocol,
-                "source": self.server_list.source.source_of(each.name),
-                "age_s": round(now - self.server_list.listing.told_at(each.name, now), 3),
+                "source": self.endpoint_watcher.source.source_of(each.name),
+                "age_s": round(now - self.endpoint_watcher.updates.updated_at(each.name, now), 3),
             }
-            for each in self._nodes.endpoints.values()
+            for each in self._endpoints.endpoints.values()
         ]
         sources = [
             {
                 "source": each.source,
-                "can_know": each.can_know,
-                "age_s": None if each.heard_at is None else round(now - each.heard_at, 3),
+                "can_know": each.is_connected,
+                "age_s": None if each.last_contact_at is None else round(now - each.last_contact_at, 3),
             }
-            for each in self.server_list.standing()
+            for each in self.endpoint_watcher.source_status()
         ]
         told: dict[str, Any] = {
-            "counters": self.counters.show(),
+            "counters": self.counters.as_mapping(),
             "sources": sources,
             "nodes": sorted(nodes, key=lambda each: str(each["name"])),
         }
         if self._observer is not None:
-            told["plan"] = self._observer.show()
-        if self._tier_part is not None:
-            told["tier"] = self._tier_part.show()
+            told["plan"] = self._observer.status()
+        if self._membership is not None:
+            told["tier"] = self._membership.show()
         return json.dumps(told).encode()
--- a/topazbank/core/endpoint_list.py
+++ b/topazbank/core/endpoint_list.py
@@ -10,7 +10,7 @@
 from topazbank.balancing.events import ServerState
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, as_removed
 
-STEP = 100  # lines a step: about a millisecond
+BATCH_SIZE = 100  # lines a step: about a millisecond
 
 
 class PendingUpdates:
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         self.version = 0  # the newest that was told
-        self.taken_version = 0  # the newest of which nothing waits any more
+        self.applied_version = 0  # the newest of which nothing waits any more
         self._taken: dict[str, DiscoveredServer] = {}
         self._leaving: dict[
             str, DiscoveredServer
@@ -27,13 +27,13 @@
         self._told_at: dict[str, float] = {}  # when each node that is listed was last told of
         self._displaced: set[str] = set()  # names whose address another has; of those that are told still
 
-    def told(self, now: float, told: EndpointList) -> None:
+    def receive(self, now: float, told: EndpointList) -> None:
         """Hear a list or changes; they wait until they are taken."""
         self.version = told.version
         if told.complete:
-            self._whole(now, told.lines)
+            self._whole(now, told.entries)
             return
-        for line in told.lines:
+        for line in told.entries:
             name = line.server.name
             self._wait(name, line)
             if line.server.state is ServerState.REMOVED:
@@ -64,18 +64,18 @@
         ready = line.server.state is ServerState.READY
         (self._others if ready else self._leaving)[name] = line
 
-    def taken(self) -> list[DiscoveredServer]:
+    def applied(self) -> list[DiscoveredServer]:
         """The list as it was taken so far."""
         return list(self._taken.values())
 
-    def waits(self) -> bool:
+    def has_pending(self) -> bool:
         return bool(self._leaving or self._others)
 
-    def awaits(self, name: str) -> bool:
+    def is_pending(self, name: str) -> bool:
         """Whether a word on this node still waits."""
         return name in self._leaving or name in self._others
 
-    def take(self, most: int = STEP) -> list[DiscoveredServer]:
+    def take_batch(self, most: int = BATCH_SIZE) -> list[DiscoveredServer]:
         """The next lines that say something new, at most so many are looked at."""
         lines = []
         for _ in range(most):
@@ -92,14 +92,14 @@
             else:
                 self._taken[name] = line
             lines.append(line)
-        if not self.waits():
-            self.taken_version = self.version
+        if not self.has_pending():
+            self.applied_version = self.version
         return lines
 
-    def displaced(self, name: str) -> None:
+    def mark_superseded(self, name: str) -> None:
         """Another node has this one's address: it is taken anew when it is next told."""
         self._taken.pop(name, None)
         self._displaced.add(name)
 
-    def told_at(self, name: str, default: float) -> float:
+    def updated_at(self, name: str, default: float) -> float:
         return self._told_at.get(name, default)
--- a/topazbank/core/endpoint_source.py
+++ b/topazbank/core/endpoint_source.py
@@ -35,7 +35,7 @@
 
     version: int
     complete: bool
-    lines: list[DiscoveredServer]
+    entries: list[DiscoveredServer]
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,14 +43,14 @@
     """What a source can say of itself."""
 
     source: str
-    can_know: bool  # whether it is in touch with whoever knows
-    heard_at: float | None  # when it last was, on the event loop's clock; None: never
+    is_connected: bool  # whether it is in touch with whoever knows
+    last_contact_at: float | None  # when it last was, on the event loop's clock; None: never
 
 
 class EndpointSource(Protocol):
     """A membership source; it tells each list, or None for a call that failed, to whoever made it."""
 
-    def follow(self, wanted: bool) -> None:
+    def watch(self, wanted: bool) -> None:
         """Begin to tell changes, or end that; what is under way goes on."""
 
     def fetch(self) -> None:
@@ -61,7 +61,7 @@
 
     def stop(self) -> None: ...
 
-    def standing(self) -> tuple[SourceStatus, ...]:
+    def status(self) -> tuple[SourceStatus, ...]:
         """Whether it can know, and how old its word is; several, where it is made of several."""
 
     def source_of(self, name: str) -> str:
@@ -73,9 +73,9 @@
     """Which protocol a node speaks: its entry's word, else its pod's, else the installation's default."""
 
     default: str = HTTP
-    pods: Mapping[int, str] = field(default_factory=dict)
+    by_cell: Mapping[int, str] = field(default_factory=dict)
 
-    def of(self, line: DiscoveredServer) -> str:
+    def protocol_of(self, line: DiscoveredServer) -> str:
         if line.protocol is not None:
             return line.protocol
-        return self.pods.get(line.server.cell, self.default)
+        return self.by_cell.get(line.server.cell, self.default)
--- a/topazbank/core/endpoint_watcher.py
+++ b/topazbank/core/endpoint_watcher.py
@@ -27,8 +27,8 @@
 
 log = logging.getLogger(__name__)
 
-PUSHED_AGAIN_S: Final = 0.2  # from a failed call to the agent until the next
-PUSHED_BESIDE_S: Final = 0.4  # from a call that it has not answered until one beside it: it answers at once
+AGENT_RETRY_S: Final = 0.2  # from a failed call to the agent until the next
+AGENT_TIMEOUT_S: Final = 0.4  # from a call that it has not answered until one beside it: it answers at once
 
 Hear = Callable[[EndpointList | None], None]
 
@@ -44,7 +44,7 @@
         take: Callable[[EndpointsUpdated], None],
     ) -> None:
         """`known`: the list as last held; `pushed`: whether an agent holds it; `take` hears of each step."""
-        self.listing = PendingUpdates()
+        self.updates = PendingUpdates()
         self._known = known
         self._pushed = pushed
         self._nodes = nodes
@@ -61,11 +61,11 @@
         return self._source
 
     @property
-    def known(self) -> EndpointList:
+    def snapshot(self) -> EndpointList:
         """The list as it was taken so far; its version is one of which nothing waits to be taken."""
-        return EndpointList(self.listing.taken_version, True, self.listing.taken())
+        return EndpointList(self.updates.applied_version, True, self.updates.applied())
 
-    def come_from(self, make: Callable[[Hear], EndpointSource], dialects: ProtocolDefaults) -> None:
+    def set_source(self, make: Callable[[Hear], EndpointSource], dialects: ProtocolDefaults) -> None:
         """Take this source from now on, in place of the one before."""
         if self._source is not None:
             self._source.stop()
@@ -74,24 +74,24 @@
 
         def hear(told: EndpointList | None) -> None:
             if number == self._sources:
-                self.told(told)
+                self.receive(told)
 
         self._dialects = dialects
         self._source = make(hear)
 
-    def begin(self, at_once: bool) -> None:
+    def start(self, at_once: bool) -> None:
         """Take the list of before the start, whole, as nobody waits yet; `at_once`: call for news now."""
-        self.listing.told(asyncio.get_running_loop().time(), self._known)
-        self._take_lines(UpdateKind.CACHED, self.listing.take(len(self._known.lines)))
+        self.updates.receive(asyncio.get_running_loop().time(), self._known)
+        self._take_lines(UpdateKind.CACHED, self.updates.take_batch(len(self._known.entries)))
         if self._pushed:
             self._call_agent()
         elif at_once:
-            self.source.follow(True)
+            self.source.watch(True)
 
-    def replaced(self) -> None:
+    def source_replaced(self) -> None:
         """Another source has come: call it, until it answers."""
-        self.source.follow(True)
-        self.told(None)
+        self.source.watch(True)
+        self.receive(None)
 
     def move(self, address: Address) -> None:
         """Go on at another address; also where it is the same, asked for by name."""
@@ -102,26 +102,26 @@
         self._end_calls()
         self.source.stop()
 
-    def told(self, told: EndpointList | None) -> None:
+    def receive(self, told: EndpointList | None) -> None:
         """Hear from the source: a list or changes, or None, a call that failed."""
         if told is not None:
             self._end_calls()
-            self.listing.told(asyncio.get_running_loop().time(), told)
+            self.updates.receive(asyncio.get_running_loop().time(), told)
             self._take_step()
             return
         self._take(EndpointsUpdated(UpdateKind.FAILED))
         if self._pushed and self._calling is None:
-            self._calling = asyncio.get_running_loop().call_later(PUSHED_AGAIN_S, self._call_agent)
+            self._calling = asyncio.get_running_loop().call_later(AGENT_RETRY_S, self._call_agent)
 
-    def standing(self) -> tuple[SourceStatus, ...]:
-        return self.source.standing()
+    def source_status(self) -> tuple[SourceStatus, ...]:
+        return self.source.status()
 
     # -- The agent that holds pushed lists ------------------------------------------------------------
 
     def _call_agent(self) -> None:
         """Call it, and again at short intervals until it answers."""
-        self.source.follow(True)
-        self._calling = asyncio.get_running_loop().call_later(PUSHED_BESIDE_S, self._call_agent)
+        self.source.watch(True)
+        self._calling = asyncio.get_running_loop().call_later(AGENT_TIMEOUT_S, self._call_agent)
 
     def _end_calls(self) -> None:
         if self._calling is not None:
@@ -132,8 +132,8 @@
 
     def _take_step(self) -> None:
         """Take some of what was told now, and the rest in the loop's next turns: requests go on between."""
-        self._take_lines(UpdateKind.DELTA, self.listing.take())
-        if self.listing.waits() and not self._stepping:
+        self._take_lines(UpdateKind.DELTA, self.updates.take_batch())
+        if self.updates.has_pending() and not self._stepping:
             self._stepping = True
             asyncio.get_running_loop().call_soon(self._next_step)
 
@@ -144,15 +144,15 @@
     def _take_lines(self, kind: UpdateKind, lines: Sequence[DiscoveredServer]) -> None:
         """Note the addresses first: the decision module may send on hearing of a server."""
         servers = [self._noted(line) for line in lines]
-        for name in self._nodes.displace(self.listing.awaits):
-            self.listing.displaced(name)
+        for name in self._nodes.remove_superseded(self.updates.is_pending):
+            self.updates.mark_superseded(name)
             servers.append(ServerDescription(name, state=ServerState.REMOVED))
-        self._take(EndpointsUpdated(kind, servers, self.listing.version))
+        self._take(EndpointsUpdated(kind, servers, self.updates.version))
 
     def _noted(self, line: DiscoveredServer) -> ServerDescription:
         """Note what a line says of its server's connections; a defect there keeps no other line from being taken."""
-        server, protocol = line.server, self._dialects.of(line)
-        if not self._nodes.speaks(protocol):
+        server, protocol = line.server, self._dialects.protocol_of(line)
+        if not self._nodes.supports(protocol):
             server, protocol = _not_spoken(server, protocol), HTTP
         try:
             self._nodes.update(server.name, line.address, server.started_at, server.state, protocol)
--- a/topazbank/core/endpoints.py
+++ b/topazbank/core/endpoints.py
@@ -36,15 +36,17 @@
     protocol: str
     pool: Any = None  # its carrier's own
     generation: int = 0  # of its process: older connections are not used again
-    left_at: float | None = None  # since when it takes nothing new, on the event loop's clock; None: it does
+    draining_since: float | None = (
+        None  # since when it takes nothing new, on the event loop's clock; None: it does
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptDeadlines:
     """The times of an attempt, on the event loop's clock."""
 
-    until: float  # when it is given up
-    last: bool = True  # whether its request is over then, so that no other attempt follows
+    give_up_at: float  # when it is given up
+    is_final: bool = True  # whether its request is over then, so that no other attempt follows
     write_by: float = math.inf  # it ends unsent where its last byte has not gone to the kernel by then
     rules: RequestRules | None = None  # what its writing is held to; a probe has none
 
@@ -57,13 +59,13 @@
     ) -> None:
         """`call`: of an attempt; a probe has none."""
         self.endpoint = endpoint
-        self.until = terms.until
+        self.give_up_at = terms.give_up_at
         self._write_by = terms.write_by
         self._rules = terms.rules
         self._let_go = False  # whether its first byte was let go to the server
         self.call = call
-        self.ended: OutcomeCallback | None = ended
-        self.began: Callable[[Response], None] | None = (
+        self.on_ended: OutcomeCallback | None = ended
+        self.on_response_started: Callable[[Response], None] | None = (
             None  # hears of an answer that is passed on as it comes
         )
         self.timers: list[Timer] = []
@@ -73,72 +75,72 @@
         if self.call is None or self._rules is None:
             return True
         now = asyncio.get_running_loop().time()
-        denied = self._rules.denied_write(self.call, self.endpoint, now, self._write_by)
+        denied = self._rules.check_write(self.call, self.endpoint, now, self._write_by)
         if denied is not None:
-            log.info("request %s is not sent to %s: %s", self.call.ident, self.endpoint.name, denied.value)
+            log.info("request %s is not sent to %s: %s", self.call.call_id, self.endpoint.name, denied.value)
         self._let_go = denied is None
         return self._let_go
 
-    def time_to_tell(self) -> float:
+    def remaining_s(self) -> float:
         """How long its server is told that it waits, seconds."""
         now = asyncio.get_running_loop().time()
         if self.call is None or self._rules is None:
-            return max(self.until - now, 0.0)
-        return self._rules.time_to_tell(self.call, self.until, now)
+            return max(self.give_up_at - now, 0.0)
+        return self._rules.remaining_s(self.call, self.give_up_at, now)
 
-    def bound_writing(self, timers: Timers) -> None:
+    def arm_write_deadline(self, timers: Timers) -> None:
         """See to it that it ends in time where its writing has a time of its own."""
-        if self._write_by < self.until:
-            self.timers.append(timers.at(self._write_by, _unsend, self))
+        if self._write_by < self.give_up_at:
+            self.timers.append(timers.call_at(self._write_by, _unsend, self))
 
-    def begin(self, response: Response) -> None:
+    def response_started(self, response: Response) -> None:
         """A large answer has begun: it is its client's now, and no longer bounded by the attempt's time."""
         for timer in self.timers:
             timer.cancel()
-        if self.began is not None and self.ended is not None:
-            self.began(response)
+        if self.on_response_started is not None and self.on_ended is not None:
+            self.on_response_started(response)
 
     def end(self, outcome: Outcome, response: Response | None = None) -> None:
         """Tell the outcome, once; what comes later is nobody's."""
-        ended, self.ended = self.ended, None
+        ended, self.on_ended = self.on_ended, None
         if ended is None:
             return
         for timer in self.timers:
             timer.cancel()
-        self.let_go(outcome)
+        self.release(outcome)
         if self.call is not None and self._rules is not None:
-            self._rules.ended(self.call, outcome, self._let_go)
+            self._rules.attempt_ended(self.call, outcome, self._let_go)
         ended(outcome, response)
 
-    def let_go(self, outcome: Outcome) -> None:
+    def release(self, outcome: Outcome) -> None:
         """Give back what the attempt held, before its outcome is told."""
 
     def cancel(self, final: bool) -> None:
         """Stop waiting.  `final`: its request has its answer, so no other attempt follows this one."""
         self.end(Outcome.CANCELLED)
 
-    def unsend(self) -> None:
+    def cancel_unwritten(self) -> None:
         """End it if it is not all written yet, so that it never will be."""
         raise NotImplementedError
 
 
 def _unsend(attempt: Attempt) -> None:
-    attempt.unsend()
+    attempt.cancel_unwritten()
 
 
 class UpstreamClient(Protocol):
     """What speaks one protocol to nodes."""
 
-    def open(self, endpoint: Endpoint) -> None:
+    def add_endpoint(self, endpoint: Endpoint) -> None:
         """A node has come: make its pool."""
 
-    def renew(self, endpoint: Endpoint) -> None:
+    def endpoint_restarted(self, endpoint: Endpoint) -> None:
         """Its process or place is another: no connection opened so far is used again."""
 
-    def withdraw(self, endpoint: Endpoint) -> None:
+    def drain_endpoint(self, endpoint: Endpoint) -> None:
         """It takes nothing new: end what is not written and close what is idle."""
 
-    def forget(self, endpoint: Endpoint) -> None:
+    def remove_endpoint(self, endpoint: Endpoint) -> None:
         """It has gone from the list; what is still out holds the endpoint until it ends."""
 
     def close_idle(self, endpoint: Endpoint) -> None: ...
@@ -147,12 +149,12 @@
         self, endpoint: Endpoint, call: Call, terms: AttemptDeadlines, ended: OutcomeCallback
     ) -> Attempt: ...
 
-    def probe(self, endpoint: Endpoint, until: float, ended: OutcomeCallback) -> Attempt: ...
+    def check_health(self, endpoint: Endpoint, until: float, ended: OutcomeCallback) -> Attempt: ...
 
-    def most_idle(self) -> int:
+    def max_idle_connections(self) -> int:
         """How many connections rest at the node where the most do."""
 
-    def drop_idle(self) -> None:
+    def close_oldest_idle(self) -> None:
         """Close the longest at rest there."""
 
     async def close(self) -> None:
@@ -163,47 +165,47 @@
     """Connections to nodes, and dials under way, of all carriers together: guards the descriptors."""
 
     def __init__(self, most: int) -> None:
-        self.most = most
-        self.open = 0
-        self.carriers: list[UpstreamClient] = []
+        self.max_open = most
+        self.open_count = 0
+        self.clients: list[UpstreamClient] = []
 
     def is_full(self) -> bool:
-        return self.open >= self.most
+        return self.open_count >= self.max_open
 
     def _drop_idle(self) -> bool:
-        fullest = max(self.carriers, key=lambda each: each.most_idle())
-        if not fullest.most_idle():
+        fullest = max(self.clients, key=lambda each: each.max_idle_connections())
+        if not fullest.max_idle_connections():
             return False
-        fullest.drop_idle()
+        fullest.close_oldest_idle()
         return True
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         """Take a place for one more connection, perhaps for an idle one elsewhere; say whether there is one."""
         if self.is_full() and not self._drop_idle():
             return False
-        self.open += 1
+        self.open_count += 1
         return True
 
-    def give(self) -> None:
-        self.open -= 1
+    def release(self) -> None:
+        self.open_count -= 1
 
 
 class EndpointTable:
     """All nodes by name, each with the carrier of its protocol."""
 
     def __init__(self, slots: ConnectionLimit, probe_limit_s: float) -> None:
-        self.slots = slots
+        self.connection_limit = slots
         self.endpoints: dict[str, Endpoint] = {}  # of the nodes that the list holds now
         self._at: dict[Address, dict[str, Endpoint]] = {}  # the same, by address
         self._contested: set[Address] = set()  # where two listen, so the list says; not looked at yet
         self._carriers: dict[str, UpstreamClient] = {}
         self._probe_limit_s = probe_limit_s
 
-    def add(self, protocol: str, carrier: UpstreamClient) -> None:
+    def add_client(self, protocol: str, carrier: UpstreamClient) -> None:
         self._carriers[protocol] = carrier
-        self.slots.carriers.append(carrier)
+        self.connection_limit.clients.append(carrier)
 
-    def speaks(self, protocol: str) -> bool:
+    def supports(self, protocol: str) -> bool:
         return protocol in self._carriers
 
     def update(
@@ -222,7 +224,7 @@
         if known is None:
             if state is not ServerState.REMOVED:
                 known = Endpoint(name, address or _NOWHERE, started_at, state, protocol)
-                self._carriers[protocol].open(known)
+                self._carriers[protocol].add_endpoint(known)
                 self.endpoints[name] = known
                 self._settle(known)
             return
@@ -235,20 +237,20 @@
             known.address, known.started_at = address, started_at
             self._settle(known)
             known.generation += 1
-            self._carriers[protocol].renew(known)
+            self._carriers[protocol].endpoint_restarted(known)
         known.state = state
         if state is ServerState.READY:
-            known.left_at = None
+            known.draining_since = None
         else:
-            known.left_at = known.left_at or time.monotonic()
-            self._carriers[protocol].withdraw(known)
+            known.draining_since = known.draining_since or time.monotonic()
+            self._carriers[protocol].drain_endpoint(known)
 
     def _remove(self, endpoint: Endpoint) -> None:
         endpoint.state = ServerState.REMOVED
-        endpoint.left_at = endpoint.left_at or time.monotonic()
+        endpoint.draining_since = endpoint.draining_since or time.monotonic()
         carrier = self._carriers[endpoint.protocol]
-        carrier.withdraw(endpoint)
-        carrier.forget(endpoint)
+        carrier.drain_endpoint(endpoint)
+        carrier.remove_endpoint(endpoint)
         del self.endpoints[endpoint.name]
         self._leave(endpoint)
 
@@ -267,7 +269,7 @@
         if len(there) > 1:
             self._contested.add(endpoint.address)
 
-    def displace(self, awaited: Callable[[str], bool] = lambda name: False) -> list[str]:
+    def remove_superseded(self, awaited: Callable[[str], bool] = lambda name: False) -> list[str]:
         """Drop the nodes whose address is that of one that started later: its process listens there now.
 
         An address is looked at once no word on a node there is awaited: that one may be about to leave it.
@@ -289,11 +291,11 @@
         endpoint = self.endpoints[name]
         return self._carriers[endpoint.protocol].send(endpoint, call, terms, ended)
 
-    def probe(self, name: str, ended: OutcomeCallback) -> Attempt:
+    def check_health(self, name: str, ended: OutcomeCallback) -> Attempt:
         """Ask a node how it is."""
         endpoint = self.endpoints[name]
         until = asyncio.get_running_loop().time() + self._probe_limit_s
-        return self._carriers[endpoint.protocol].probe(endpoint, until, ended)
+        return self._carriers[endpoint.protocol].check_health(endpoint, until, ended)
 
     def close_idle(self, name: str) -> None:
         endpoint = self.endpoints.get(name)
--- a/topazbank/core/gossip_transport.py
+++ b/topazbank/core/gossip_transport.py
@@ -21,7 +21,7 @@
 
     listen: Address  # where this one's messages come in, and from where its own leave
     members: tuple[Address, ...] = ()  # by number, the own one among them
-    all: Address | None = None  # one address that reaches every other
+    broadcast: Address | None = None  # one address that reaches every other
 
 
 class GossipTransport(asyncio.DatagramProtocol):
@@ -62,11 +62,11 @@
             log.error("no messages between sidecars: %s:%d: %s", *self._tier.listen, fault)
 
     @property
-    def sock(self) -> socket.socket | None:
+    def socket(self) -> socket.socket | None:
         """What it hears by, for the process that comes after this one."""
         return self._transport.get_extra_info("socket") if self._transport is not None else self._resting
 
-    def rest(self) -> None:
+    def pause(self) -> None:
         """Leave what comes in to another process that has the same socket."""
         if self._transport is not None:
             self._resting = self._transport.get_extra_info("socket").dup()
@@ -87,7 +87,7 @@
             self._transport.close()
             self._transport = None
 
-    def tell(self, receiver: int | None, payload: bytes) -> None:
+    def send_gossip(self, receiver: int | None, payload: bytes) -> None:
         """Send to the sidecar of this number, or to all others (None)."""
         if self._transport is None or len(payload) > MESSAGE_MOST:
             return
@@ -95,8 +95,8 @@
         if receiver is not None:
             known = 0 <= receiver < len(self._tier.members)
             addresses = (self._tier.members[receiver],) if known else ()
-        elif self._tier.all is not None:
-            addresses = (self._tier.all,)
+        elif self._tier.broadcast is not None:
+            addresses = (self._tier.broadcast,)
         else:
             addresses = tuple(each for each in self._tier.members if each != self._tier.listen)
         for address in addresses:
--- a/topazbank/core/listener.py
+++ b/topazbank/core/listener.py
@@ -15,14 +15,14 @@
 
 from topazbank.core.call import RequestCallbacks, RequestClasses
 from topazbank.core.connection_states import (
-    LIMITS_S,
     PARTIAL_STATES,
-    SWEEP_S,
+    STATE_LIMITS_S,
+    SWEEP_INTERVAL_S,
     ConnectionState,
     PartialRequest,
 )
-from topazbank.core.counters import Counters, Event, Violation
-from topazbank.core.net import Address, Reader, has_ended, is_quiet
+from topazbank.core.counters import ClientEvent, Counters, Violation
+from topazbank.core.net import Address, SharedBufferProtocol, has_nothing_unread, peer_has_closed
 from topazbank.operations.drain import Orders
 
 log = logging.getLogger(__name__)
@@ -52,49 +52,54 @@
     (ConnectionState.NEW, _IDLE_S),
     (ConnectionState.READING_HEAD, _HALTED_S),
     (ConnectionState.IDLE, _YOUNG_S),
-    (ConnectionState.IDLE_KEPT, _YOUNG_S),
+    (ConnectionState.IDLE_PERSISTENT, _YOUNG_S),
     (ConnectionState.NEW, _YOUNG_S),
     (ConnectionState.IDLE, 0.0),
-    (ConnectionState.IDLE_KEPT, 0.0),
+    (ConnectionState.IDLE_PERSISTENT, 0.0),
     (ConnectionState.READING_HEAD, _IDLE_S),
     (ConnectionState.READING_BODY, _HALTED_S),
     (ConnectionState.NEW, 0.0),
     (ConnectionState.READING_HEAD, _YOUNG_S),
 )
-_AT_REST = (ConnectionState.IDLE, ConnectionState.IDLE_KEPT)
+_AT_REST = (ConnectionState.IDLE, ConnectionState.IDLE_PERSISTENT)
 _CLOSABLE = (ConnectionState.NEW, ConnectionState.READING_HEAD, *_AT_REST)
-_NOT_BUSY = (*_AT_REST, ConnectionState.READING_BODY, ConnectionState.SENDING, ConnectionState.CLOSING)
+_NOT_BUSY = (
+    *_AT_REST,
+    ConnectionState.READING_BODY,
+    ConnectionState.STREAMING_ANSWER,
+    ConnectionState.CLOSING,
+)
 
 
-class ClientConnection(Reader):
+class ClientConnection(SharedBufferProtocol):
     """One connection of a client; what it speaks is in the class made of this one."""
 
     state = ConnectionState.NEW
     partial: PartialRequest | None = None  # the request that has begun to come, and is not here yet
 
-    def __init__(self, frontend: Listener, sock: socket.socket) -> None:
-        self._frontend = frontend
-        self.number = frontend.next_number()  # for the log
+    def __init__(self, listener: Listener, sock: socket.socket) -> None:
+        self._listener = listener
+        self.number = listener.next_number()  # for the log
         self._sock = sock
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._frontend.opened(self)
+        self._listener.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._frontend.lost(self)
+        self._listener.connection_closed(self)
 
     def is_quiet(self) -> bool:
         """Whether nothing has come that is not read yet."""
-        return is_quiet(self._sock)
+        return has_nothing_unread(self._sock)
 
     def is_idle(self) -> bool:
         """Whether it may be closed: no request is held, begun or waiting unread."""
         return self.state in _CLOSABLE and self.is_quiet()
 
-    def can_go(self) -> bool:
+    def can_be_evicted(self) -> bool:
         """Whether ending it at once loses nothing: all it was told is written, and nothing it said is unread or held.
 
         An end over unread bytes is a reset, which takes with it what its client has not read yet.
@@ -103,14 +108,14 @@
             return False
         return self.is_idle() if self.state in _AT_REST else self.is_quiet()
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether its client has gone: asked of the kernel, as nothing may be read for now (what came is bounded).
 
         Guards against sending on what nobody waits for.  The connection ends then, with all that it still holds.
         """
         if self._transport is None or self._transport.is_closing():
             return True
-        if not has_ended(self._sock):
+        if not peer_has_closed(self._sock):
             return False
         self.abort(client_gone=True)
         return True
@@ -120,10 +125,10 @@
         silent = ""
         if self.partial is not None:
             now = asyncio.get_running_loop().time()
-            silent = f", silent for {now - self.partial.silent_since:.2f} s"
+            silent = f", silent for {now - self.partial.last_progress_at:.2f} s"
         return f"connection {self.number} ({self.state.name.lower()}{silent})"
 
-    def holds(self) -> bool:
+    def has_unanswered(self) -> bool:
         """Whether a request of it was read and has no answer yet."""
         return False
 
@@ -139,7 +144,7 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def end_sending(self) -> bool:
+    def half_close(self) -> bool:
         """End our side, and read on; whether that could be done: a client that has just reset it has left."""
         transport = self._transport
         if transport is None or transport.is_closing():
@@ -153,10 +158,10 @@
 
     def _check_answered(self) -> None:
         """What was read is answered before its connection ends: an end without is a broken promise, and is counted."""
-        if self.holds():
-            self._frontend.counters.violated(Violation.CLOSED_UNANSWERED, self.describe())
+        if self.has_unanswered():
+            self._listener.counters.violation(Violation.CLOSED_UNANSWERED, self.describe())
 
-    def time_up(self) -> None:
+    def limit_reached(self) -> None:
         """Its state has lasted for as long as it may, or its partial request has taken that long."""
         raise NotImplementedError
 
@@ -164,24 +169,24 @@
 ConnectionFactory = Callable[["Listener", socket.socket], ClientConnection]
 
 
-class Undecided(ClientConnection):
+class ProtocolDetector(ClientConnection):
     """A connection whose first byte has not come: it becomes what that byte tells."""
 
     def data_received(self, data: bytes) -> None:
         transport = self._transport
         assert transport is not None
-        chosen = self._frontend.speaks(data[0])(self._frontend, self._sock)
-        self._frontend.lost(self)
+        chosen = self._listener.connection_factory(data[0])(self._listener, self._sock)
+        self._listener.connection_closed(self)
         transport.set_protocol(chosen)
         chosen.connection_made(transport)
         chosen.data_received(data)
 
-    def time_up(self) -> None:
+    def limit_reached(self) -> None:
         if self.is_idle():
             self.close()
 
 
-def listen_at(address: Address) -> socket.socket:
+def listening_socket(address: Address) -> socket.socket:
     """A listening socket; another process of the same user may listen there too, for the time of an upgrade."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     try:
@@ -208,14 +213,14 @@
 
         `sock`: a listening one that was handed over, at the same address.
         """
-        self.hooks = hooks
-        self.rules = rules
+        self.callbacks = hooks
+        self.request_classes = rules
         self.counters = counters or Counters()
         self._numbers = itertools.count(1)
         self._text = text
         self._binary = binary
         self.draining = False
-        self.stopped = False  # whether no new connection is taken any more
+        self.rejects_new = False  # whether no new connection is taken any more
         self._most = most
         self._most_at_rest = max(most // 3, 1)  # clients may keep for good what they will not use again
         # The connections of each state and since when they are in it, the longest first; `_most` in all.
@@ -227,7 +232,7 @@
         self._sweep_due = 0.0
         self._accepting = False
         self._starting: set[asyncio.Task[None]] = set()
-        self._sock = sock or listen_at(address)
+        self._sock = sock or listening_socket(address)
         self._sock.setblocking(False)
         self.address: Address = self._sock.getsockname()[:2]
 
@@ -244,11 +249,11 @@
         """A number for a connection, unique in this process."""
         return next(self._numbers)
 
-    def speaks(self, first: int) -> ConnectionFactory:
+    def connection_factory(self, first: int) -> ConnectionFactory:
         """What a connection that begins with this byte speaks."""
         return self._binary if self._binary is not None and first >= _BINARY else self._text
 
-    def bound(self, most: int) -> None:
+    def set_max_connections(self, most: int) -> None:
         """Hold so many connections from now on; those that are open stay, and what rests makes room as ever."""
         self._most, self._most_at_rest = most, max(most // 3, 1)
         self._most_busy = min(self._most_busy, float(most))
@@ -285,7 +290,9 @@
                 self._pause()
                 asyncio.get_running_loop().call_later(_ACCEPT_PAUSE_S, self._accept_again)
                 return False
-            if has_ended(sock) or self._ends_unread():  # ended: it waited for longer than its client did
+            if (
+                peer_has_closed(sock) or self._ends_unread()
+            ):  # ended: it waited for longer than its client did
                 sock.close()
                 continue
             sock.setblocking(False)
@@ -298,7 +305,7 @@
     async def _begin(self, sock: socket.socket) -> None:
         with contextlib.suppress(OSError):
             loop = asyncio.get_running_loop()
-            speaks = self._text if self._binary is None else Undecided
+            speaks = self._text if self._binary is None else ProtocolDetector
             await loop.connect_accepted_socket(lambda: speaks(self, sock), sock)
 
     def _count(self) -> int:
@@ -317,8 +324,8 @@
             chosen = chosen or self._that_can_go(state, now - least_s)
         if chosen is None:
             return False
-        self.counters.count(Event.CONNECTION_MADE_ROOM)
-        self.lost(chosen)
+        self.counters.count(ClientEvent.CONNECTION_EVICTED)
+        self.connection_closed(chosen)
         chosen.abort()
         return True
 
@@ -327,7 +334,7 @@
         for _, (connection, since) in zip(
             range(_TRIED_FOR_ROOM), self._by_state[state].items(), strict=False
         ):
-            if since <= before and connection.can_go():
+            if since <= before and connection.can_be_evicted():
                 return connection
         return None
 
@@ -343,7 +350,7 @@
 
     def _overdue(self, now: float) -> Iterator[ClientConnection]:
         """Connections whose state has lasted too long, or whose client has stopped in the middle of a request."""
-        for state, limit in LIMITS_S.items():
+        for state, limit in STATE_LIMITS_S.items():
             for connection, since in self._by_state[state].items():
                 if since + limit > now:
                     break  # those behind it came later
@@ -353,21 +360,21 @@
                 partial = connection.partial
                 if partial is None or not partial.is_overdue(now):
                     continue
-                if partial.is_unheard(now):
-                    self.counters.violated(Violation.STOPPED_CLIENT_UNHEARD, connection.describe())
+                if partial.answer_is_late(now):
+                    self.counters.violation(Violation.STALLED_CLIENT_UNANSWERED, connection.describe())
                 yield connection
 
     def _end_overdue(self, connection: ClientConnection) -> None:
         try:
-            connection.time_up()
+            connection.limit_reached()
         except Exception:  # a defect: it ends this connection, and keeps no other from its limit
             log.exception("%s could not be ended in order", connection.describe())
-            self.counters.violated(Violation.LIMITS_NOT_LOOKED_AT, connection.describe())
-            self.lost(connection)
+            self.counters.violation(Violation.LIMIT_CHECK_FAILED, connection.describe())
+            self.connection_closed(connection)
             connection.abort()
 
     def _sweep_later(self) -> None:
-        self._sweep_due = asyncio.get_running_loop().time() + SWEEP_S
+        self._sweep_due = asyncio.get_running_loop().time() + SWEEP_INTERVAL_S
         asyncio.get_running_loop().call_at(self._sweep_due, self._sweep)
 
     def _ends_unread(self) -> bool:
@@ -379,7 +386,7 @@
         if self._may_end < 1.0 or not self._is_swamped():
             return False
         self._may_end -= 1.0
-        self.counters.count(Event.CONNECTION_REFUSED_UNREAD)
+        self.counters.count(ClientEvent.CONNECTION_SHED_UNREAD)
         return True
 
     def _is_swamped(self) -> bool:
@@ -387,28 +394,28 @@
         at_rest = sum(len(self._by_state[state]) for state in _NOT_BUSY)
         return self._count() - at_rest >= self._most_busy
 
-    def opened(self, connection: ClientConnection) -> None:
+    def connection_opened(self, connection: ClientConnection) -> None:
         self._by_state[connection.state][connection] = asyncio.get_running_loop().time()
 
-    def move(self, connection: ClientConnection, state: ConnectionState, again: bool = False) -> None:
+    def set_state(self, connection: ClientConnection, state: ConnectionState, again: bool = False) -> None:
         """Note a connection's state; one that it is in already goes on, or with `again` begins anew."""
         if (again or connection.state is not state) and self._by_state[connection.state].pop(
             connection, None
         ) is not None:
             connection.state = state
-            self.opened(connection)
+            self.connection_opened(connection)
             if state in _AT_REST and len(self._by_state[state]) > self._most_at_rest:
                 oldest = self._that_can_go(state, asyncio.get_running_loop().time())
                 if oldest is not None:
-                    self.lost(oldest)
+                    self.connection_closed(oldest)
                     oldest.close()
 
-    def lost(self, connection: ClientConnection) -> None:
+    def connection_closed(self, connection: ClientConnection) -> None:
         self._by_state[connection.state].pop(connection, None)
 
-    def follow(self, orders: Orders) -> None:
+    def apply(self, orders: Orders) -> None:
         """Carry out what holds while the sidecar is emptied, or is not any more: a request that crosses comes again."""
-        self.draining, self.stopped = orders.closes, orders.closes_new
+        self.draining, self.rejects_new = orders.closes, orders.closes_new
         if not orders.listens:
             self.stop(orders.ready)
         if orders.closes:
@@ -427,7 +434,7 @@
                     continue
                 stuck = state is ConnectionState.READING_HEAD and since < halted and connection.is_quiet()
                 if stuck:
-                    self.counters.count(Event.REQUEST_TIMED_OUT)
+                    self.counters.count(ClientEvent.REQUEST_TIMED_OUT)
                     log.info("%s: ended in a drain, before its request was here", connection.describe())
                 if stuck or connection.is_idle():
                     connection.close()
@@ -444,6 +451,6 @@
         self._sock.close()
 
     @property
-    def held(self) -> int:
+    def open_connections(self) -> int:
         """Connections that are open, or about to be."""
         return self._count()
--- a/topazbank/core/net.py
+++ b/topazbank/core/net.py
@@ -19,7 +19,7 @@
     return host.strip("[]"), int(port)
 
 
-def is_quiet(sock: socket.socket) -> bool:
+def has_nothing_unread(sock: socket.socket) -> bool:
     """Whether a connection holds nothing unread: no byte, no end, no error."""
     try:
         sock.recv(1, socket.MSG_PEEK)
@@ -30,7 +30,7 @@
     return False
 
 
-def is_up(sock: socket.socket) -> bool:
+def is_connected(sock: socket.socket) -> bool:
     """Whether a dialled connection has come up."""
     try:
         sock.getpeername()
@@ -39,7 +39,7 @@
     return True
 
 
-def has_ended(sock: socket.socket) -> bool:
+def peer_has_closed(sock: socket.socket) -> bool:
     """Whether the other side has closed a connection, though what it sent before may be unread."""
     try:
         return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] != _ESTABLISHED
@@ -57,7 +57,7 @@
 _READ = memoryview(bytearray(64 * 1024))
 
 
-class Reader(asyncio.BufferedProtocol):
+class SharedBufferProtocol(asyncio.BufferedProtocol):
     """Reads through one buffer: by default each read takes 256 KiB anew, which scatters the heap."""
 
     def get_buffer(self, sizehint: int) -> memoryview:
--- a/topazbank/core/reports.py
+++ b/topazbank/core/reports.py
@@ -32,7 +32,7 @@
     return report or None
 
 
-def parse_probe(body: bytes, columns: Collection[str]) -> dict[str, float] | None:
+def parse_health_report(body: bytes, columns: Collection[str]) -> dict[str, float] | None:
     """Read the report that a probe's body holds, in either of its forms."""
     text = body.decode("utf-8", "replace").strip()
     if not text.startswith("{"):
@@ -45,7 +45,7 @@
     return parse_report("TEXT " + ",".join(f"{name}={value}" for name, value in given.items()), columns)
 
 
-def read_figures(given: object, columns: Collection[str]) -> dict[str, float] | None:
+def report_from_mapping(given: object, columns: Collection[str]) -> dict[str, float] | None:
     """Read a load report that came as a map of numbers; junk figures are passed over."""
     if not columns or not isinstance(given, Mapping):
         return None
--- a/topazbank/core/request_rules.py
+++ b/topazbank/core/request_rules.py
@@ -23,26 +23,28 @@
 from topazbank.core.call import Call
 from topazbank.core.counters import Counters, Violation
 
-HELD_UP_S: Final = 0.15  # for so long a process may be held up between reading its clock and an effect
-ANSWER_SLACK_S: Final = 0.5  # after its time an answer earns nothing; from then on its request counts as lost
+SCHEDULING_DELAY_S: Final = (
+    0.15  # for so long a process may be held up between reading its clock and an effect
+)
+ANSWER_GRACE_S: Final = 0.5  # after its time an answer earns nothing; from then on its request counts as lost
 
 
 @unique
-class Denied(Enum):
+class DenialReason(Enum):
     """Why an attempt may not begin."""
 
-    OVER = "its request has its answer"
-    CLIENT_LEFT = "its client has left"
-    TIME_UP = "its time is up"
-    MAY_HAVE_RUN = "an earlier attempt may have run"
-    SERVER_LEFT = "its server drains or is gone"
+    REQUEST_OVER = "its request has its answer"
+    CLIENT_DISCONNECTED = "its client has left"
+    DEADLINE_PASSED = "its time is up"
+    MAY_HAVE_EXECUTED = "an earlier attempt may have run"
+    SERVER_DRAINING = "its server drains or is gone"
 
 
-class Place(Protocol):
+class SendTarget(Protocol):
     """What is asked of a server here."""
 
     name: str
-    left_at: float | None  # since when it takes nothing new; None: it does
+    draining_since: float | None  # since when it takes nothing new; None: it does
 
 
 class RequestRules:
@@ -54,47 +56,57 @@
         unrun = (Outcome.CONNECT_FAILED, Outcome.UNSENT)  # what proves that an attempt never ran
         self._unrun = frozenset(unrun if rules.rejects_after_start else (*unrun, Outcome.REJECTED))
 
-    def denied(self, call: Call, now: float) -> Denied | None:
+    def check_send(self, call: Call, now: float) -> DenialReason | None:
         """Why nothing may be sent for a request now; None: it may."""
-        if call.over:
-            return Denied.OVER
-        if call.has_left():
-            return Denied.CLIENT_LEFT
-        if now >= call.answer_by:
-            return Denied.TIME_UP
+        if call.is_over:
+            return DenialReason.REQUEST_OVER
+        if call.has_disconnected():
+            return DenialReason.CLIENT_DISCONNECTED
+        if now >= call.deadline:
+            return DenialReason.DEADLINE_PASSED
         return None
 
-    def denied_write(self, call: Call, place: Place, now: float, write_by: float) -> Denied | None:
+    def check_write(self, call: Call, place: SendTarget, now: float, write_by: float) -> DenialReason | None:
         """Why the first byte of an attempt may not go to its server now; None: it may, and is taken to go."""
-        denied = self.denied(call, now)
-        if denied is Denied.OVER:
-            self._counters.violated(Violation.SENT_FOR_NOBODY, f"request {call.ident} at {place.name}")
+        denied = self.check_send(call, now)
+        if denied is DenialReason.REQUEST_OVER:
+            self._counters.violation(Violation.SENT_AFTER_END, f"request {call.call_id} at {place.name}")
         if denied is None and now >= write_by:
-            denied = Denied.TIME_UP
-        if denied is None and call.kind.idempotency is Idempotency.NON_IDEMPOTENT and call.unproven:
-            self._counters.violated(Violation.UNSAFE_RESENT, f"request {call.ident} at {place.name}")
-            denied = Denied.MAY_HAVE_RUN
-        if denied is None and place.left_at is not None and now > place.left_at + self._drain_grace_s:
-            self._counters.violated(Violation.SENT_TO_DRAINING, f"request {call.ident} at {place.name}")
-            denied = Denied.SERVER_LEFT
+            denied = DenialReason.DEADLINE_PASSED
+        if (
+            denied is None
+            and call.request_class.idempotency is Idempotency.NON_IDEMPOTENT
+            and call.possibly_executed
+        ):
+            self._counters.violation(
+                Violation.NON_IDEMPOTENT_RESENT, f"request {call.call_id} at {place.name}"
+            )
+            denied = DenialReason.MAY_HAVE_EXECUTED
+        if (
+            denied is None
+            and place.draining_since is not None
+            and now > place.draining_since + self._drain_grace_s
+        ):
+            self._counters.violation(Violation.SENT_TO_DRAINING, f"request {call.call_id} at {place.name}")
+            denied = DenialReason.SERVER_DRAINING
         if denied is None:
-            call.unproven += 1
+            call.possibly_executed += 1
         return denied
 
-    def ended(self, call: Call, outcome: Outcome, written: bool) -> None:
+    def attempt_ended(self, call: Call, outcome: Outcome, written: bool) -> None:
         """An attempt has ended; `written`: whether its first byte had been let go."""
         if written and outcome in self._unrun:
-            call.unproven -= 1
+            call.possibly_executed -= 1
 
-    def time_to_tell(self, call: Call, until: float, now: float) -> float:
+    def remaining_s(self, call: Call, until: float, now: float) -> float:
         """The time that a server is told of an attempt that is given up at `until`."""
-        if until > call.answer_by + HELD_UP_S:
-            self._counters.violated(Violation.BUDGET_BEYOND_CLIENT, f"request {call.ident}")
-        return max(min(until, call.answer_by) - now, 0.0)
+        if until > call.deadline + SCHEDULING_DELAY_S:
+            self._counters.violation(Violation.TIMEOUT_BEYOND_CLIENT, f"request {call.call_id}")
+        return max(min(until, call.deadline) - now, 0.0)
 
-    def answered(self, call: Call, now: float) -> None:
+    def check_answer(self, call: Call, now: float) -> None:
         """A final answer goes to its client now."""
-        if now > call.answer_by + ANSWER_SLACK_S:
-            self._counters.violated(
-                Violation.ANSWERED_LATE, f"request {call.ident}, {now - call.answer_by:.2f} s after its time"
+        if now > call.deadline + ANSWER_GRACE_S:
+            self._counters.violation(
+                Violation.ANSWERED_LATE, f"request {call.call_id}, {now - call.deadline:.2f} s after its time"
             )
--- a/topazbank/core/timers.py
+++ b/topazbank/core/timers.py
@@ -66,7 +66,7 @@
         """How many are kept, cancelled ones too."""
         return len(self._heap)
 
-    def at(self, when: float, callback: Callable[[Any], object], argument: Any = None) -> Timer:
+    def call_at(self, when: float, callback: Callable[[Any], object], argument: Any = None) -> Timer:
         """Call `callback(argument)` at this time of the running loop's clock."""
         timer = Timer(self, when, callback, argument)
         self._made += 1
@@ -75,8 +75,8 @@
             self._arm(when)
         return timer
 
-    def after(self, seconds: float, callback: Callable[[Any], object], argument: Any = None) -> Timer:
-        return self.at(asyncio.get_running_loop().time() + seconds, callback, argument)
+    def call_after(self, seconds: float, callback: Callable[[Any], object], argument: Any = None) -> Timer:
+        return self.call_at(asyncio.get_running_loop().time() + seconds, callback, argument)
 
     def _arm(self, when: float) -> None:
         if self._armed is not None:
--- a/topazbank/core/trace.py
+++ b/topazbank/core/trace.py
@@ -99,10 +99,10 @@
         self._second = 0
         self._lines = 0
 
-    def begin(self, now: int, classes: Sequence[tuple[str, float, int]], group: int) -> None:
+    def record_start(self, now: int, classes: Sequence[tuple[str, float, int]], group: int) -> None:
         self._line("start", now, VERSION, [list(each) for each in classes], group)
 
-    def noted(self, now: int, event: Event, actions: Sequence[Action]) -> None:
+    def record(self, now: int, event: Event, actions: Sequence[Action]) -> None:
         """Note an event and what was decided on it."""
         if isinstance(event, RequestArrived):
             self._line(
