--- a/topazbank/discovery/combined.py
+++ b/topazbank/discovery/combined.py
@@ -45,7 +45,7 @@
         self._failed.discard(name)
         self._end_calls(name)
         listing = self._listings[name]
-        listing.told(asyncio.get_running_loop().time(), told)
+        listing.receive(asyncio.get_running_loop().time(), told)
         self._whole[name] |= told.complete
         self._step(name)
 
@@ -55,7 +55,7 @@
             self._calls[name] = asyncio.get_running_loop().call_later(_AGAIN_S, self._call_again, name)
 
     def _call_again(self, name: str) -> None:
-        self._sources[name].follow(True)
+        self._sources[name].watch(True)
         self._calls[name] = asyncio.get_running_loop().call_later(_AGAIN_S, self._call_again, name)
 
     def _end_calls(self, name: str) -> None:
@@ -66,10 +66,10 @@
     def _step(self, name: str) -> None:
         """Pass on some of what a source told now, and the rest in the loop's next turns."""
         listing = self._listings[name]
-        lines = listing.take()
+        lines = listing.take_batch()
         if lines:
             self._pass_on(self._merge.told(name, EndpointList(listing.version, False, lines)))
-        if listing.waits():
+        if listing.has_pending():
             if name not in self._stepping:
                 self._stepping.add(name)
                 asyncio.get_running_loop().call_soon(self._next_step, name)
@@ -89,11 +89,11 @@
         for name in self._sources:
             self._pass_on(self._merge.cannot_know(name))
 
-    def follow(self, wanted: bool) -> None:
+    def watch(self, wanted: bool) -> None:
         if wanted and self._waited is None:
             self._waited = asyncio.get_running_loop().call_later(_WAIT_S, self._waited_enough)
         for each in self._sources.values():
-            each.follow(wanted)
+            each.watch(wanted)
 
     def fetch(self) -> None:
         for each in self._sources.values():
@@ -110,8 +110,8 @@
             self._end_calls(name)
             source.stop()
 
-    def standing(self) -> tuple[SourceStatus, ...]:
-        return tuple(standing for each in self._sources.values() for standing in each.standing())
+    def status(self) -> tuple[SourceStatus, ...]:
+        return tuple(standing for each in self._sources.values() for standing in each.status())
 
     def source_of(self, name: str) -> str:
         return self._merge.source_of(name) or "-"
--- a/topazbank/discovery/merge.py
+++ b/topazbank/discovery/merge.py
@@ -38,13 +38,13 @@
     def told(self, source: str, told: EndpointList) -> EndpointList | None:
         """Hear one source; give what changes in the whole, or None where nothing does."""
         known = self._known[source]
-        touched = {line.server.name for line in told.lines}
+        touched = {line.server.name for line in told.entries}
         if told.complete:
             known.heard = known.told = True
             for name in known.lines.keys() - touched:
                 touched.add(name)
                 self._gone(known, name)
-        for line in told.lines:
+        for line in told.entries:
             name = line.server.name
             if line.server.state is ServerState.REMOVED:
                 self._gone(known, name)
--- a/topazbank/discovery/registry.py
+++ b/topazbank/discovery/registry.py
@@ -71,7 +71,7 @@
         self._polled_at = -math.inf
         self._fetches: set[asyncio.Task[None]] = set()  # as many as the balancer asks for, each for _CALL_S
 
-    def follow(self, wanted: bool) -> None:
+    def watch(self, wanted: bool) -> None:
         """Begin to follow the list, or end that; while no call has been answered another poll is begun beside it."""
         if not wanted:
             self._end_calls()
@@ -107,7 +107,7 @@
         self._stopped = True
         self._end_calls()
 
-    def standing(self) -> tuple[SourceStatus, ...]:
+    def status(self) -> tuple[SourceStatus, ...]:
         return (SourceStatus("registry", not self._failed and self._heard_at is not None, self._heard_at),)
 
     def source_of(self, name: str) -> str:
@@ -160,7 +160,7 @@
         self._watch = None
         self._tell(None)
         if answer.silent:
-            self.follow(True)
+            self.watch(True)
 
     async def _pause_if_idle(self, version: int | None, began: float) -> None:
         """Guards against spinning on a service that does not wait."""
@@ -236,7 +236,7 @@
         heard_at = self._heard_at
         now = asyncio.get_running_loop().time()
         age = "first" if heard_at is None else f"{now - heard_at:.2f} s after the last"
-        states = Counter(line.server.state.value for line in told.lines)
+        states = Counter(line.server.state.value for line in told.entries)
         counts = ", ".join(f"{count} {state}" for state, count in sorted(states.items())) or "none"
         what = "whole list" if told.complete else "changes"
         known = "nothing" if self._version is None else str(self._version)
--- a/topazbank/discovery/zookeeper.py
+++ b/topazbank/discovery/zookeeper.py
@@ -49,7 +49,7 @@
 
     # -- What a source must offer ----------------------------------------------------------------------
 
-    def follow(self, wanted: bool) -> None:
+    def watch(self, wanted: bool) -> None:
         if wanted and not self._started:
             self._started = True
             self.session.start()
@@ -72,7 +72,7 @@
         if self._wake is not None:
             self._wake.cancel()
 
-    def standing(self) -> tuple[SourceStatus, ...]:
+    def status(self) -> tuple[SourceStatus, ...]:
         live = self.roster.knowledge is Knowledge.LIVE
         return (SourceStatus("zookeeper", live, self._now() if live else self.roster.heard_at),)
 
--- a/topazbank/http/client.py
+++ b/topazbank/http/client.py
@@ -15,11 +15,11 @@
 
 from topazbank.balancing.events import Outcome, ServerState
 from topazbank.balancing.settings import Idempotency
-from topazbank.core.body import Stream
-from topazbank.core.call import BODY_MOST, Call, OutcomeCallback, Response
+from topazbank.core.body import ResponseStream
+from topazbank.core.call import BUFFERED_BODY_BYTES_MAX, Call, OutcomeCallback, Response
 from topazbank.core.endpoints import Attempt, AttemptDeadlines, ConnectionLimit, Endpoint
-from topazbank.core.net import is_up, new_socket
-from topazbank.core.reports import parse_probe, parse_report
+from topazbank.core.net import is_connected, new_socket
+from topazbank.core.reports import parse_health_report, parse_report
 from topazbank.core.timers import Timer, Timers
 from topazbank.http.connection import ABOUT_BODY, Connection, HttpResponse, connect, message
 
@@ -60,7 +60,7 @@
         self.connection: Connection | None = None
         self.dial: asyncio.Task[bool] | None = None
 
-    def let_go(self, outcome: Outcome) -> None:
+    def release(self, outcome: Outcome) -> None:
         self.pool.dialling.discard(self)
         if outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.CONNECT_FAILED, Outcome.UNSENT):
             if self.connection is not None:
@@ -68,7 +68,7 @@
             if self.dial is not None:
                 self.dial.cancel()
 
-    def unsend(self) -> None:
+    def cancel_unwritten(self) -> None:
         if self.connection is None or not self.connection.written:
             self.end(Outcome.UNSENT)
 
@@ -88,13 +88,13 @@
 
 def write_request(call: Call, left_s: float) -> bytes:
     """What an attempt sends: the client's request, with the time that is left for it."""
-    safe = call.kind.idempotency is Idempotency.IDEMPOTENT
+    safe = call.request_class.idempotency is Idempotency.IDEMPOTENT
     headers = [
         *(call.headers if call.headers is not None else _headers(call)),
         (b"X-Budget", b"%.6f" % left_s),
     ]
     if call.body or not safe:
-        length = call.large.length if call.large is not None else len(call.body)
+        length = call.spooled_body.length if call.spooled_body is not None else len(call.body)
         headers.append((b"Content-Length", b"%d" % length))
     first = b"%b %b HTTP/1.1" % (b"GET" if safe else b"POST", call.target)
     return message(first, headers, call.body)
@@ -104,18 +104,18 @@
     """The headers of a call that came in another protocol; its front let only visible characters through."""
     headers = [
         (b"Host", b"sidecar"),
-        (b"X-Call-Id", call.ident.encode()),
-        (b"X-Call-Class", call.kind.name.encode()),
+        (b"X-Call-Id", call.call_id.encode()),
+        (b"X-Call-Class", call.request_class.name.encode()),
     ]
     if call.caller is not None:
         headers.append((b"X-Caller", call.caller.encode()))
     if call.idempotency_key is not None:
         headers.append((b"Idempotency-Key", call.idempotency_key.encode()))
-    if call.again:
+    if call.is_retry:
         headers.append((b"X-Again", b"1"))
     if call.cost_us is not None:
         headers.append((b"X-Call-Cost", b"%d" % call.cost_us))
-    return headers + (call.about or [])
+    return headers + (call.content_headers or [])
 
 
 class HttpUpstreamClient:
@@ -132,17 +132,17 @@
         self._columns = columns  # of load reports; none: there are no reports
         self._pools: dict[str, Pool] = {}
 
-    def open(self, endpoint: Endpoint) -> None:
+    def add_endpoint(self, endpoint: Endpoint) -> None:
         endpoint.pool = self._pools[endpoint.name] = Pool()
 
-    def renew(self, endpoint: Endpoint) -> None:
+    def endpoint_restarted(self, endpoint: Endpoint) -> None:
         """Who listens at the former place by now may be another; that says nothing of the node."""
         self._take_back(endpoint, Outcome.UNSENT)
 
-    def forget(self, endpoint: Endpoint) -> None:
+    def remove_endpoint(self, endpoint: Endpoint) -> None:
         del self._pools[endpoint.name]
 
-    def withdraw(self, endpoint: Endpoint) -> None:
+    def drain_endpoint(self, endpoint: Endpoint) -> None:
         """A slow dial may outlast the grace."""
         self._take_back(endpoint, Outcome.CONNECT_FAILED)
 
@@ -158,7 +158,7 @@
         """Start an attempt; giving one up closes its connection, whether it was the last or not."""
         return self._start(Exchange(endpoint, partial(write_request, call), terms, ended, call))
 
-    def probe(self, endpoint: Endpoint, until: float, ended: OutcomeCallback) -> Exchange:
+    def check_health(self, endpoint: Endpoint, until: float, ended: OutcomeCallback) -> Exchange:
         target = b"/stats" if self._columns else b"/health/live"
         data = message(b"GET %b HTTP/1.1" % target, [(b"Host", endpoint.name.encode())])
         exchange = Exchange(endpoint, lambda _: data, AttemptDeadlines(until), ended)
@@ -167,15 +167,15 @@
 
     def _start(self, exchange: Exchange) -> Exchange:
         loop = asyncio.get_running_loop()
-        if exchange.until <= loop.time():
+        if exchange.give_up_at <= loop.time():
             exchange.end(Outcome.UNSENT)
             return exchange
-        exchange.timers.append(self._timers.at(exchange.until, self._time_up, exchange))
-        exchange.bound_writing(self._timers)
+        exchange.timers.append(self._timers.call_at(exchange.give_up_at, self._time_up, exchange))
+        exchange.arm_write_deadline(self._timers)
         connection = self._take_idle(exchange.pool)
         if connection is not None:
             self._write(exchange, connection)
-        elif self._slots.take():
+        elif self._slots.acquire():
             exchange.pool.dialling.add(exchange)
             exchange.dial = loop.create_task(self._dial(exchange))
             exchange.dial.add_done_callback(self._dialled)
@@ -205,7 +205,7 @@
 
         Guards a busy sidecar against taking its own lag for dead servers.  The attempt's end bounds it still.
         """
-        if exchange.connection is None and not is_up(sock):
+        if exchange.connection is None and not is_connected(sock):
             exchange.end(Outcome.CONNECT_FAILED)
 
     def _take_idle(self, pool: Pool) -> Connection | None:
@@ -226,10 +226,10 @@
             connection.abort()
         return None
 
-    def most_idle(self) -> int:
+    def max_idle_connections(self) -> int:
         return max((len(each.idle) for each in self._pools.values()), default=0)
 
-    def drop_idle(self) -> None:
+    def close_oldest_idle(self) -> None:
         fullest = max(self._pools.values(), key=lambda each: len(each.idle))
         connection, timer = fullest.idle.pop(0)
         timer.cancel()
@@ -241,15 +241,15 @@
         try:
             sock = new_socket(endpoint.address)
             up = partial(self._dial_time_up, exchange)
-            exchange.timers.append(self._timers.after(self._dial_limit, up, sock))
-            connection = await connect(endpoint.address, BODY_MOST, self._dial_limit, sock)
+            exchange.timers.append(self._timers.call_after(self._dial_limit, up, sock))
+            connection = await connect(endpoint.address, BUFFERED_BODY_BYTES_MAX, self._dial_limit, sock)
         except OSError as fault:
             log.debug("no connection to %s: %r", endpoint.name, fault)
             exchange.end(Outcome.CONNECT_FAILED)
             return False
-        connection.on_lost = self._slots.give
+        connection.on_lost = self._slots.release
         exchange.dial = None  # it is this task, which has done its work
-        if exchange.ended is None:
+        if exchange.on_ended is None:
             connection.abort()
         else:
             self._write(exchange, connection)
@@ -257,7 +257,7 @@
 
     def _dialled(self, dial: asyncio.Task[bool]) -> None:
         if dial.cancelled() or not dial.result():
-            self._slots.give()
+            self._slots.release()
 
     def _write(self, exchange: Exchange, connection: Connection) -> None:
         exchange.connection = connection
@@ -265,36 +265,40 @@
         if not exchange.may_write():
             exchange.end(Outcome.UNSENT)
             return
-        order = exchange.order(exchange.time_to_tell())
+        order = exchange.order(exchange.remaining_s())
         answered = partial(self._answered, exchange, connection)
         call = exchange.call
         if call is None:
             connection.request(order, answered)
         else:
-            rest = call.large.pieces() if call.large is not None else None
-            connection.request(order, answered, rest, call.streams)
+            rest = call.spooled_body.chunks() if call.spooled_body is not None else None
+            connection.request(order, answered, rest, call.accepts_stream)
 
     def _answered(self, exchange: Exchange, connection: Connection, response: HttpResponse | None) -> None:
         if response is not None and response.stream is not None:
             connection.on_stream_end = partial(self._streamed, exchange, connection, response.stream)
             neutral = self._neutral(exchange, Outcome.DELIVERED, response)
             exchange.report = neutral.report
-            exchange.begin(neutral)
+            exchange.response_started(neutral)
             return
         self._put_back(exchange, connection)
         outcome = judge(response, connection.written, connection.spoilt)
         exchange.end(outcome, None if response is None else self._neutral(exchange, outcome, response))
 
-    def _streamed(self, exchange: Exchange, connection: Connection, stream: Stream, whole: bool) -> None:
+    def _streamed(
+        self, exchange: Exchange, connection: Connection, stream: ResponseStream, whole: bool
+    ) -> None:
         """A large answer has ended."""
         connection.on_stream_end = lambda whole: None
         self._put_back(exchange, connection)
-        broken = Outcome.CANCELLED if stream.given_up else Outcome.CONNECTION_LOST
+        broken = Outcome.CANCELLED if stream.is_aborted else Outcome.CONNECTION_LOST
         exchange.end(Outcome.DELIVERED if whole else broken, Response(b"", None, exchange.report))
 
     def _neutral(self, exchange: Exchange, outcome: Outcome, response: HttpResponse) -> Response:
         if exchange.probing:
-            report = parse_probe(response.body, self._columns) if outcome is Outcome.DELIVERED else None
+            report = (
+                parse_health_report(response.body, self._columns) if outcome is Outcome.DELIVERED else None
+            )
             return Response(response.body, None, report)
         about = [each for each in response.headers if each[0] in ABOUT_BODY]
         report = parse_report(response.header(b"x-load-report"), self._columns)
@@ -308,7 +312,7 @@
         if exchange.generation != endpoint.generation or endpoint.state is not ServerState.READY:
             connection.abort()
             return
-        timer = self._timers.after(self._idle_s, partial(self._idle_over, exchange.pool), connection)
+        timer = self._timers.call_after(self._idle_s, partial(self._idle_over, exchange.pool), connection)
         exchange.pool.idle.append((connection, timer))
 
     @staticmethod
--- a/topazbank/http/connection.py
+++ b/topazbank/http/connection.py
@@ -12,9 +12,9 @@
 
 import h11
 
-from topazbank.core.body import LARGE_MOST, Stream
+from topazbank.core.body import BODY_BYTES_MAX, ResponseStream
 from topazbank.core.call import Headers
-from topazbank.core.net import Address, Reader, is_quiet, new_socket
+from topazbank.core.net import Address, SharedBufferProtocol, has_nothing_unread, new_socket
 from topazbank.http.fast_parser import read_response
 
 log = logging.getLogger(__name__)
@@ -58,7 +58,7 @@
     status: int
     headers: Headers
     body: bytes
-    stream: Stream | None = None  # it has only begun: this is the rest
+    stream: ResponseStream | None = None  # it has only begun: this is the rest
 
     def header(self, name: bytes) -> str | None:
         return next((v.decode("latin-1") for n, v in self.headers if n == name), None)
@@ -75,7 +75,7 @@
     return reader
 
 
-class Connection(Reader):
+class Connection(SharedBufferProtocol):
     """One connection to a server; it carries one request at a time."""
 
     def __init__(self, sock: socket.socket, body_most: int, stall_s: float | None = None) -> None:
@@ -98,7 +98,7 @@
         self._body = bytearray()
         self._rest: Iterator[bytes] | None = None  # of the request: pieces that are not written yet
         self._may_stream = False  # whether a large answer is passed on as it comes
-        self._stream: Stream | None = None  # the one that is
+        self._stream: ResponseStream | None = None  # the one that is
         self._most: asyncio.TimerHandle | None = None  # when it is given up
         self._paused = False  # whether it waits for its client
         self.on_lost: Callable[[], None] = lambda: None
@@ -118,7 +118,7 @@
         """Whether it may carry another request: guards against EOF or bytes that nobody has read yet."""
         open_ = self._transport is not None and not self._transport.is_closing()
         busy = self._ended is not None or self._stream is not None
-        return open_ and self.reusable and not busy and is_quiet(self.sock)
+        return open_ and self.reusable and not busy and has_nothing_unread(self.sock)
 
     def request(
         self,
@@ -203,7 +203,7 @@
             self._spoil("it came before its request was written")
             return
         self._end_stall()
-        stream = Stream(length, bytes(self._body), self._pause, self.abort)
+        stream = ResponseStream(length, bytes(self._body), self._pause, self.abort)
         self._stream, self._body = stream, bytearray()
         self._most = asyncio.get_running_loop().call_later(_STREAM_S, self._spoil, "no end of it")
         ended, self._ended = self._ended, None
@@ -234,7 +234,7 @@
             self._pause(False)
         if not reusable or not self._written:
             self.abort()
-        stream.end(whole)
+        stream.finish(whole)
         self.on_stream_end(whole)
 
     def _has_begun(self) -> bool:
@@ -281,7 +281,7 @@
             return not self._is_all_here(reader)
         elif isinstance(event, h11.Data):
             if self._stream is not None:
-                self._stream.piece(data_of(event))
+                self._stream.feed(data_of(event))
                 return self._stream is not None
             self._body += data_of(event)
             if len(self._body) > self._body_most:
@@ -300,7 +300,7 @@
     def _is_too_long(self, length: int | None) -> bool:
         """An answer is over the bound: pass it on as it comes, or give up on it; say whether more is to be read."""
         served = self._head is not None and self._head.status_code == 200
-        if self._may_stream and served and self._is_framed() and (length or 0) <= LARGE_MOST:
+        if self._may_stream and served and self._is_framed() and (length or 0) <= BODY_BYTES_MAX:
             self._begin_stream(length)
         else:
             self._spoil("too long")
--- a/topazbank/http/request_reading.py
+++ b/topazbank/http/request_reading.py
@@ -8,8 +8,8 @@
 import h11
 
 from topazbank.balancing.settings import Idempotency
-from topazbank.core.body import Large
-from topazbank.core.call import Call, FinalAnswer, Headers, InvalidRequest, RequestClasses, target_key
+from topazbank.core.body import SpooledBody
+from topazbank.core.call import Call, FinalAnswer, Headers, InvalidRequest, RequestClasses, key_of_target
 from topazbank.http.connection import ABOUT_BODY, end_to_end
 from topazbank.http.fast_parser import RequestHead
 
@@ -31,7 +31,7 @@
 
 def parse_call(
     head: h11.Request | RequestHead,
-    body: bytes | Large,
+    body: bytes | SpooledBody,
     rules: RequestClasses,
     answer: Callable[[FinalAnswer], None],
 ) -> Call:
@@ -48,31 +48,31 @@
             raise InvalidRequest(400, f"{name.decode()} is missing")
     budget = _number(given[b"x-budget"], "x-budget")
     cost = given.get(b"x-call-cost")
-    kind = rules.kind(given[b"x-call-class"])
+    kind = rules.request_class(given[b"x-call-class"])
     if head.method != (b"GET" if kind.idempotency is Idempotency.IDEMPOTENT else b"POST"):
         raise InvalidRequest(405, "not the method of the class")
     caller = given.get(b"x-caller") or None
     if b"host" not in given:
         headers.append((b"host", b"sidecar"))  # HTTP/1.0 allows none, HTTP/1.1 needs one
     call = Call(
-        ident=given[b"x-call-id"],
-        kind=kind,
+        call_id=given[b"x-call-id"],
+        request_class=kind,
         target=target,
         body=body if isinstance(body, bytes) else b"",
         tenant=rules.tenant(caller),
-        key=target_key(target),
-        budget_us=int(budget * 1e6),
+        key=key_of_target(target),
+        timeout_us=int(budget * 1e6),
         cost_us=int(_number(cost, "x-call-cost")) if cost else None,
-        again=given.get(b"x-again") == "1",
+        is_retry=given.get(b"x-again") == "1",
         idempotency_key=given.get(b"idempotency-key") or None,
         answer=answer,
         caller=caller,
-        about=[each for each in headers if each[0] in ABOUT_BODY],
+        content_headers=[each for each in headers if each[0] in ABOUT_BODY],
         headers=end_to_end(
             headers, b"content-length", b"x-budget", b"expect", *_named_by_connection(headers)
         ),
-        large=None if isinstance(body, bytes) else body,
-        streams=True,
+        spooled_body=None if isinstance(body, bytes) else body,
+        accepts_stream=True,
     )
     rules.check(call)
     return call
--- a/topazbank/http/server.py
+++ b/topazbank/http/server.py
@@ -12,10 +12,10 @@
 
 import h11
 
-from topazbank.core.body import LARGE_MOST, Intake, Large, NoRoom, Stream
+from topazbank.core.body import BODY_BYTES_MAX, BodyBuffer, ResponseStream, SpooledBody, SpoolFull
 from topazbank.core.call import (
     API_PATH,
-    BODY_MOST,
+    BUFFERED_BODY_BYTES_MAX,
     Call,
     FinalAnswer,
     Headers,
@@ -23,9 +23,9 @@
     Verdict,
 )
 from topazbank.core.connection_states import ConnectionState, PartialRequest
-from topazbank.core.counters import Event
+from topazbank.core.counters import ClientEvent
 from topazbank.core.listener import ClientConnection, Listener
-from topazbank.core.net import has_ended
+from topazbank.core.net import peer_has_closed
 from topazbank.http.connection import data_of, message
 from topazbank.http.fast_parser import RequestHead, read_request
 from topazbank.http.request_reading import ident_in, is_whole, own_form, parse_call
@@ -35,7 +35,7 @@
 _READY_PATH = b"/health/ready"
 _ROSTER_PATH = b"/admin/roster"
 # Bytes read and dropped of what comes after a rejection, so that its answer arrives.
-_DROPPED_MOST = 128 * BODY_MOST
+_DROPPED_MOST = 128 * BUFFERED_BODY_BYTES_MAX
 _REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed"}
 _FRAMING = (b"content-length", b"transfer-encoding")
 
@@ -43,13 +43,13 @@
 class HttpConnection(ClientConnection):
     """One HTTP connection of a client; it carries one request at a time."""
 
-    def __init__(self, frontend: Listener, sock: socket.socket) -> None:
-        super().__init__(frontend, sock)
+    def __init__(self, listener: Listener, sock: socket.socket) -> None:
+        super().__init__(listener, sock)
         self._h11 = h11.Connection(h11.SERVER)
         self._head: h11.Request | RequestHead | None = None
-        self._body = Intake(frontend.hooks.spool)
+        self._body = BodyBuffer(listener.callbacks.spool)
         self._call: Call | None = None
-        self._stream: Stream | None = None  # the large answer that is passed on
+        self._stream: ResponseStream | None = None  # the large answer that is passed on
         self._chunked = False  # and whether in chunks
         self._ends = False  # and whether the connection ends with it
         self._stuck = False  # the last answer is not all written yet
@@ -66,11 +66,11 @@
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
         if self._call is not None:
-            self._frontend.counters.count(Event.CLIENT_LEFT)
-            log.info("%s: its client left, request %s", self.describe(), self._call.ident)
+            self._listener.counters.count(ClientEvent.CLIENT_DISCONNECTED)
+            log.info("%s: its client left, request %s", self.describe(), self._call.call_id)
         self._client_gone()
 
-    def holds(self) -> bool:
+    def has_unanswered(self) -> bool:
         return self._call is not None
 
     def eof_received(self) -> bool:
@@ -80,15 +80,15 @@
         if self._dropped is not None:
             self._drop(len(data))
             return
-        if self._call is None and self._stream is None and has_ended(self._sock):
+        if self._call is None and self._stream is None and peer_has_closed(self._sock):
             # Its client has left while the request waited here.  Guards a busy sidecar against work for those
             # that gave up: done for all, it would keep the next ones waiting until they give up too.
-            self._frontend.counters.count(Event.CLIENT_LEFT_UNREAD)
+            self._listener.counters.count(ClientEvent.CLIENT_DISCONNECTED_UNREAD)
             log.info("%s: its client left before request %s was read", self.describe(), ident_in(data))
             self.abort(client_gone=True)
             return
         if self._is_fresh():
-            whole = read_request(data, BODY_MOST)
+            whole = read_request(data, BUFFERED_BODY_BYTES_MAX)
             if whole is not None:
                 self._head = whole[0]
                 self._take(partial(self._whole, whole[1]))
@@ -103,23 +103,25 @@
             self._look_ahead(len(data))
         elif not self._stuck:
             self._read(len(data))
-        elif len(self._h11.trailing_data[0]) > BODY_MOST and self._transport is not None:
+        elif len(self._h11.trailing_data[0]) > BUFFERED_BODY_BYTES_MAX and self._transport is not None:
             self._transport.pause_reading()
 
     def pause_writing(self) -> None:
         self._stuck = True
         if self._stream is not None:
             self._stream.pause(True)
-            self._frontend.move(self, ConnectionState.SENDING)
+            self._listener.set_state(self, ConnectionState.STREAMING_ANSWER)
 
     def resume_writing(self) -> None:
         self._stuck = False
         if self._stream is not None:
-            self._frontend.move(self, ConnectionState.HOLDING)
+            self._listener.set_state(self, ConnectionState.AWAITING_ANSWER)
             self._stream.pause(False)
             return
         if self._dropped is not None:
-            self._frontend.move(self, ConnectionState.CLOSING)  # all is taken: its client has to end its side
+            self._listener.set_state(
+                self, ConnectionState.CLOSING
+            )  # all is taken: its client has to end its side
         elif self._call is None:
             self._next_request()
 
@@ -128,24 +130,24 @@
         begun = self._head is not None or self._stream is not None or self._h11.trailing_data[0]
         return not begun and super().is_idle()
 
-    def time_up(self) -> None:
+    def limit_reached(self) -> None:
         """Its state has lasted for as long as it may, or its partial request has taken that long."""
-        counters = self._frontend.counters
-        if self.state is ConnectionState.HOLDING_PARTIAL:
+        counters = self._listener.counters
+        if self.state is ConnectionState.AWAITING_ANSWER_PARTIAL:
             self._fail_held()
-        elif self.state in (ConnectionState.CLOSING, ConnectionState.SENDING):
-            counters.count(Event.CONNECTION_TIMED_OUT)
+        elif self.state in (ConnectionState.CLOSING, ConnectionState.STREAMING_ANSWER):
+            counters.count(ClientEvent.CONNECTION_TIMED_OUT)
             log.info("%s ended: its client takes no answer", self.describe())
             self.abort()
         elif self.is_idle():
-            counters.count(Event.CONNECTION_TIMED_OUT)
+            counters.count(ClientEvent.CONNECTION_TIMED_OUT)
             self.close()
         elif self.partial is not None and self.is_quiet():
             self._time_out()
 
     def _time_out(self) -> None:
         """Its client has stopped in the middle of a request, or sends it too slowly."""
-        self._frontend.counters.count(Event.REQUEST_TIMED_OUT)
+        self._listener.counters.count(ClientEvent.REQUEST_TIMED_OUT)
         self._reject(InvalidRequest(408, "the request took too long to come"))
 
     def _fail_held(self) -> None:
@@ -155,8 +157,8 @@
         """
         if self._call is None:
             return
-        self._frontend.counters.count(Event.HELD_FAILED_FOR_PARTIAL)
-        log.info("%s: request %s is failed for what is behind it", self.describe(), self._call.ident)
+        self._listener.counters.count(ClientEvent.UNANSWERED_FAILED_FOR_PARTIAL)
+        log.info("%s: request %s is failed for what is behind it", self.describe(), self._call.call_id)
         self._client_gone()
         self._answer(500, [], b"", ends=True)
 
@@ -181,17 +183,17 @@
             self._pause_reading()  # the held request is answered, and the connection ends with that
             here = False
         else:
-            self.partial.progressed(now, count)
+            self.partial.received(now, count)
         if here or not behind:
             self.partial = None
-        elif len(behind) > BODY_MOST and self._unreadable is None:
+        elif len(behind) > BUFFERED_BODY_BYTES_MAX and self._unreadable is None:
             self.partial.pause(now)  # it sends ahead; what is held is bounded
-        if len(behind) > BODY_MOST:
+        if len(behind) > BUFFERED_BODY_BYTES_MAX:
             self._pause_reading()
         if self._stream is None:
             waits = self.partial is not None and not self.partial.is_paused
-            held = ConnectionState.HOLDING_PARTIAL if waits else ConnectionState.HOLDING
-            self._frontend.move(self, held)
+            held = ConnectionState.AWAITING_ANSWER_PARTIAL if waits else ConnectionState.AWAITING_ANSWER
+            self._listener.set_state(self, held)
 
     def _pause_reading(self) -> None:
         if self._transport is not None:
@@ -217,14 +219,14 @@
         if self.partial is None:
             self.partial = PartialRequest(now)
         if count:
-            self.partial.progressed(now, count)
+            self.partial.received(now, count)
         if self._head is not None:
-            self.partial.head_came(now)
+            self.partial.head_completed(now)
         if self.partial.is_overdue(now):
             self._time_out()
             return
         reads = ConnectionState.READING_HEAD if self._head is None else ConnectionState.READING_BODY
-        self._frontend.move(self, reads, again=True)
+        self._listener.set_state(self, reads, again=True)
 
     def _events(self) -> None:
         while self._next_event():
@@ -237,7 +239,7 @@
             self._reject(bad)
         except h11.RemoteProtocolError as broken:
             self._reject(InvalidRequest(400, str(broken)))
-        except NoRoom as full:
+        except SpoolFull as full:
             self._reject(InvalidRequest(503, str(full)))  # never sent on; there may be room a moment later
         except Exception:
             log.exception("a request could not be handled")  # a defect: its request fails, no other
@@ -252,11 +254,11 @@
             self._head = event
             self._begin(event)
         elif isinstance(event, h11.Data):
-            self._body.add(data_of(event))
-            if len(self._body) > LARGE_MOST:
+            self._body.append(data_of(event))
+            if len(self._body) > BODY_BYTES_MAX:
                 raise InvalidRequest(413, "the body is too large")
         elif isinstance(event, h11.EndOfMessage):
-            self._whole(self._body.whole())
+            self._whole(self._body.finish())
             return False
         return isinstance(event, h11.Request | h11.Data)
 
@@ -268,13 +270,13 @@
             raise InvalidRequest(
                 400, "two ways to tell the body's end"
             )  # one may hide a request in the other
-        if int(framing.get(b"content-length", b"0")) > LARGE_MOST:
+        if int(framing.get(b"content-length", b"0")) > BODY_BYTES_MAX:
             raise InvalidRequest(413, "the body is too large")
         if self._h11.they_are_waiting_for_100_continue and self._transport is not None:
             go_on = h11.InformationalResponse(status_code=100, headers=[])
             self._transport.write(self._h11.send(go_on) or b"")
 
-    def _whole(self, body: bytes | Large) -> None:
+    def _whole(self, body: bytes | SpooledBody) -> None:
         """A request has come whole."""
         head = self._head
         assert head is not None
@@ -283,29 +285,31 @@
         try:
             self._serve(head, path, body)
         finally:
-            if self._call is None and isinstance(body, Large):
+            if self._call is None and isinstance(body, SpooledBody):
                 body.release()  # turned away; what was taken is released once it is over
 
-    def _serve(self, head: h11.Request | RequestHead, path: bytes, body: bytes | Large) -> None:
+    def _serve(self, head: h11.Request | RequestHead, path: bytes, body: bytes | SpooledBody) -> None:
         if path == _READY_PATH:
-            self._answer(200 if self._frontend.hooks.ready() else 503, [], b"")
-        elif path == _ROSTER_PATH and self._frontend.hooks.roster is not None:
-            self._answer(200, [(b"Content-Type", b"application/json")], self._frontend.hooks.roster())
+            self._answer(200 if self._listener.callbacks.is_ready() else 503, [], b"")
+        elif path == _ROSTER_PATH and self._listener.callbacks.status_page is not None:
+            self._answer(
+                200, [(b"Content-Type", b"application/json")], self._listener.callbacks.status_page()
+            )
         elif path != API_PATH and not path.startswith(API_PATH + b"/"):
             raise InvalidRequest(404, "no such path")
         else:
-            call = parse_call(head, body, self._frontend.rules, self._answer_call)
-            if self._frontend.hooks.is_out(call.ident):
+            call = parse_call(head, body, self._listener.request_classes, self._answer_call)
+            if self._listener.callbacks.is_in_flight(call.call_id):
                 raise InvalidRequest(409, "x-call-id is that of another request, which is still out")
-            call.has_left = self.has_left
+            call.has_disconnected = self.has_disconnected
             self._call = call
-            self._frontend.move(self, ConnectionState.HOLDING)
-            self._frontend.hooks.taken(call)
+            self._listener.set_state(self, ConnectionState.AWAITING_ANSWER)
+            self._listener.callbacks.on_request(call)
             self._see_behind()
 
     def _reject(self, bad: InvalidRequest) -> None:
         """Turn the request away and end the connection: nothing more is expected of this client."""
-        self._frontend.counters.count(Event.REQUEST_REJECTED)
+        self._listener.counters.count(ClientEvent.REQUEST_REJECTED)
         log.info("%s: request rejected: %s", self.describe(), bad)
         self.partial = None
         self._client_gone()
@@ -314,10 +318,10 @@
     def _answer_call(self, answer: FinalAnswer) -> None:
         if answer.verdict is Verdict.SERVED:
             if answer.stream is not None:
-                self._pass_on(answer.about or [], answer.stream)
+                self._pass_on(answer.content_headers or [], answer.stream)
             else:
-                self._answer(200, answer.about or [], answer.body)
-        elif answer.verdict is Verdict.REFUSED:
+                self._answer(200, answer.content_headers or [], answer.body)
+        elif answer.verdict is Verdict.REJECTED:
             back = answer.retry_after_us
             self._answer(503, [(b"Retry-After", b"%.3f" % (back / 1e6))] if back else [], b"")
         else:
@@ -336,14 +340,14 @@
             body = b""
         first = b"HTTP/1.1 %d %b" % (status, _REASONS.get(status, b""))
         self._head = None
-        self._body.drop()
+        self._body.discard()
         self._transport.write(message(first, headers, body))
         self._over(ends)
 
     def _must_end(self) -> bool:
         """Whether the connection ends with this answer."""
         read = isinstance(self._head, RequestHead) or self._h11.their_state is h11.DONE
-        return self._frontend.draining or self._unreadable is not None or not read
+        return self._listener.draining or self._unreadable is not None or not read
 
     def _over(self, ends: bool, rest: ConnectionState = ConnectionState.CLOSING) -> None:
         """An answer is written: turn to what came behind its request, or end.
@@ -361,17 +365,17 @@
             behind = behind.lstrip(b"\r\n")
             if behind:
                 self._h11.receive_data(behind)
-        self._frontend.move(self, rest if self._stuck else ConnectionState.IDLE)
+        self._listener.set_state(self, rest if self._stuck else ConnectionState.IDLE)
         if not self._stuck and (behind or not self._transport.is_reading()):
             asyncio.get_running_loop().call_soon(self._next_request)
 
     # -- Large answers: passed on as they come --------------------------------------------------------
 
-    def _pass_on(self, about: Headers, stream: Stream) -> None:
+    def _pass_on(self, about: Headers, stream: ResponseStream) -> None:
         """Begin a large answer; the rest comes by `piece` and `ended`."""
         self._call = None
         if self._transport is None or self._transport.is_closing():
-            stream.give_up()
+            stream.abort()
             return
         # A client of HTTP/1.0 knows no chunks: for it the connection's end is that of the answer.
         old = self._head is not None and self._head.http_version != b"1.1"
@@ -386,18 +390,18 @@
             headers.append((b"Connection", b"close"))
         self._head = None
         self._stream = stream
-        stream.taker = self
-        self._frontend.move(self, ConnectionState.HOLDING)
-        self._transport.write(message(b"HTTP/1.1 200 OK", headers) + self._framed(stream.first))
+        stream.receiver = self
+        self._listener.set_state(self, ConnectionState.AWAITING_ANSWER)
+        self._transport.write(message(b"HTTP/1.1 200 OK", headers) + self._framed(stream.first_data))
 
     def _framed(self, data: bytes) -> bytes:
         return b"%x\r\n%b\r\n" % (len(data), data) if self._chunked and data else data
 
-    def piece(self, data: bytes) -> None:
+    def stream_data(self, data: bytes) -> None:
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(self._framed(data))
 
-    def ended(self, whole: bool) -> None:
+    def stream_ended(self, whole: bool) -> None:
         """The answer is over; one that was cut short ends its connection, so that its client can tell."""
         stream, self._stream = self._stream, None
         if self._transport is None or self._transport.is_closing():
@@ -408,7 +412,7 @@
             return
         if self._chunked:
             self._transport.write(b"0\r\n\r\n")
-        self._over(self._ends or self._unreadable is not None, ConnectionState.SENDING)
+        self._over(self._ends or self._unreadable is not None, ConnectionState.STREAMING_ANSWER)
 
     def _reset(self) -> None:
         """End with a reset: to a client of HTTP/1.0 an end would say that the answer is whole."""
@@ -421,8 +425,8 @@
         if self._transport is not None and not self._transport.is_closing():
             self._dropped = 0
             self.partial = None
-            self._frontend.move(self, state)
-            if self.end_sending():
+            self._listener.set_state(self, state)
+            if self.half_close():
                 self._transport.resume_reading()
 
     def _drop(self, count: int) -> None:
@@ -436,7 +440,7 @@
             return
         if self._call is not None or self._stream is not None:
             return
-        self._frontend.move(self, ConnectionState.IDLE)
+        self._listener.set_state(self, ConnectionState.IDLE)
         self._transport.resume_reading()
         if self.partial is not None:
             self.partial.resume(asyncio.get_running_loop().time())
@@ -445,8 +449,8 @@
     def _client_gone(self) -> None:
         call, self._call = self._call, None
         stream, self._stream = self._stream, None
-        self._body.drop()
+        self._body.discard()
         if stream is not None:
-            stream.give_up()
+            stream.abort()
         if call is not None:
-            self._frontend.hooks.gone([call])
+            self._listener.callbacks.on_disconnect([call])
--- a/topazbank/msgpackrpc/client.py
+++ b/topazbank/msgpackrpc/client.py
@@ -21,7 +21,13 @@
 from topazbank.balancing.settings import Idempotency
 from topazbank.core.call import Call, OutcomeCallback
 from topazbank.core.endpoints import Attempt, AttemptDeadlines, ConnectionLimit, Endpoint
-from topazbank.core.net import Reader, has_ended, is_quiet, is_up, new_socket
+from topazbank.core.net import (
+    SharedBufferProtocol,
+    has_nothing_unread,
+    is_connected,
+    new_socket,
+    peer_has_closed,
+)
 from topazbank.core.timers import Timers
 from topazbank.msgpackrpc.codec import MSGID_MOST, Decoder, Junk, Reply, encode_request
 from topazbank.msgpackrpc.mapping import LIVE, STATS, read_reply, write_call
@@ -60,12 +66,12 @@
         super().__init__(endpoint, terms, ended, call)
         self.order = order
         self.lodge = lodge  # of an unsafe class: never sent again once it may have run
-        self._last = terms.last  # whether its request is over when its time is up
+        self._last = terms.is_final  # whether its request is over when its time is up
         self.msgid = -1
         self.written = False  # whether its last byte has gone to the kernel
         self.connection: RpcNodeConnection | None = None
 
-    def let_go(self, outcome: Outcome) -> None:
+    def release(self, outcome: Outcome) -> None:
         if self.connection is not None and outcome in _GIVEN_UP:
             self.connection.give_up(self, may_return=not self._last and not self.lodge)
 
@@ -73,7 +79,7 @@
         self._last = final
         self.end(Outcome.CANCELLED)
 
-    def unsend(self) -> None:
+    def cancel_unwritten(self) -> None:
         if not self.written:
             self.end(Outcome.UNSENT)
 
@@ -84,7 +90,7 @@
 _GIVEN_UP = (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.CONNECT_FAILED, Outcome.UNSENT)
 
 
-class RpcNodeConnection(Reader):
+class RpcNodeConnection(SharedBufferProtocol):
     """One connection to a node, from its dial on."""
 
     def __init__(self, carrier: RpcUpstreamClient, endpoint: Endpoint, lodges: bool) -> None:
@@ -125,7 +131,7 @@
         if self.sock is None or self._transport is None:
             return True  # its dial is under way
         # At rest nothing should be there to read; with calls out bytes may be, and only an end counts.
-        return not has_ended(self.sock) if self.load else is_quiet(self.sock)
+        return not peer_has_closed(self.sock) if self.load else has_nothing_unread(self.sock)
 
     def calls(self) -> list[RpcAttempt]:
         writing = [] if self._writing is None else [self._writing]
@@ -160,7 +166,7 @@
                 attempt.connection = None
                 attempt.end(Outcome.UNSENT)
                 continue
-            left = attempt.time_to_tell()
+            left = attempt.remaining_s()
             self._writing = attempt
             attempt.msgid = self._new_msgid()
             transport.write(attempt.order(attempt.msgid, left))
@@ -269,7 +275,7 @@
         """Give its place back, once: a dial that is ended as it comes up ends twice."""
         if self._holds_slot:
             self._holds_slot = False
-            self._carrier.slots.give()
+            self._carrier.slots.release()
 
     def end(self, written: Outcome) -> None:
         """Close at once: calls that were written end so, and the others never ran."""
@@ -346,14 +352,14 @@
         self._pools: dict[Endpoint, Pool] = {}
         self._idle: dict[RpcNodeConnection, None] = {}  # those that carry nothing, the longest at rest first
 
-    def open(self, endpoint: Endpoint) -> None:
+    def add_endpoint(self, endpoint: Endpoint) -> None:
         endpoint.pool = self._pools[endpoint] = Pool()
 
-    def renew(self, endpoint: Endpoint) -> None:
+    def endpoint_restarted(self, endpoint: Endpoint) -> None:
         """What waits for a dial would go to the former process, or to nobody; that says nothing of the node."""
         self._take_back(endpoint, Outcome.UNSENT)
 
-    def withdraw(self, endpoint: Endpoint) -> None:
+    def drain_endpoint(self, endpoint: Endpoint) -> None:
         self._take_back(endpoint, Outcome.CONNECT_FAILED)
 
     @staticmethod
@@ -361,7 +367,7 @@
         for connection in endpoint.pool.all():
             connection.withdraw(outcome)
 
-    def forget(self, endpoint: Endpoint) -> None:
+    def remove_endpoint(self, endpoint: Endpoint) -> None:
         del self._pools[endpoint]
 
     def close_idle(self, endpoint: Endpoint) -> None:
@@ -374,21 +380,21 @@
     ) -> RpcAttempt:
         order: Order = lambda msgid, left: write_call(msgid, call, left)  # noqa: E731
         attempt = RpcAttempt(
-            endpoint, order, terms, ended, call.kind.idempotency is Idempotency.NON_IDEMPOTENT, call
+            endpoint, order, terms, ended, call.request_class.idempotency is Idempotency.NON_IDEMPOTENT, call
         )
-        if call.large is not None:
+        if call.spooled_body is not None:
             attempt.end(Outcome.UNSENT)  # larger than a message may be: nodes that speak HTTP may take it
             return attempt
         return self._start(attempt)
 
-    def probe(self, endpoint: Endpoint, until: float, ended: OutcomeCallback) -> RpcAttempt:
+    def check_health(self, endpoint: Endpoint, until: float, ended: OutcomeCallback) -> RpcAttempt:
         method = STATS if self.columns else LIVE
         order: Order = lambda msgid, _: encode_request(msgid, method, [])  # noqa: E731
         return self._start(RpcAttempt(endpoint, order, AttemptDeadlines(until), ended))
 
     def _start(self, attempt: RpcAttempt) -> RpcAttempt:
         loop = asyncio.get_running_loop()
-        if attempt.until <= loop.time():
+        if attempt.give_up_at <= loop.time():
             attempt.end(Outcome.UNSENT)
             return attempt
         connection = self._connection(attempt.endpoint, attempt.lodge)
@@ -396,8 +402,8 @@
             log.warning("no connection to spare for %s", attempt.endpoint.name)
             attempt.end(Outcome.UNSENT)  # the lack is this sidecar's: it says nothing of the server
             return attempt
-        attempt.timers.append(self._timers.at(attempt.until, RpcAttempt.time_up, attempt))
-        attempt.bound_writing(self._timers)
+        attempt.timers.append(self._timers.call_at(attempt.give_up_at, RpcAttempt.time_up, attempt))
+        attempt.arm_write_deadline(self._timers)
         connection.add(attempt)
         return attempt
 
@@ -411,7 +417,7 @@
                 return connection
             if not connection.load and connection.sock is not None and not connection.is_done():
                 connection.abort()  # at rest, and its node has ended it
-        if len(pool.lodges) + len(pool.others) < self._sharing.connections and self.slots.take():
+        if len(pool.lodges) + len(pool.others) < self._sharing.connections and self.slots.acquire():
             connection = RpcNodeConnection(self, endpoint, lodge)
             mine.append(connection)
             connection.dial = asyncio.get_running_loop().create_task(self._dial(connection))
@@ -444,7 +450,7 @@
     @staticmethod
     def _dial_time_up(connection: RpcNodeConnection, sock: socket.socket) -> None:
         """End a dial, unless its connection is up and only this program has not come to look."""
-        if not is_up(sock):
+        if not is_connected(sock):
             connection.end(Outcome.CONNECT_FAILED)
 
     # -- Rest ------------------------------------------------------------------------------------------
@@ -475,10 +481,10 @@
         if connection in mine:
             mine.remove(connection)
 
-    def most_idle(self) -> int:
+    def max_idle_connections(self) -> int:
         return len(self._idle)
 
-    def drop_idle(self) -> None:
+    def close_oldest_idle(self) -> None:
         next(iter(self._idle)).abort()
 
     async def close(self) -> None:
--- a/topazbank/msgpackrpc/codec.py
+++ b/topazbank/msgpackrpc/codec.py
@@ -14,12 +14,12 @@
 
 import msgpack
 
-from topazbank.core.call import BODY_MOST
+from topazbank.core.call import BUFFERED_BODY_BYTES_MAX
 
 REQUEST, RESPONSE, NOTIFICATION = 0, 1, 2
 MSGID_MOST = 2**32 - 1  # a message id is a 32-bit unsigned integer
 
-MESSAGE_MOST = BODY_MOST + 16 * 1024  # bytes of one message: a body and its envelope
+MESSAGE_MOST = BUFFERED_BODY_BYTES_MAX + 16 * 1024  # bytes of one message: a body and its envelope
 _HELD_MOST = 2 * MESSAGE_MOST + 64 * 1024  # bytes held unparsed: a message less a byte, and one read
 _KEPT = 4 * 1024  # bytes of buffer that a connection at rest holds
 _ARRAY_MOST = 64  # entries of any array; messages have four
--- a/topazbank/msgpackrpc/mapping.py
+++ b/topazbank/msgpackrpc/mapping.py
@@ -8,7 +8,7 @@
 
 from topazbank.balancing.events import Outcome
 from topazbank.core.call import (
-    BODY_MOST,
+    BUFFERED_BODY_BYTES_MAX,
     Call,
     FinalAnswer,
     Headers,
@@ -16,11 +16,11 @@
     RequestClasses,
     Response,
     Verdict,
-    is_target,
-    is_visible,
-    target_key,
+    is_api_target,
+    is_visible_ascii,
+    key_of_target,
 )
-from topazbank.core.reports import read_figures
+from topazbank.core.reports import report_from_mapping
 from topazbank.msgpackrpc.codec import Odd, Reply, Request, encode_request, encode_response
 
 READY, LIVE, STATS = "health.ready", "health.live", "stats"  # methods that are no calls
@@ -44,19 +44,19 @@
     caller = _visible(envelope, b"tenant")
     target = _target(envelope)
     call = Call(
-        ident=_needed(_visible(envelope, b"id"), "id"),
-        kind=kind,
+        call_id=_needed(_visible(envelope, b"id"), "id"),
+        request_class=kind,
         target=target,
         body=body,
         tenant=rules.tenant(caller),
-        key=target_key(target),
-        budget_us=int(_budget(envelope) * 1e6),
+        key=key_of_target(target),
+        timeout_us=int(_budget(envelope) * 1e6),
         cost_us=_cost(envelope),
-        again=_flag(envelope, b"again"),
+        is_retry=_flag(envelope, b"again"),
         idempotency_key=_visible(envelope, b"idempotency_key"),
         answer=answer,
         caller=caller,
-        about=_about(envelope),
+        content_headers=_about(envelope),
     )
     rules.check(call)
     return call
@@ -75,8 +75,8 @@
             )
     if body is not None and type(body) is not bytes:
         raise InvalidRequest(400, "body: a binary is wanted")
-    if body is not None and len(body) > BODY_MOST:
-        raise InvalidRequest(413, f"body: {BODY_MOST} bytes at most are wanted")
+    if body is not None and len(body) > BUFFERED_BODY_BYTES_MAX:
+        raise InvalidRequest(413, f"body: {BUFFERED_BODY_BYTES_MAX} bytes at most are wanted")
     return envelope, body or b""
 
 
@@ -92,7 +92,7 @@
     if value is None or value == b"":
         return None
     text = value.decode("latin-1") if type(value) is bytes else ""
-    if not is_visible(text):
+    if not is_visible_ascii(text):
         raise InvalidRequest(400, f"envelope.{name.decode()}: up to 256 visible ASCII characters are wanted")
     return text
 
@@ -101,7 +101,7 @@
     path, key = envelope.get(b"path"), _visible(envelope, b"key")
     if path is None:
         path = b"/api" if key is None else b"/api/" + key.encode()
-    if type(path) is not bytes or not is_target(path):
+    if type(path) is not bytes or not is_api_target(path):
         raise InvalidRequest(404, "envelope.path: a path below /api is wanted")
     return path
 
@@ -147,7 +147,7 @@
 def write_call(msgid: int, call: Call, left_s: float) -> bytes:
     """What an attempt sends: the client's call, with the time that is left for it."""
     envelope: dict[str, Any] = {
-        "id": call.ident,
+        "id": call.call_id,
         "budget": round(left_s, 6),
         "path": call.target.decode("latin-1"),
     }
@@ -155,13 +155,13 @@
         envelope["tenant"] = call.caller
     if call.idempotency_key is not None:
         envelope["idempotency_key"] = call.idempotency_key
-    if call.again:
+    if call.is_retry:
         envelope["again"] = True
     if call.cost_us is not None:
         envelope["cost_us"] = call.cost_us
-    if call.about:
-        _write_about(envelope, call.about)
-    return encode_request(msgid, call.kind.name, [envelope, call.body])
+    if call.content_headers:
+        _write_about(envelope, call.content_headers)
+    return encode_request(msgid, call.request_class.name, [envelope, call.body])
 
 
 def _write_about(given: dict[str, Any], about: Headers) -> None:
@@ -175,10 +175,10 @@
     """A call's final answer as a response."""
     if answer.verdict is Verdict.SERVED:
         result: dict[str, Any] = {"body": answer.body}
-        if answer.about:
-            _write_about(result, answer.about)
+        if answer.content_headers:
+            _write_about(result, answer.content_headers)
         return encode_response(msgid, None, result)
-    if answer.verdict is Verdict.REFUSED:
+    if answer.verdict is Verdict.REJECTED:
         back = {"retry_after": answer.retry_after_us / 1e6} if answer.retry_after_us else {}
         return encode_response(msgid, [_REFUSED, "refused", back], None)
     return encode_response(msgid, [_FAILED, "failed", {}], None)
@@ -198,15 +198,17 @@
     if type(result) is not dict:
         return Outcome.ERROR, None
     body = result.get(b"body", b"")
-    if type(body) is not bytes or len(body) > BODY_MOST:
+    if type(body) is not bytes or len(body) > BUFFERED_BODY_BYTES_MAX:
         return Outcome.ERROR, None
-    return Outcome.DELIVERED, Response(body, _about(result), read_figures(result.get(b"load"), columns))
+    return Outcome.DELIVERED, Response(
+        body, _about(result), report_from_mapping(result.get(b"load"), columns)
+    )
 
 
 def _read_error(error: object, columns: Collection[str]) -> tuple[Outcome, Response | None]:
     if type(error) is not list or len(error) != 3 or type(error[2]) is not dict:
         return Outcome.ERROR, None
     said: dict[bytes, Any] = error[2]
-    response = Response(b"", None, read_figures(said.get(b"load"), columns))
+    response = Response(b"", None, report_from_mapping(said.get(b"load"), columns))
     turned_away = type(error[0]) is int and error[0] in _TURNED_AWAY and said.get(b"rejected") is True
     return (Outcome.REJECTED if turned_away else Outcome.ERROR), response
--- a/topazbank/msgpackrpc/server.py
+++ b/topazbank/msgpackrpc/server.py
@@ -13,11 +13,11 @@
 from functools import partial
 from typing import ClassVar
 
-from topazbank.core.call import FAILED, Call, FinalAnswer, InvalidRequest, Verdict
+from topazbank.core.call import FAILED_ANSWER, Call, FinalAnswer, InvalidRequest, Verdict
 from topazbank.core.connection_states import ConnectionState, PartialRequest
-from topazbank.core.counters import Event
+from topazbank.core.counters import ClientEvent
 from topazbank.core.listener import ClientConnection, Listener
-from topazbank.core.net import has_ended
+from topazbank.core.net import peer_has_closed
 from topazbank.msgpackrpc.codec import (
     MSGID_MOST,
     Decoder,
@@ -49,8 +49,8 @@
 
     _waiting_in_all: ClassVar[int] = 0  # bytes of answers that wait on connections whose clients read slowly
 
-    def __init__(self, frontend: Listener, sock: socket.socket) -> None:
-        super().__init__(frontend, sock)
+    def __init__(self, listener: Listener, sock: socket.socket) -> None:
+        super().__init__(listener, sock)
         self._decoder = Decoder()
         self._calls: dict[int, Call] = {}  # those out, by message id; CALLS_MOST
         self._coming: Iterator[Message] | None = (
@@ -75,10 +75,10 @@
         self._broken, self._coming = True, None
         calls, self._calls = list(self._calls.values()), {}
         if calls:
-            self._frontend.counters.count(Event.CLIENT_LEFT)
-            self._frontend.hooks.gone(calls)
+            self._listener.counters.count(ClientEvent.CLIENT_DISCONNECTED)
+            self._listener.callbacks.on_disconnect(calls)
 
-    def holds(self) -> bool:
+    def has_unanswered(self) -> bool:
         return bool(self._calls)
 
     def eof_received(self) -> bool:
@@ -88,9 +88,9 @@
         begun = self._calls or self._coming is not None or self._decoder.pending
         return not begun and super().is_idle()
 
-    def time_up(self) -> None:
+    def limit_reached(self) -> None:
         if self.state is ConnectionState.CLOSING:
-            self._frontend.counters.count(Event.CONNECTION_TIMED_OUT)
+            self._listener.counters.count(ClientEvent.CONNECTION_TIMED_OUT)
             self.abort()
         elif self._broken:
             self._fail_held()
@@ -98,12 +98,12 @@
             if self.is_quiet():
                 self._time_out()
         elif self.is_idle():
-            self._frontend.counters.count(Event.CONNECTION_TIMED_OUT)
+            self._listener.counters.count(ClientEvent.CONNECTION_TIMED_OUT)
             self.close()
 
     def _time_out(self) -> None:
         """Its client has stopped in the middle of a message, or sends it too slowly."""
-        self._frontend.counters.count(Event.REQUEST_TIMED_OUT)
+        self._listener.counters.count(ClientEvent.REQUEST_TIMED_OUT)
         self._break("half a message", InvalidRequest(408, "the message took too long to come"))
         if not self._told_off:
             self._fail_held()
@@ -112,11 +112,11 @@
         """Answer all calls now: their client is owed a word, and no error can name what it has stopped in."""
         calls, self._calls = self._calls, {}
         if calls:
-            self._frontend.counters.count(Event.HELD_FAILED_FOR_PARTIAL)
+            self._listener.counters.count(ClientEvent.UNANSWERED_FAILED_FOR_PARTIAL)
             log.info("%s: %d calls are failed for what is behind them", self.describe(), len(calls))
-            self._frontend.hooks.gone(list(calls.values()))
+            self._listener.callbacks.on_disconnect(list(calls.values()))
         for msgid in calls:
-            self._write(write_answer(msgid, FAILED))
+            self._write(write_answer(msgid, FAILED_ANSWER))
         self._settle()
 
     # -- What comes ------------------------------------------------------------------------------------
@@ -127,8 +127,8 @@
             if self._dropped > _DROPPED_MOST:
                 self._pause_reading()
             return
-        if not self._calls and has_ended(self._sock):
-            self._frontend.counters.count(Event.CLIENT_LEFT_UNREAD)
+        if not self._calls and peer_has_closed(self._sock):
+            self._listener.counters.count(ClientEvent.CLIENT_DISCONNECTED_UNREAD)
             self.abort(client_gone=True)  # while this waited here
             return
         self._coming = self._decoder.feed(data)
@@ -176,7 +176,7 @@
         if self.partial is None or begins:
             self.partial = PartialRequest(now, has_head=False)
         elif count:
-            self.partial.progressed(now, count)
+            self.partial.received(now, count)
         if self.partial.is_overdue(now):
             self._time_out()
 
@@ -199,7 +199,7 @@
         for sent.  Any other (a keep-alive, a hint) is passed over.
         """
         method = message.method
-        if type(method) is not bytes or method.decode("latin-1") in self._frontend.rules.classes:
+        if type(method) is not bytes or method.decode("latin-1") in self._listener.request_classes.classes:
             self._break("a call sent as a notification")
 
     def _request(self, request: Request) -> None:
@@ -214,7 +214,7 @@
             )
             return
         if request.method == READY.encode():
-            ready = self._frontend.hooks.ready()
+            ready = self._listener.callbacks.is_ready()
             self._write(
                 encode_response(msgid, None, {"ready": True})
                 if ready
@@ -222,28 +222,28 @@
             )
             return
         try:
-            call = read_call(request, self._frontend.rules, partial(self._answer, msgid))
-            if self._frontend.stopped:
+            call = read_call(request, self._listener.request_classes, partial(self._answer, msgid))
+            if self._listener.rejects_new:
                 self._write(
-                    write_answer(msgid, FinalAnswer(Verdict.REFUSED))
+                    write_answer(msgid, FinalAnswer(Verdict.REJECTED))
                 )  # never sent on; another sidecar may
                 return
-            if self._frontend.hooks.is_out(call.ident):
+            if self._listener.callbacks.is_in_flight(call.call_id):
                 raise InvalidRequest(409, "envelope.id is that of another call, which is still out")
         except InvalidRequest as bad:
             log.info("call rejected: %s", bad)
             self._write(write_rejection(msgid, bad))
             return
         self._used = True
-        call.has_left = self.has_left
+        call.has_disconnected = self.has_disconnected
         self._calls[msgid] = call
         try:
-            self._frontend.hooks.taken(call)
+            self._listener.callbacks.on_request(call)
         except Exception:
             log.exception("a call could not be handled")  # a defect: its call fails, no other
             if msgid in self._calls:
                 self._calls.pop(msgid)
-                self._frontend.hooks.gone([call])
+                self._listener.callbacks.on_disconnect([call])
                 self._write(write_rejection(msgid, InvalidRequest(500, "internal error")))
 
     def _break(self, why: str, bad: InvalidRequest | None = None, msgid: int | None = None) -> None:
@@ -251,7 +251,7 @@
         if self._broken:
             return
         log.info("%s: read no further: %s", self.describe(), why)
-        self._frontend.counters.count(Event.REQUEST_REJECTED)
+        self._listener.counters.count(ClientEvent.REQUEST_REJECTED)
         self._broken = True
         self._coming = None
         if bad is not None and msgid is None and self._decoder.pending:
@@ -297,7 +297,7 @@
 
     def _client_takes_nothing(self) -> None:
         log.info("%s ended: its client takes no answers", self.describe())
-        self._frontend.counters.count(Event.CONNECTION_TIMED_OUT)
+        self._listener.counters.count(ClientEvent.CONNECTION_TIMED_OUT)
         self.abort(client_gone=True)
 
     def pause_writing(self) -> None:
@@ -335,21 +335,23 @@
         """Note what the connection is about now."""
         partial = self.partial is not None and self._coming is None
         if self._calls or self._coming is not None:
-            state = ConnectionState.HOLDING_PARTIAL if partial else ConnectionState.HOLDING
+            state = ConnectionState.AWAITING_ANSWER_PARTIAL if partial else ConnectionState.AWAITING_ANSWER
         elif partial:
             state = ConnectionState.READING_HEAD
         elif not self._used:
             state = ConnectionState.NEW
         else:
-            state = ConnectionState.IDLE_KEPT
-        self._frontend.move(self, state)
+            state = ConnectionState.IDLE_PERSISTENT
+        self._listener.set_state(self, state)
 
     def _settle(self) -> None:
         """Of a connection that is read no more: end it once all its calls are answered."""
         if self._calls:
-            held = ConnectionState.HOLDING if self._told_off else ConnectionState.HOLDING_PARTIAL
-            self._frontend.move(self, held)
+            held = (
+                ConnectionState.AWAITING_ANSWER if self._told_off else ConnectionState.AWAITING_ANSWER_PARTIAL
+            )
+            self._listener.set_state(self, held)
         elif self._transport is not None and not self._transport.is_closing():
             # Our side ends, and what still comes is dropped: closing on unread bytes would reset the answers away.
-            self._frontend.move(self, ConnectionState.CLOSING)
-            self.end_sending()
+            self._listener.set_state(self, ConnectionState.CLOSING)
+            self.half_close()
--- a/topazbank/operations/service.py
+++ b/topazbank/operations/service.py
@@ -20,9 +20,9 @@
 
 def path_of(config: SidecarConfig) -> Path | None:
     """Where a sidecar at this address hands over; None: nowhere."""
-    if not config.folder:
+    if not config.handover_folder:
         return None
-    return Path(config.folder) / f"topazbank-{config.listen[0]}-{config.listen[1]}.sock"
+    return Path(config.handover_folder) / f"topazbank-{config.listen[0]}-{config.listen[1]}.sock"
 
 
 class Service:
@@ -46,15 +46,15 @@
         self._handover = None
         if path is not None:
             self._handover = Handover(
-                path, lambda: self.sidecar.listening, self._snapshot, self._share, self._taken
+                path, lambda: self.sidecar.listening_sockets, self._snapshot, self._share, self._taken
             )
         if self._before.link is not None:
             held = (known.get("clients"), known.get("nodes"))
-            self._bound([parts(self.sidecar.connections_most, _count(each)).new for each in held])
+            self._bound([parts(self.sidecar.max_connections, _count(each)).new for each in held])
         self._desk: AdminApi | None = None
-        if config.operator is not None:
+        if config.admin_address is not None:
             # Both clocks are the monotonic one; the desk's thread has no loop.
-            self._desk = AdminApi(config.operator, Calls(self.sidecar.drain, self._changed).answer)
+            self._desk = AdminApi(config.admin_address, Calls(self.sidecar.drain, self._changed).answer)
         self._loop: asyncio.AbstractEventLoop | None = None
 
     async def run(self, stop: asyncio.Event) -> None:
@@ -80,35 +80,37 @@
     def _changed(self) -> None:
         """An operator has ordered something; called in the desk's thread."""
         assert self._loop is not None
-        self._loop.call_soon_threadsafe(self.sidecar.carry_out)
+        self._loop.call_soon_threadsafe(self.sidecar.apply_drain)
 
     def _snapshot(self) -> Mapping[str, Any]:
         """What the next process is told."""
-        known = self.sidecar.known
-        clients, nodes = self.sidecar.open
-        told = {"list": list_to_json(known.version, known.lines), "clients": clients, "nodes": nodes}
-        return told | ({"tier": self.sidecar.tier} if self.sidecar.tier else {})
+        known = self.sidecar.endpoints
+        clients, nodes = self.sidecar.open_connections
+        told = {"list": list_to_json(known.version, known.entries), "clients": clients, "nodes": nodes}
+        return told | ({"tier": self.sidecar.cluster_state} if self.sidecar.cluster_state else {})
 
     def _share(self, shared: bool) -> None:
         """Take a part of the limits, or all: another process of this sidecar has come, or ended."""
         if shared:
-            self._bound([parts(self.sidecar.connections_most, each).old for each in self.sidecar.open])
+            self._bound(
+                [parts(self.sidecar.max_connections, each).old for each in self.sidecar.open_connections]
+            )
         else:
-            self.sidecar.bound(None, None)
-            self.sidecar.resume_in_tier()
+            self.sidecar.set_max_connections(None, None)
+            self.sidecar.resume_membership()
 
     def _taken(self) -> None:
         """The process that came takes requests."""
-        self.sidecar.rest_in_tier()
+        self.sidecar.pause_membership()
 
     def _bound(self, most: list[int]) -> None:
-        self.sidecar.bound(most[0], most[1])
+        self.sidecar.set_max_connections(most[0], most[1])
 
 
 def _told(config: SidecarConfig, known: Mapping[str, Any]) -> SidecarConfig:
     """The configuration with the list as the process before had it, where that is one."""
     try:
-        return replace(config, known=parse_list(known.get("list")), inherited=True)
+        return replace(config, cached_endpoints=parse_list(known.get("list")), inherited=True)
     except ValueError as junk:
         log.warning("the list of the process before is not taken: %s", junk)
         return config
--- a/topazbank/planning/forwarder.py
+++ b/topazbank/planning/forwarder.py
@@ -49,7 +49,7 @@
         for link in self._links:
             link.stop()
 
-    def listed(self, servers: Sequence[ServerDescription]) -> None:
+    def endpoints_updated(self, servers: Sequence[ServerDescription]) -> None:
         for each in servers:
             if each.state is ServerState.READY:
                 self._ready.add(each.name)
@@ -58,19 +58,19 @@
         if servers:
             self.follower.listed(self._ready)
 
-    def arrived(self, kind: str) -> None:
+    def request_arrived(self, kind: str) -> None:
         self._collector.arrived(kind)
 
-    def answered(self, kind: str, served: bool) -> None:
+    def request_answered(self, kind: str, served: bool) -> None:
         if served:
             self._collector.served(kind)
         else:
             self._collector.turned_away(kind)
 
-    def sent(self, server: str) -> None:
+    def attempt_sent(self, server: str) -> None:
         self._collector.sent(server)
 
-    def ended(
+    def attempt_ended(
         self, server: str, delivered: bool, elapsed_us: int, report: Mapping[str, float] | None
     ) -> None:
         self._collector.ended(self._now(), server, delivered, elapsed_us, report)
@@ -114,7 +114,7 @@
 
     # -- For operators ---------------------------------------------------------------------------------
 
-    def show(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """What is followed and why, as plain data."""
         following = self.follower.following(self._now())
         return {
--- a/topazbank/planning/server.py
+++ b/topazbank/planning/server.py
@@ -59,7 +59,7 @@
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _Connection(self), *address, backlog=512)
         self.address = self._server.sockets[0].getsockname()[:2]
-        self._source.follow(True)
+        self._source.watch(True)
         self._look()
 
     def stop(self) -> None:
@@ -97,7 +97,7 @@
             return
         if told.complete:
             self._listed.clear()
-        for line in told.lines:
+        for line in told.entries:
             if line.server.state is ServerState.READY:
                 self._listed[line.server.name] = line
             else:
--- a/topazbank/wiring.py
+++ b/topazbank/wiring.py
@@ -80,7 +80,7 @@
             service.name,
             service.address_of,
             lambda: time.monotonic_ns() // 1000,
-            config.folder,
+            config.handover_folder,
             given.tier.key.encode(),
             given.ledger,
             given.store,
@@ -93,7 +93,7 @@
 
 def _source(membership: Membership, config: SidecarConfig, told: Hear) -> EndpointSource:
     return membership_source(
-        membership, config.discovery, told, config.known.version, config.seed, config.others
+        membership, config.discovery, told, config.cached_endpoints.version, config.seed, config.fleet_size
     )
 
 
