--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 BIN = .venv/bin
 # What passes a request; the decision module's own tests are of the sources.
-COMPILED_TESTS = tests/test_attempts.py tests/test_frontend.py tests/test_life.py tests/test_rules.py \
+COMPILED_TESTS = tests/test_attempts.py tests/test_listener.py tests/test_life.py tests/test_rules.py \
 	tests/test_any_sequence.py tests/test_mixed_fleet.py tests/msgpackrpc/test_front.py tests/msgpackrpc/test_upstream.py \
 	tests/incidents
 
--- a/tests/msgpackrpc/simulated.py
+++ b/tests/msgpackrpc/simulated.py
@@ -227,7 +227,7 @@
     """A client's connection: it notes each response and checks that it is its call's own."""
 
     def __init__(self, world: Played, room: int = _NO_END) -> None:
-        self.connection = RpcConnection(world.sidecar.listener, world.quiet)
+        self.connection = RpcConnection(world.sidecar.listener.table, world.quiet)
         super().__init__(self.connection, room)
         self.world = world
         self.unpacker = msgpack.Unpacker(raw=False)
@@ -339,7 +339,7 @@
         )
         self.sidecar = Sidecar(config, wiring, Clock(lambda: int(loop.time() * 1e9)))
         self.sidecar.endpoint_watcher.start(at_once=False)
-        self._frontend: Listener = self.sidecar.listener
+        self._listener: Listener = self.sidecar.listener
 
     def check(self, kept: bool, rule: str) -> None:
         if not kept:
@@ -394,6 +394,6 @@
         self.check(not self.sidecar._live, "a request is kept after its end")
 
     def close(self) -> None:
-        self._frontend._sock.close()
+        self._listener._sock.close()
         self.quiet.close()
         self._other.close()
--- a/tests/msgpackrpc/test_front.py
+++ b/tests/msgpackrpc/test_front.py
@@ -340,7 +340,7 @@
             one.writer.write(call(1, "pay", body=b"x"))
             await until(w.sent)
             w.stop.set()
-            await until(lambda: w.sidecar.listener.rejects_new)
+            await until(lambda: w.sidecar.listener.table.rejects_new)
             one.writer.write(call(2, "pay", body=b"y"))
             assert (await answers(one, 1))[2][:2] == [503, "refused"]
             w.servers[0].answer_held(answer(200, b"held"))
--- a/tests/msgpackrpc/test_mapping.py
+++ b/tests/msgpackrpc/test_mapping.py
@@ -11,7 +11,8 @@
 
 from testbed.wire import read_rpc
 from topazbank.balancing.events import Outcome
-from topazbank.core.call import Call, FinalAnswer, InvalidRequest, RequestClasses, Verdict
+from topazbank.core.call import Call, FinalAnswer, Verdict
+from topazbank.core.request_checks import InvalidRequest, RequestClasses
 from topazbank.http.client import write_request
 from topazbank.msgpackrpc.codec import Decoder, Reply, Request, encode_request
 from topazbank.msgpackrpc.mapping import read_call, read_reply, write_answer, write_call
--- a/tests/msgpackrpc/test_upstream.py
+++ b/tests/msgpackrpc/test_upstream.py
@@ -29,9 +29,10 @@
 
 from testbed.wire import MSGPACK_RPC, pack, reset
 from topazbank.balancing.events import Outcome, ServerState
-from topazbank.core.call import Call, RequestClasses, Response
+from topazbank.core.call import Call, Response
 from topazbank.core.endpoints import MSGPACK_RPC as RPC
 from topazbank.core.endpoints import AttemptDeadlines, ConnectionLimit, EndpointTable
+from topazbank.core.request_checks import RequestClasses
 from topazbank.msgpackrpc.client import RpcAttempt, RpcNodeConnection, RpcUpstreamClient, Sharing
 from topazbank.msgpackrpc.mapping import write_call
 
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -218,7 +218,7 @@
             waiting = await client(w.sidecar.listener.address)
             waiting.send(request("pay", body=b"y", X_Call_Id="waiting"))
             w.stop.set()
-            await until(lambda: w.sidecar.listener.rejects_new)
+            await until(lambda: w.sidecar.listener.table.rejects_new)
             await asyncio.sleep(0.05)  # a few steps of the drain
             w.servers[0].script = lambda *_: answer(200, b"served")
             w.servers[0].answer_held(answer(200, b"held"))
--- a/tests/test_frontend.py
+++ b/tests/test_listener.py
@@ -30,8 +30,10 @@
 from topazbank.balancing.actions import Action, Reject
 from topazbank.balancing.events import Event, RequestArrived
 from topazbank.core.body import BODY_BYTES_MAX
-from topazbank.core.call import FinalAnswer, RequestCallbacks, RequestClasses, Verdict
-from topazbank.core.listener import ClientConnection, Listener
+from topazbank.core.call import FinalAnswer, RequestCallbacks, Verdict
+from topazbank.core.client_connection import ClientConnection
+from topazbank.core.listener import Listener
+from topazbank.core.request_checks import RequestClasses
 from topazbank.http.server import HttpConnection
 
 
@@ -289,7 +291,7 @@
 
             def crossed(connection: HttpConnection, *args: Any) -> None:
                 over(connection, *args)
-                room.append(w.sidecar.listener._make_room())
+                room.append(w.sidecar.listener.table.evict())
 
             monkeypatch.setattr(HttpConnection, "_over", crossed)
             one = await client(w.sidecar.listener.address)
@@ -320,18 +322,18 @@
 
     async def scene() -> None:
         taken = FinalAnswer(Verdict.SERVED, b"taken")
-        hooks = RequestCallbacks(
+        callbacks = RequestCallbacks(
             lambda call: call.answer(taken), lambda _: None, lambda _: False, lambda: True
         )
         rules = RequestClasses(settings(classes=CLASSES))
-        frontend = Listener(("127.0.0.1", 0), 5, hooks, rules, HttpConnection)
-        real = frontend._sock
-        frontend._sock = Lacking(real)  # type: ignore[assignment]
-        frontend.start()
-        assert (await ask(frontend.address, request()))[2] == b"taken"
-        frontend._sock = real
-        frontend.stop()
-        await until(lambda: not frontend.open_connections)
+        listener = Listener(("127.0.0.1", 0), 5, callbacks, rules, HttpConnection)
+        real = listener._sock
+        listener._sock = Lacking(real)  # type: ignore[assignment]
+        listener.start()
+        assert (await ask(listener.address, request()))[2] == b"taken"
+        listener._sock = real
+        listener.stop()
+        await until(lambda: not listener.open_connections)
 
     play(scene())
 
@@ -507,35 +509,38 @@
 
             def lags() -> bool:
                 time.sleep(0.15)  # longer than it takes to the next sweep
-                return w.sidecar.listener._most_busy < 33
+                return w.sidecar.listener.shedding.busy_max < 33
 
             await until(lags)
-            w.sidecar.listener._may_end = 1.0
+            w.sidecar.listener.shedding.shed_saved = 1.0
             reader, _ = await asyncio.open_connection(*address)
             assert await is_closed(reader)
             for _ in range(20):  # and no more than one in 200
-                w.sidecar.listener._most_busy = 0.0  # it is as far behind as before
+                w.sidecar.listener.shedding.busy_max = 0.0  # it is as far behind as before
                 assert (await ask(address, request(path="/health/ready")))[0] == 200
-            w.sidecar.listener._may_end = 1.0
+            w.sidecar.listener.shedding.shed_saved = 1.0
             for one in held:
                 one.close()
-            await until(lambda: not w.sidecar.listener._is_swamped())
+            table, shedding = w.sidecar.listener.table, w.sidecar.listener.shedding
+            await until(lambda: table.count_with_work() < shedding.busy_max)
             assert (await ask(address, request(path="/health/ready")))[0] == 200
 
     play(scene())
 
 
-def test_of_a_thousand_new_connections_in_a_swamped_sidecar_no_more_than_four_end_unread() -> None:
-    hooks = RequestCallbacks(lambda _: None, lambda _: None, lambda _: False, lambda: True)
-    frontend = Listener(("127.0.0.1", 0), 5, hooks, RequestClasses(settings(classes=CLASSES)), HttpConnection)
-    frontend._most_busy = 0.0
-    ended = [frontend._ends_unread() for _ in range(1000)]
+def test_of_a_thousand_new_connections_under_overload_no_more_than_four_are_closed_unread() -> None:
+    callbacks = RequestCallbacks(lambda _: None, lambda _: None, lambda _: False, lambda: True)
+    listener = Listener(
+        ("127.0.0.1", 0), 5, callbacks, RequestClasses(settings(classes=CLASSES)), HttpConnection
+    )
+    listener.shedding.busy_max = 0.0
+    ended = [listener._sheds() for _ in range(1000)]
     assert not any(ended[:200]) and sum(ended) <= 4  # from the start on no more than one in 200
-    frontend._most_busy = 5.0
-    assert not any(frontend._ends_unread() for _ in range(2000))
-    frontend._most_busy = 0.0
-    assert sum(frontend._ends_unread() for _ in range(200)) <= 2  # saved up, and bounded
-    frontend.stop()
+    listener.shedding.busy_max = 5.0
+    assert not any(listener._sheds() for _ in range(2000))
+    listener.shedding.busy_max = 0.0
+    assert sum(listener._sheds() for _ in range(200)) <= 2  # saved up, and bounded
+    listener.stop()
 
 
 @pytest.mark.usefixtures("each_node")
--- a/topazbank/core/driver.py
+++ b/topazbank/core/driver.py
@@ -55,17 +55,18 @@
     Call,
     FinalAnswer,
     RequestCallbacks,
-    RequestClasses,
     Response,
     Verdict,
 )
+from topazbank.core.client_connection import ConnectionFactory
 from topazbank.core.counters import Counters
 from topazbank.core.endpoint_source import EndpointList, EndpointSource, ProtocolDefaults
 from topazbank.core.endpoint_watcher import EndpointWatcher
 from topazbank.core.endpoints import Attempt, AttemptDeadlines, ConnectionLimit, EndpointTable, UpstreamClient
 from topazbank.core.gossip_transport import GossipAddresses, GossipTransport
-from topazbank.core.listener import ConnectionFactory, Listener
+from topazbank.core.listener import Listener
 from topazbank.core.net import Address
+from topazbank.core.request_checks import RequestClasses
 from topazbank.core.request_rules import DenialReason, RequestRules
 from topazbank.core.timers import Timer, Timers
 from topazbank.core.trace import Trace
--- a/topazbank/http/request_reading.py
+++ b/topazbank/http/request_reading.py
@@ -9,7 +9,8 @@
 
 from topazbank.balancing.settings import Idempotency
 from topazbank.core.body import SpooledBody
-from topazbank.core.call import Call, FinalAnswer, Headers, InvalidRequest, RequestClasses, key_of_target
+from topazbank.core.call import Call, FinalAnswer, Headers
+from topazbank.core.request_checks import InvalidRequest, RequestClasses, key_of_target
 from topazbank.http.connection import ABOUT_BODY, end_to_end
 from topazbank.http.fast_parser import RequestHead
 
--- a/topazbank/http/server.py
+++ b/topazbank/http/server.py
@@ -13,19 +13,13 @@
 import h11
 
 from topazbank.core.body import BODY_BYTES_MAX, BodyBuffer, ResponseStream, SpooledBody, SpoolFull
-from topazbank.core.call import (
-    API_PATH,
-    BUFFERED_BODY_BYTES_MAX,
-    Call,
-    FinalAnswer,
-    Headers,
-    InvalidRequest,
-    Verdict,
-)
+from topazbank.core.call import BUFFERED_BODY_BYTES_MAX, Call, FinalAnswer, Headers, Verdict
+from topazbank.core.client_connection import ClientConnection
 from topazbank.core.connection_states import ConnectionState, PartialRequest
+from topazbank.core.connection_table import ConnectionTable
 from topazbank.core.counters import ClientEvent
-from topazbank.core.listener import ClientConnection, Listener
 from topazbank.core.net import peer_has_closed
+from topazbank.core.request_checks import API_PATH, InvalidRequest
 from topazbank.http.connection import data_of, message
 from topazbank.http.fast_parser import RequestHead, read_request
 from topazbank.http.request_reading import ident_in, is_whole, own_form, parse_call
@@ -43,11 +37,11 @@
 class HttpConnection(ClientConnection):
     """One HTTP connection of a client; it carries one request at a time."""
 
-    def __init__(self, listener: Listener, sock: socket.socket) -> None:
-        super().__init__(listener, sock)
+    def __init__(self, table: ConnectionTable, sock: socket.socket) -> None:
+        super().__init__(table, sock)
         self._h11 = h11.Connection(h11.SERVER)
         self._head: h11.Request | RequestHead | None = None
-        self._body = BodyBuffer(listener.callbacks.spool)
+        self._body = BodyBuffer(table.callbacks.spool)
         self._call: Call | None = None
         self._stream: ResponseStream | None = None  # the large answer that is passed on
         self._chunked = False  # and whether in chunks
@@ -66,7 +60,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
         if self._call is not None:
-            self._listener.counters.count(ClientEvent.CLIENT_DISCONNECTED)
+            self._counters.count(ClientEvent.CLIENT_DISCONNECTED)
             log.info("%s: its client left, request %s", self.describe(), self._call.call_id)
         self._client_gone()
 
@@ -83,9 +77,9 @@
         if self._call is None and self._stream is None and peer_has_closed(self._sock):
             # Its client has left while the request waited here.  Guards a busy sidecar against work for those
             # that gave up: done for all, it would keep the next ones waiting until they give up too.
-            self._listener.counters.count(ClientEvent.CLIENT_DISCONNECTED_UNREAD)
+            self._counters.count(ClientEvent.CLIENT_DISCONNECTED_UNREAD)
             log.info("%s: its client left before request %s was read", self.describe(), ident_in(data))
-            self.abort(client_gone=True)
+            self.abort(client_disconnected=True)
             return
         if self._is_fresh():
             whole = read_request(data, BUFFERED_BODY_BYTES_MAX)
@@ -110,16 +104,16 @@
         self._stuck = True
         if self._stream is not None:
             self._stream.pause(True)
-            self._listener.set_state(self, ConnectionState.STREAMING_ANSWER)
+            self._table.set_state(self, ConnectionState.STREAMING_ANSWER)
 
     def resume_writing(self) -> None:
         self._stuck = False
         if self._stream is not None:
-            self._listener.set_state(self, ConnectionState.AWAITING_ANSWER)
+            self._table.set_state(self, ConnectionState.AWAITING_ANSWER)
             self._stream.pause(False)
             return
         if self._dropped is not None:
-            self._listener.set_state(
+            self._table.set_state(
                 self, ConnectionState.CLOSING
             )  # all is taken: its client has to end its side
         elif self._call is None:
@@ -132,7 +126,7 @@
 
     def limit_reached(self) -> None:
         """Its state has lasted for as long as it may, or its partial request has taken that long."""
-        counters = self._listener.counters
+        counters = self._counters
         if self.state is ConnectionState.AWAITING_ANSWER_PARTIAL:
             self._fail_held()
         elif self.state in (ConnectionState.CLOSING, ConnectionState.STREAMING_ANSWER):
@@ -147,7 +141,7 @@
 
     def _time_out(self) -> None:
         """Its client has stopped in the middle of a request, or sends it too slowly."""
-        self._listener.counters.count(ClientEvent.REQUEST_TIMED_OUT)
+        self._counters.count(ClientEvent.REQUEST_TIMED_OUT)
         self._reject(InvalidRequest(408, "the request took too long to come"))
 
     def _fail_held(self) -> None:
@@ -157,7 +151,7 @@
         """
         if self._call is None:
             return
-        self._listener.counters.count(ClientEvent.UNANSWERED_FAILED_FOR_PARTIAL)
+        self._counters.count(ClientEvent.UNANSWERED_FAILED_FOR_PARTIAL)
         log.info("%s: request %s is failed for what is behind it", self.describe(), self._call.call_id)
         self._client_gone()
         self._answer(500, [], b"", ends=True)
@@ -193,7 +187,7 @@
         if self._stream is None:
             waits = self.partial is not None and not self.partial.is_paused
             held = ConnectionState.AWAITING_ANSWER_PARTIAL if waits else ConnectionState.AWAITING_ANSWER
-            self._listener.set_state(self, held)
+            self._table.set_state(self, held)
 
     def _pause_reading(self) -> None:
         if self._transport is not None:
@@ -226,7 +220,7 @@
             self._time_out()
             return
         reads = ConnectionState.READING_HEAD if self._head is None else ConnectionState.READING_BODY
-        self._listener.set_state(self, reads, again=True)
+        self._table.set_state(self, reads, restart=True)
 
     def _events(self) -> None:
         while self._next_event():
@@ -290,26 +284,24 @@
 
     def _serve(self, head: h11.Request | RequestHead, path: bytes, body: bytes | SpooledBody) -> None:
         if path == _READY_PATH:
-            self._answer(200 if self._listener.callbacks.is_ready() else 503, [], b"")
-        elif path == _ROSTER_PATH and self._listener.callbacks.status_page is not None:
-            self._answer(
-                200, [(b"Content-Type", b"application/json")], self._listener.callbacks.status_page()
-            )
+            self._answer(200 if self._callbacks.is_ready() else 503, [], b"")
+        elif path == _ROSTER_PATH and self._callbacks.status_page is not None:
+            self._answer(200, [(b"Content-Type", b"application/json")], self._callbacks.status_page())
         elif path != API_PATH and not path.startswith(API_PATH + b"/"):
             raise InvalidRequest(404, "no such path")
         else:
-            call = parse_call(head, body, self._listener.request_classes, self._answer_call)
-            if self._listener.callbacks.is_in_flight(call.call_id):
+            call = parse_call(head, body, self._request_classes, self._answer_call)
+            if self._callbacks.is_in_flight(call.call_id):
                 raise InvalidRequest(409, "x-call-id is that of another request, which is still out")
             call.has_disconnected = self.has_disconnected
             self._call = call
-            self._listener.set_state(self, ConnectionState.AWAITING_ANSWER)
-            self._listener.callbacks.on_request(call)
+            self._table.set_state(self, ConnectionState.AWAITING_ANSWER)
+            self._callbacks.on_request(call)
             self._see_behind()
 
     def _reject(self, bad: InvalidRequest) -> None:
         """Turn the request away and end the connection: nothing more is expected of this client."""
-        self._listener.counters.count(ClientEvent.REQUEST_REJECTED)
+        self._counters.count(ClientEvent.REQUEST_REJECTED)
         log.info("%s: request rejected: %s", self.describe(), bad)
         self.partial = None
         self._client_gone()
@@ -347,7 +339,7 @@
     def _must_end(self) -> bool:
         """Whether the connection ends with this answer."""
         read = isinstance(self._head, RequestHead) or self._h11.their_state is h11.DONE
-        return self._listener.draining or self._unreadable is not None or not read
+        return self._table.draining or self._unreadable is not None or not read
 
     def _over(self, ends: bool, rest: ConnectionState = ConnectionState.CLOSING) -> None:
         """An answer is written: turn to what came behind its request, or end.
@@ -365,7 +357,7 @@
             behind = behind.lstrip(b"\r\n")
             if behind:
                 self._h11.receive_data(behind)
-        self._listener.set_state(self, rest if self._stuck else ConnectionState.IDLE)
+        self._table.set_state(self, rest if self._stuck else ConnectionState.IDLE)
         if not self._stuck and (behind or not self._transport.is_reading()):
             asyncio.get_running_loop().call_soon(self._next_request)
 
@@ -391,7 +383,7 @@
         self._head = None
         self._stream = stream
         stream.receiver = self
-        self._listener.set_state(self, ConnectionState.AWAITING_ANSWER)
+        self._table.set_state(self, ConnectionState.AWAITING_ANSWER)
         self._transport.write(message(b"HTTP/1.1 200 OK", headers) + self._framed(stream.first_data))
 
     def _framed(self, data: bytes) -> bytes:
@@ -425,7 +417,7 @@
         if self._transport is not None and not self._transport.is_closing():
             self._dropped = 0
             self.partial = None
-            self._listener.set_state(self, state)
+            self._table.set_state(self, state)
             if self.half_close():
                 self._transport.resume_reading()
 
@@ -440,7 +432,7 @@
             return
         if self._call is not None or self._stream is not None:
             return
-        self._listener.set_state(self, ConnectionState.IDLE)
+        self._table.set_state(self, ConnectionState.IDLE)
         self._transport.resume_reading()
         if self.partial is not None:
             self.partial.resume(asyncio.get_running_loop().time())
@@ -453,4 +445,4 @@
         if stream is not None:
             stream.abort()
         if call is not None:
-            self._listener.callbacks.on_disconnect([call])
+            self._callbacks.on_disconnect([call])
--- a/topazbank/msgpackrpc/mapping.py
+++ b/topazbank/msgpackrpc/mapping.py
@@ -12,15 +12,17 @@
     Call,
     FinalAnswer,
     Headers,
-    InvalidRequest,
-    RequestClasses,
     Response,
     Verdict,
+)
+from topazbank.core.reports import report_from_mapping
+from topazbank.core.request_checks import (
+    InvalidRequest,
+    RequestClasses,
     is_api_target,
     is_visible_ascii,
     key_of_target,
 )
-from topazbank.core.reports import report_from_mapping
 from topazbank.msgpackrpc.codec import Odd, Reply, Request, encode_request, encode_response
 
 READY, LIVE, STATS = "health.ready", "health.live", "stats"  # methods that are no calls
--- a/topazbank/msgpackrpc/server.py
+++ b/topazbank/msgpackrpc/server.py
@@ -13,11 +13,13 @@
 from functools import partial
 from typing import ClassVar
 
-from topazbank.core.call import FAILED_ANSWER, Call, FinalAnswer, InvalidRequest, Verdict
+from topazbank.core.call import FAILED_ANSWER, Call, FinalAnswer, Verdict
+from topazbank.core.client_connection import ClientConnection
 from topazbank.core.connection_states import ConnectionState, PartialRequest
+from topazbank.core.connection_table import ConnectionTable
 from topazbank.core.counters import ClientEvent
-from topazbank.core.listener import ClientConnection, Listener
 from topazbank.core.net import peer_has_closed
+from topazbank.core.request_checks import InvalidRequest
 from topazbank.msgpackrpc.codec import (
     MSGID_MOST,
     Decoder,
@@ -49,8 +51,8 @@
 
     _waiting_in_all: ClassVar[int] = 0  # bytes of answers that wait on connections whose clients read slowly
 
-    def __init__(self, listener: Listener, sock: socket.socket) -> None:
-        super().__init__(listener, sock)
+    def __init__(self, table: ConnectionTable, sock: socket.socket) -> None:
+        super().__init__(table, sock)
         self._decoder = Decoder()
         self._calls: dict[int, Call] = {}  # those out, by message id; CALLS_MOST
         self._coming: Iterator[Message] | None = (
@@ -75,8 +77,8 @@
         self._broken, self._coming = True, None
         calls, self._calls = list(self._calls.values()), {}
         if calls:
-            self._listener.counters.count(ClientEvent.CLIENT_DISCONNECTED)
-            self._listener.callbacks.on_disconnect(calls)
+            self._counters.count(ClientEvent.CLIENT_DISCONNECTED)
+            self._callbacks.on_disconnect(calls)
 
     def has_unanswered(self) -> bool:
         return bool(self._calls)
@@ -90,7 +92,7 @@
 
     def limit_reached(self) -> None:
         if self.state is ConnectionState.CLOSING:
-            self._listener.counters.count(ClientEvent.CONNECTION_TIMED_OUT)
+            self._counters.count(ClientEvent.CONNECTION_TIMED_OUT)
             self.abort()
         elif self._broken:
             self._fail_held()
@@ -98,12 +100,12 @@
             if self.is_quiet():
                 self._time_out()
         elif self.is_idle():
-            self._listener.counters.count(ClientEvent.CONNECTION_TIMED_OUT)
+            self._counters.count(ClientEvent.CONNECTION_TIMED_OUT)
             self.close()
 
     def _time_out(self) -> None:
         """Its client has stopped in the middle of a message, or sends it too slowly."""
-        self._listener.counters.count(ClientEvent.REQUEST_TIMED_OUT)
+        self._counters.count(ClientEvent.REQUEST_TIMED_OUT)
         self._break("half a message", InvalidRequest(408, "the message took too long to come"))
         if not self._told_off:
             self._fail_held()
@@ -112,9 +114,9 @@
         """Answer all calls now: their client is owed a word, and no error can name what it has stopped in."""
         calls, self._calls = self._calls, {}
         if calls:
-            self._listener.counters.count(ClientEvent.UNANSWERED_FAILED_FOR_PARTIAL)
+            self._counters.count(ClientEvent.UNANSWERED_FAILED_FOR_PARTIAL)
             log.info("%s: %d calls are failed for what is behind them", self.describe(), len(calls))
-            self._listener.callbacks.on_disconnect(list(calls.values()))
+            self._callbacks.on_disconnect(list(calls.values()))
         for msgid in calls:
             self._write(write_answer(msgid, FAILED_ANSWER))
         self._settle()
@@ -128,8 +130,8 @@
                 self._pause_reading()
             return
         if not self._calls and peer_has_closed(self._sock):
-            self._listener.counters.count(ClientEvent.CLIENT_DISCONNECTED_UNREAD)
-            self.abort(client_gone=True)  # while this waited here
+            self._counters.count(ClientEvent.CLIENT_DISCONNECTED_UNREAD)
+            self.abort(client_disconnected=True)  # while this waited here
             return
         self._coming = self._decoder.feed(data)
         self._go_on(len(data))
@@ -199,7 +201,7 @@
         for sent.  Any other (a keep-alive, a hint) is passed over.
         """
         method = message.method
-        if type(method) is not bytes or method.decode("latin-1") in self._listener.request_classes.classes:
+        if type(method) is not bytes or method.decode("latin-1") in self._request_classes.classes:
             self._break("a call sent as a notification")
 
     def _request(self, request: Request) -> None:
@@ -214,7 +216,7 @@
             )
             return
         if request.method == READY.encode():
-            ready = self._listener.callbacks.is_ready()
+            ready = self._callbacks.is_ready()
             self._write(
                 encode_response(msgid, None, {"ready": True})
                 if ready
@@ -222,13 +224,13 @@
             )
             return
         try:
-            call = read_call(request, self._listener.request_classes, partial(self._answer, msgid))
-            if self._listener.rejects_new:
+            call = read_call(request, self._request_classes, partial(self._answer, msgid))
+            if self._table.rejects_new:
                 self._write(
                     write_answer(msgid, FinalAnswer(Verdict.REJECTED))
                 )  # never sent on; another sidecar may
                 return
-            if self._listener.callbacks.is_in_flight(call.call_id):
+            if self._callbacks.is_in_flight(call.call_id):
                 raise InvalidRequest(409, "envelope.id is that of another call, which is still out")
         except InvalidRequest as bad:
             log.info("call rejected: %s", bad)
@@ -238,12 +240,12 @@
         call.has_disconnected = self.has_disconnected
         self._calls[msgid] = call
         try:
-            self._listener.callbacks.on_request(call)
+            self._callbacks.on_request(call)
         except Exception:
             log.exception("a call could not be handled")  # a defect: its call fails, no other
             if msgid in self._calls:
                 self._calls.pop(msgid)
-                self._listener.callbacks.on_disconnect([call])
+                self._callbacks.on_disconnect([call])
                 self._write(write_rejection(msgid, InvalidRequest(500, "internal error")))
 
     def _break(self, why: str, bad: InvalidRequest | None = None, msgid: int | None = None) -> None:
@@ -251,7 +253,7 @@
         if self._broken:
             return
         log.info("%s: read no further: %s", self.describe(), why)
-        self._listener.counters.count(ClientEvent.REQUEST_REJECTED)
+        self._counters.count(ClientEvent.REQUEST_REJECTED)
         self._broken = True
         self._coming = None
         if bad is not None and msgid is None and self._decoder.pending:
@@ -297,8 +299,8 @@
 
     def _client_takes_nothing(self) -> None:
         log.info("%s ended: its client takes no answers", self.describe())
-        self._listener.counters.count(ClientEvent.CONNECTION_TIMED_OUT)
-        self.abort(client_gone=True)
+        self._counters.count(ClientEvent.CONNECTION_TIMED_OUT)
+        self.abort(client_disconnected=True)
 
     def pause_writing(self) -> None:
         """The client reads more slowly than it asks: its next calls wait in the kernel."""
@@ -342,7 +344,7 @@
             state = ConnectionState.NEW
         else:
             state = ConnectionState.IDLE_PERSISTENT
-        self._listener.set_state(self, state)
+        self._table.set_state(self, state)
 
     def _settle(self) -> None:
         """Of a connection that is read no more: end it once all its calls are answered."""
@@ -350,8 +352,8 @@
             held = (
                 ConnectionState.AWAITING_ANSWER if self._told_off else ConnectionState.AWAITING_ANSWER_PARTIAL
             )
-            self._listener.set_state(self, held)
+            self._table.set_state(self, held)
         elif self._transport is not None and not self._transport.is_closing():
             # Our side ends, and what still comes is dropped: closing on unread bytes would reset the answers away.
-            self._listener.set_state(self, ConnectionState.CLOSING)
+            self._table.set_state(self, ConnectionState.CLOSING)
             self.half_close()
--- a/topazbank/wiring.py
+++ b/topazbank/wiring.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from topazbank.balancing.settings import Settings
+from topazbank.core.client_connection import ConnectionFactory
 from topazbank.core.driver import ClusterMembership, Components, RequestObserver, SidecarConfig
 from topazbank.core.endpoint_source import EndpointList, EndpointSource, ProtocolDefaults
 from topazbank.core.endpoints import HTTP, MSGPACK_RPC, ConnectionLimit, UpstreamClient
-from topazbank.core.listener import ConnectionFactory
 from topazbank.core.net import Address
 from topazbank.core.trace import Trace
 from topazbank.discovery.combined import CombinedSource
