--- a/tests/msgpackrpc/simulated.py
+++ b/tests/msgpackrpc/simulated.py
@@ -22,9 +22,10 @@
 from topazbank.balancing.settings import Settings
 from topazbank.core.driver import Clock, Components, Sidecar, SidecarConfig
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, ProtocolDefaults, SourceStatus
-from topazbank.core.endpoints import MSGPACK_RPC, ConnectionLimit, UpstreamClient
+from topazbank.core.endpoints import MSGPACK_RPC
 from topazbank.core.listener import Listener
 from topazbank.core.net import Address
+from topazbank.core.upstream_client import ConnectionLimit, UpstreamClient
 from topazbank.http.server import HttpConnection
 from topazbank.msgpackrpc.client import RpcNodeConnection, RpcUpstreamClient, Sharing
 from topazbank.msgpackrpc.server import RpcConnection
--- a/tests/msgpackrpc/test_upstream.py
+++ b/tests/msgpackrpc/test_upstream.py
@@ -29,10 +29,12 @@
 
 from testbed.wire import MSGPACK_RPC, pack, reset
 from topazbank.balancing.events import Outcome, ServerState
+from topazbank.core.attempts import AttemptDeadlines
 from topazbank.core.call import Call, Response
+from topazbank.core.endpoint_table import EndpointTable
 from topazbank.core.endpoints import MSGPACK_RPC as RPC
-from topazbank.core.endpoints import AttemptDeadlines, ConnectionLimit, EndpointTable
 from topazbank.core.request_checks import RequestClasses
+from topazbank.core.upstream_client import ConnectionLimit
 from topazbank.msgpackrpc.client import RpcAttempt, RpcNodeConnection, RpcUpstreamClient, Sharing
 from topazbank.msgpackrpc.mapping import write_call
 
@@ -150,7 +152,7 @@
     """A connection that carries interleaved calls, more kinds on one than the carrier would put there."""
     nodes = rpc_nodes_of()
     nodes.update("s", ("127.0.0.1", 9), None, ServerState.READY, RPC)
-    endpoint, carrier = nodes.endpoints["s"], nodes._carriers[RPC]
+    endpoint, carrier = nodes.endpoints["s"], nodes._clients[RPC]
     assert isinstance(carrier, RpcUpstreamClient)
     connection = RpcNodeConnection(carrier, endpoint, True)
     endpoint.pool.lodges.append(connection)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -28,11 +28,14 @@
 from testbed.wire import reset
 from topazbank.balancing.actions import Action
 from topazbank.balancing.events import AttemptEnded, Event, Outcome, ServerState
+from topazbank.core.attempts import AttemptDeadlines
 from topazbank.core.call import Call, Response
-from topazbank.core.endpoints import HTTP, MSGPACK_RPC, AttemptDeadlines, ConnectionLimit, EndpointTable
+from topazbank.core.endpoint_table import EndpointTable
+from topazbank.core.endpoints import HTTP, MSGPACK_RPC
 from topazbank.core.net import Address
 from topazbank.core.reports import parse_report
 from topazbank.core.request_checks import RequestClasses
+from topazbank.core.upstream_client import ConnectionLimit
 from topazbank.http.client import HttpUpstreamClient, judge, write_request
 from topazbank.http.connection import HttpResponse, connect
 from topazbank.msgpackrpc.client import RpcUpstreamClient
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -13,8 +13,9 @@
 from topazbank.balancing.events import EndpointsUpdated, ServerDescription, ServerState, UpdateKind
 from topazbank.core.endpoint_list import BATCH_SIZE, PendingUpdates
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList
-from topazbank.core.endpoints import ConnectionLimit, EndpointTable
+from topazbank.core.endpoint_table import EndpointTable
 from topazbank.core.net import Address
+from topazbank.core.upstream_client import ConnectionLimit
 
 READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
 
@@ -145,7 +146,7 @@
 
 def nodes() -> EndpointTable:
     made = EndpointTable(ConnectionLimit(4), 1.0)
-    made._carriers["http"] = NoConnections()  # type: ignore[assignment]
+    made._clients["http"] = NoConnections()  # type: ignore[assignment]
     return made
 
 
@@ -170,7 +171,7 @@
     assert made.remove_superseded(lambda name: name == "b") == []  # b's own line comes with the next step
     made.update("b", at(1), 7, READY)
     assert made.remove_superseded() == [] and len(made.endpoints) == 2
-    assert made._at == {at(1): {"b": made.endpoints["b"]}, at(2): {"a": made.endpoints["a"]}}
+    assert made._by_address == {at(1): {"b": made.endpoints["b"]}, at(2): {"a": made.endpoints["a"]}}
 
 
 def test_an_address_is_forgotten_with_its_last_node() -> None:
@@ -181,8 +182,8 @@
         made.update(name, at(1 + rng.randrange(4)), rng.randrange(3), state)
         made.remove_superseded()
         where = {each.name: each.address for each in made.endpoints.values()}
-        assert {name: address for address, there in made._at.items() for name in there} == where
-        assert all(made._at.values())
+        assert {name: address for address, there in made._by_address.items() for name in there} == where
+        assert all(made._by_address.values())
 
 
 def test_the_version_that_is_handed_over_is_one_of_which_all_is_taken() -> None:
--- a/topazbank/core/driver.py
+++ b/topazbank/core/driver.py
@@ -49,6 +49,7 @@
 from topazbank.balancing.fleet import FleetQuota, RoutingPlan
 from topazbank.balancing.settings import DiscoveryMode, Settings
 from topazbank.cluster.member import Generations
+from topazbank.core.attempts import Attempt, AttemptDeadlines
 from topazbank.core.body import Spool
 from topazbank.core.call import (
     FAILED_ANSWER,
@@ -61,8 +62,8 @@
 from topazbank.core.client_connection import ConnectionFactory
 from topazbank.core.counters import Counters
 from topazbank.core.endpoint_source import EndpointList, EndpointSource, ProtocolDefaults
+from topazbank.core.endpoint_table import EndpointTable
 from topazbank.core.endpoint_watcher import EndpointWatcher
-from topazbank.core.endpoints import Attempt, AttemptDeadlines, ConnectionLimit, EndpointTable, UpstreamClient
 from topazbank.core.gossip_transport import GossipAddresses, GossipTransport
 from topazbank.core.listener import Listener
 from topazbank.core.net import Address
@@ -70,6 +71,7 @@
 from topazbank.core.request_rules import DenialReason, RequestRules
 from topazbank.core.timers import Timer, Timers
 from topazbank.core.trace import Trace
+from topazbank.core.upstream_client import ConnectionLimit, UpstreamClient
 from topazbank.estimation.fleet_size import FleetSize
 from topazbank.operations.drain import Drain
 
--- a/topazbank/core/endpoint_watcher.py
+++ b/topazbank/core/endpoint_watcher.py
@@ -22,7 +22,8 @@
     ProtocolDefaults,
     SourceStatus,
 )
-from topazbank.core.endpoints import HTTP, EndpointTable
+from topazbank.core.endpoint_table import EndpointTable
+from topazbank.core.endpoints import HTTP
 from topazbank.core.net import Address
 
 log = logging.getLogger(__name__)
--- a/topazbank/http/client.py
+++ b/topazbank/http/client.py
@@ -15,12 +15,14 @@
 
 from topazbank.balancing.events import Outcome, ServerState
 from topazbank.balancing.settings import Idempotency
+from topazbank.core.attempts import Attempt, AttemptDeadlines
 from topazbank.core.body import ResponseStream
 from topazbank.core.call import BUFFERED_BODY_BYTES_MAX, Call, OutcomeCallback, Response
-from topazbank.core.endpoints import Attempt, AttemptDeadlines, ConnectionLimit, Endpoint
+from topazbank.core.endpoints import Endpoint
 from topazbank.core.net import is_connected, new_socket
 from topazbank.core.reports import parse_health_report, parse_report
 from topazbank.core.timers import Timer, Timers
+from topazbank.core.upstream_client import ConnectionLimit
 from topazbank.http.connection import ABOUT_BODY, Connection, HttpResponse, connect, message
 
 log = logging.getLogger(__name__)
--- a/topazbank/msgpackrpc/client.py
+++ b/topazbank/msgpackrpc/client.py
@@ -19,8 +19,9 @@
 
 from topazbank.balancing.events import Outcome, ServerState
 from topazbank.balancing.settings import Idempotency
+from topazbank.core.attempts import Attempt, AttemptDeadlines
 from topazbank.core.call import Call, OutcomeCallback
-from topazbank.core.endpoints import Attempt, AttemptDeadlines, ConnectionLimit, Endpoint
+from topazbank.core.endpoints import Endpoint
 from topazbank.core.net import (
     SharedBufferProtocol,
     has_nothing_unread,
@@ -29,6 +30,7 @@
     peer_has_closed,
 )
 from topazbank.core.timers import Timers
+from topazbank.core.upstream_client import ConnectionLimit
 from topazbank.msgpackrpc.codec import MSGID_MOST, Decoder, Junk, Reply, encode_request
 from topazbank.msgpackrpc.mapping import LIVE, STATS, read_reply, write_call
 
--- a/topazbank/wiring.py
+++ b/topazbank/wiring.py
@@ -11,9 +11,10 @@
 from topazbank.core.client_connection import ConnectionFactory
 from topazbank.core.driver import ClusterMembership, Components, RequestObserver, SidecarConfig
 from topazbank.core.endpoint_source import EndpointList, EndpointSource, ProtocolDefaults
-from topazbank.core.endpoints import HTTP, MSGPACK_RPC, ConnectionLimit, UpstreamClient
+from topazbank.core.endpoints import HTTP, MSGPACK_RPC
 from topazbank.core.net import Address
 from topazbank.core.trace import Trace
+from topazbank.core.upstream_client import ConnectionLimit, UpstreamClient
 from topazbank.discovery.combined import CombinedSource
 from topazbank.discovery.registry import RegistrySource
 from topazbank.estimation.fleet_size import FleetSize
