--- a/benchmarks/list_hold.py
+++ b/benchmarks/list_hold.py
@@ -22,9 +22,10 @@
 from benchmarks.forward_cost import SETTINGS
 from topazbank.balancing import balancer
 from topazbank.balancing.events import EndpointsUpdated, ServerDescription, ServerState, UpdateKind
-from topazbank.core.driver import Sidecar, SidecarConfig
+from topazbank.core.components import SidecarConfig
 from topazbank.core.endpoint_list import BATCH_SIZE
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList
+from topazbank.core.sidecar import Sidecar
 from topazbank.discovery import zkclient, zkwire
 from topazbank.discovery.merge import Merge
 from topazbank.discovery.roster import Registration, Roster
--- a/benchmarks/notification_delay.py
+++ b/benchmarks/notification_delay.py
@@ -21,8 +21,9 @@
 from testbed.wire import HTTP, Asked, Reply
 from testbed.zookeeper import Ensemble
 from topazbank.balancing.events import ServerState
-from topazbank.core.driver import Sidecar, SidecarConfig
+from topazbank.core.components import SidecarConfig
 from topazbank.core.endpoint_source import EndpointList
+from topazbank.core.sidecar import Sidecar
 from topazbank.discovery.registrar import Registrar, Standing
 from topazbank.discovery.roster import Registration
 from topazbank.discovery.zkclient import Ensemble as Where
--- a/testbed/fleet/calling.py
+++ b/testbed/fleet/calling.py
@@ -14,7 +14,7 @@
 from testbed.fleet.invariants import Called, Word
 from testbed.wire import HTTP, Address
 from topazbank.balancing.events import ServerState
-from topazbank.core.driver import Components, SidecarConfig
+from topazbank.core.components import Components, SidecarConfig
 from topazbank.core.endpoint_source import EndpointList
 
 KINDS, MIX = ("check", "amend", "lodge"), (6, 1, 3)
--- a/testbed/fleet/harness.py
+++ b/testbed/fleet/harness.py
@@ -19,8 +19,9 @@
 from testbed.wire import HTTP, MSGPACK_RPC, Address, Asked
 from testbed.zookeeper import Ensemble
 from topazbank.balancing.events import ServerDescription, ServerState
-from topazbank.core.driver import Sidecar, SidecarConfig
+from topazbank.core.components import SidecarConfig
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, SourceStatus
+from topazbank.core.sidecar import Sidecar
 from topazbank.discovery.registrar import Registrar
 from topazbank.discovery.registrar import Standing as NodeStanding
 from topazbank.discovery.roster import Registration
@@ -267,7 +268,7 @@
                 each.address,
                 each.protocol,
             )
-            for each in process.sidecar._endpoints.endpoints.values()
+            for each in process.sidecar._endpoint_table.endpoints.values()
             if (server := process.sidecar._balancer._servers[each.name])
         ]
         process.stop.set()
--- a/testbed/fleet/synthetic_peers.py
+++ b/testbed/fleet/synthetic_peers.py
@@ -36,7 +36,8 @@
 from topazbank.balancing.events import EndpointsUpdated, Event
 from topazbank.balancing.settings import Settings
 from topazbank.core.bounds import Fleet, bounds
-from topazbank.core.driver import Sidecar, SidecarConfig
+from topazbank.core.components import SidecarConfig
+from topazbank.core.sidecar import Sidecar
 from topazbank.core.trace import Trace
 from topazbank.discovery.list_format import parse_list
 from topazbank.operator_config import OperatorConfig
@@ -129,7 +130,7 @@
             for connection in sidecar.listener.connections:
                 connection.abort()
             sidecar.endpoint_watcher.source.stop()
-            await sidecar._endpoints.close()
+            await sidecar._endpoint_table.close()
         await asyncio.sleep(0)
 
     def load(self) -> None:
@@ -165,7 +166,7 @@
             self._callers[number] = caller
 
     def told(self) -> dict[str, int]:
-        open_now = [sidecar._endpoints.connection_limit.open_count for sidecar, _ in self._lives]
+        open_now = [sidecar._endpoint_table.connection_limit.open_count for sidecar, _ in self._lives]
         return dict(self.counts) | {"open": sum(open_now), "most open": max(open_now, default=0)}
 
 
--- a/testbed/fleet/worker.py
+++ b/testbed/fleet/worker.py
@@ -16,7 +16,8 @@
 
 from testbed.fleet.calling import Clients, Ears, now
 from testbed.wire import Address
-from topazbank.core.driver import Sidecar, SidecarConfig
+from topazbank.core.components import SidecarConfig
+from topazbank.core.sidecar import Sidecar
 from topazbank.discovery.list_format import parse_list
 from topazbank.operator_config import MsgpackRpc, OperatorConfig, Planning
 from topazbank.planning.forwarder import Forwarding
--- a/tests/cluster/test_service.py
+++ b/tests/cluster/test_service.py
@@ -13,7 +13,7 @@
 from topazbank.cluster.__main__ import table
 from topazbank.cluster.service import HEARD_MOST, LINES_MOST, ClusterService
 from topazbank.cluster.wire import Kind, Message, encode
-from topazbank.core.driver import SidecarConfig
+from topazbank.core.components import SidecarConfig
 from topazbank.core.endpoint_source import EndpointList
 from topazbank.core.gossip_transport import GossipAddresses
 from topazbank.core.net import Address
--- a/tests/discovery/test_zookeeper.py
+++ b/tests/discovery/test_zookeeper.py
@@ -16,7 +16,7 @@
 from testbed.zookeeper.jute import OPEN
 from testbed.zookeeper.tree import Asker, Draft
 from topazbank.balancing.events import ServerState
-from topazbank.core.driver import SidecarConfig
+from topazbank.core.components import SidecarConfig
 from topazbank.core.endpoint_source import EndpointList
 from topazbank.discovery.registrar import Registrar, Standing
 from topazbank.discovery.roster import Registration
@@ -117,7 +117,9 @@
         async with stage(served, served) as s:
             for number in range(10):
                 assert (await s.w.ask(X_Call_Id=f"c-{number}"))[0] == 200
-            assert {each.protocol for each in s.w.sidecar._endpoints.endpoints.values()} == {pair().nodes}
+            assert {each.protocol for each in s.w.sidecar._endpoint_table.endpoints.values()} == {
+                pair().nodes
+            }
             assert not s.w.discovery.targets  # the registry is not asked
 
     play(scene())
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -18,8 +18,9 @@
 from helpers import KEYED, SAFE, UNSAFE, S, settings
 
 from testbed.wire import HTTP, MSGPACK_RPC, Asked, Listening, Reply, pack, read_http, read_rpc, reset
-from topazbank.core.driver import Sidecar, SidecarConfig
+from topazbank.core.components import SidecarConfig
 from topazbank.core.net import Address
+from topazbank.core.sidecar import Sidecar
 from topazbank.discovery.list_format import parse_list
 from topazbank.operator_config import Membership, MsgpackRpc, OperatorConfig
 from topazbank.wiring import wire
--- a/tests/msgpackrpc/simulated.py
+++ b/tests/msgpackrpc/simulated.py
@@ -20,11 +20,13 @@
 from topazbank.balancing.actions import CancelAttempt
 from topazbank.balancing.events import Outcome, ServerDescription, ServerState
 from topazbank.balancing.settings import Settings
-from topazbank.core.driver import Clock, Components, Sidecar, SidecarConfig
+from topazbank.core.clock import Clock
+from topazbank.core.components import Components, SidecarConfig
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, ProtocolDefaults, SourceStatus
 from topazbank.core.endpoints import MSGPACK_RPC
 from topazbank.core.listener import Listener
 from topazbank.core.net import Address
+from topazbank.core.sidecar import Sidecar
 from topazbank.core.upstream_client import ConnectionLimit, UpstreamClient
 from topazbank.http.server import HttpConnection
 from topazbank.msgpackrpc.client import RpcNodeConnection, RpcUpstreamClient, Sharing
@@ -362,12 +364,12 @@
 
     def give_up(self, index: int) -> None:
         """Stop waiting for an attempt of a request that is open, as the decision module does with a silent one."""
-        lives = [live for live in self.sidecar._live.values() if live.attempts and not live.answered]
+        lives = [live for live in self.sidecar._requests.live.values() if live.attempts and not live.answered]
         lives = [live for live in lives if live.call.request_class.name != "pay"]
         if lives:
             live = lives[index % len(lives)]
             self.sidecar._balancer._extra = 5.0  # so that its end draws again
-            self.sidecar._cancel(CancelAttempt(live.request, next(iter(live.attempts))))
+            self.sidecar._requests._cancel(CancelAttempt(live.number, next(iter(live.attempts))))
 
     def drain(self, node: Node) -> None:
         node.drained = True
@@ -392,7 +394,7 @@
         ran = Counter(ident for node in self.nodes for ident in node.ran)
         twice = [ident for ident, count in ran.items() if count > 1 and ident.startswith("pay")]
         self.check(not twice, f"run twice: {twice}")
-        self.check(not self.sidecar._live, "a request is kept after its end")
+        self.check(not self.sidecar._requests.live, "a request is kept after its end")
 
     def close(self) -> None:
         self._listener._sock.close()
--- a/tests/msgpackrpc/test_front.py
+++ b/tests/msgpackrpc/test_front.py
@@ -249,9 +249,9 @@
             one.writer.write(b"".join(call(n, kinds[n % 2], body=b"x" * (n % 2 == 0)) for n in range(40)))
             await until(lambda: len(w.sent()) == 40)
             one.close()
-            await until(lambda: not w.sidecar._live and not w.sidecar.listener.connections)
+            await until(lambda: not w.sidecar._requests.live and not w.sidecar.listener.connections)
             await until(
-                lambda: not w.sidecar._endpoints.connection_limit.open_count
+                lambda: not w.sidecar._endpoint_table.connection_limit.open_count
             )  # given up means that connections are closed
 
     play(scene())
@@ -293,7 +293,7 @@
             slow.send(b"".join(call(n) for n in range(100)))
             await until(w.sent)
             assert await still_serves(w)
-            await until(lambda: not w.sidecar.listener.connections and not w.sidecar._live)
+            await until(lambda: not w.sidecar.listener.connections and not w.sidecar._requests.live)
             assert RpcConnection._waiting_in_all == 0
             slow.close()
 
--- a/tests/msgpackrpc/test_third_party.py
+++ b/tests/msgpackrpc/test_third_party.py
@@ -11,7 +11,8 @@
 from loopback import CLASSES, LIMITS, Pair, answer, ask, play, request, until, use, world
 
 from testbed.wire import HTTP, MSGPACK_RPC
-from topazbank.core.driver import Sidecar, SidecarConfig
+from topazbank.core.components import SidecarConfig
+from topazbank.core.sidecar import Sidecar
 from topazbank.discovery.list_format import parse_list
 from topazbank.operator_config import MsgpackRpc, OperatorConfig
 from topazbank.wiring import wire
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -211,7 +211,7 @@
             await until(w.sent)
             leaving.close()
             await until(lambda: w.servers[0].closed == 1)
-            assert not w.sidecar._live  # the late outcome reached the module, and nothing is kept
+            assert not w.sidecar._requests.live  # the late outcome reached the module, and nothing is kept
 
     play(scene())
 
@@ -255,7 +255,9 @@
                 assert (await w.ask())[0] == 200
             assert len(w.servers[0].writers) == 9
             await until(lambda: w.servers[0].closed == 5)
-            assert w.sidecar._endpoints.connection_limit.open_count == 4  # all that the descriptors allow
+            assert (
+                w.sidecar._endpoint_table.connection_limit.open_count == 4
+            )  # all that the descriptors allow
 
     play(scene())
 
@@ -288,7 +290,7 @@
     async def scene() -> None:
         async with world(served) as w:
             assert (await w.ask(kind="pay", body=b"x"))[0] == 200
-            connection = w.sidecar._endpoints.endpoints["s-0"].pool.idle[0][0]
+            connection = w.sidecar._endpoint_table.endpoints["s-0"].pool.idle[0][0]
             writer = w.servers[0].writers[0]
             if how == "end":
                 raw = writer.get_extra_info("socket")
@@ -313,7 +315,7 @@
         async with world(served, limits=limits) as w:
             assert (await w.ask())[0] == 200
             loop = asyncio.get_running_loop()
-            timer = w.sidecar._endpoints.endpoints["s-0"].pool.idle[0][1]
+            timer = w.sidecar._endpoint_table.endpoints["s-0"].pool.idle[0][1]
             assert timer.when() - loop.time() < 0.95
             await until(lambda: w.servers[0].closed == 1)
 
@@ -496,8 +498,8 @@
                 forgotten = loop.time() + 1.0
                 host, port = listener.getsockname()
                 w.discovery.say(42, [w.servers[0].entry(name="s-slow", address=f"{host}:{port}")])
-                await until(lambda: "s-slow" in w.sidecar._endpoints.endpoints)
-                (live,) = w.sidecar._live.values()
+                await until(lambda: "s-slow" in w.sidecar._endpoint_table.endpoints)
+                (live,) = w.sidecar._requests.live.values()
                 w.servers[0].answer_held(answer(500, b""))
                 await until(lambda: live.attempts_sent == 2)
                 await asyncio.sleep(forgotten - loop.time() + 0.1)
@@ -514,7 +516,7 @@
     async def scene() -> None:
         async with world(hung) as w:
             status, _, _ = await w.ask(kind="pay", body=b"x", budget=budget)
-            await until(lambda: not w.sidecar._live)
+            await until(lambda: not w.sidecar._requests.live)
             await asyncio.sleep(0.1)  # what left is at the node by then
             seen = len(w.sent())
             assert status == (500 if seen else 503)  # a refusal is right where nothing left
@@ -626,13 +628,16 @@
         limits = {"max_attempts": 3, "cancellation": False, "connect_timeout_us": 600 * S}
         with deaf() as address:
             async with world(served, limits=limits) as w:
-                w.sidecar._endpoints.update("s-0", address, None, ServerState.READY, pair().nodes)
+                w.sidecar._endpoint_table.update("s-0", address, None, ServerState.READY, pair().nodes)
                 leaving = await client(w.sidecar.listener.address)
                 leaving.send(request("pay", body=b"x", budget="600"))
-                await until(lambda: w.sidecar._endpoints.connection_limit.open_count == 1)
+                await until(lambda: w.sidecar._endpoint_table.connection_limit.open_count == 1)
                 leaving.close()
                 await until(
-                    lambda: not w.sidecar._live and not w.sidecar._endpoints.connection_limit.open_count
+                    lambda: (
+                        not w.sidecar._requests.live
+                        and not w.sidecar._endpoint_table.connection_limit.open_count
+                    )
                 )
 
     play(scene())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -55,7 +55,7 @@
             assert not first.requests
             w.discovery.say(43, [first.entry()], snapshot=True)  # who is missing is gone
             await until(lambda: "s-1" not in states)
-            assert set(w.sidecar._endpoints.endpoints) == {"s-0"}
+            assert set(w.sidecar._endpoint_table.endpoints) == {"s-0"}
             seen = len(second.requests)
             for _ in range(10):
                 assert (await w.ask())[0] == 200
@@ -460,7 +460,9 @@
             await until(lambda: old.closed == 1)
             w.discovery.say(43, [new, old.entry()], snapshot=True)
             await until(lambda: len(w.discovery.targets) == 3)
-            assert list(w.sidecar._balancer._servers) == list(w.sidecar._endpoints.endpoints) == ["s-new"]
+            assert (
+                list(w.sidecar._balancer._servers) == list(w.sidecar._endpoint_table.endpoints) == ["s-new"]
+            )
             assert (await w.ask())[0] == 200 and len(old.writers) == 2
 
     play(scene())
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -40,7 +40,7 @@
     """Whether the nodes' logs hold this many requests for good."""
     await asyncio.sleep(AFTER_S)
     assert len(w.sent()) == seen
-    await until(lambda: not w.sidecar._live)
+    await until(lambda: not w.sidecar._requests.live)
 
 
 async def held_unread(w: World, one: Client) -> None:
@@ -116,7 +116,7 @@
             for server in w.servers:
                 server.answer_held(FULL)  # it may come before the client's end, or after
             seen = len(w.sent())
-            await until(lambda: not w.sidecar._live)
+            await until(lambda: not w.sidecar._requests.live)
             seen = max(seen, min(len(w.sent()), 2))  # sent again before the end came is no fault
             await none_more(w, seen)
 
@@ -133,10 +133,10 @@
         with full() as (listener, fillers):
             async with world(silent, limits=limits) as w:
                 address = listener.getsockname()
-                w.sidecar._endpoints.update("s-0", address, None, ServerState.READY, pair().nodes)
+                w.sidecar._endpoint_table.update("s-0", address, None, ServerState.READY, pair().nodes)
                 one = await client(w.sidecar.listener.address)
                 one.send(request("pay", body=b"x"))
-                await until(lambda: w.sidecar._endpoints.connection_limit.open_count == 1)
+                await until(lambda: w.sidecar._endpoint_table.connection_limit.open_count == 1)
                 if unread:
                     connection = next(iter(w.sidecar.listener.connections))
                     assert connection._transport is not None
@@ -144,9 +144,9 @@
                 leave(one)
                 await asyncio.sleep(0.05)
                 assert not await heard_at(listener, fillers)
-                await until(lambda: not w.sidecar._live)
+                await until(lambda: not w.sidecar._requests.live)
                 # A connection that others may share is kept.
-                assert not w.sent() and w.sidecar._endpoints.connection_limit.open_count <= (
+                assert not w.sent() and w.sidecar._endpoint_table.connection_limit.open_count <= (
                     pair().nodes != HTTP
                 )
 
@@ -164,7 +164,7 @@
             first.send(request("pay", body=b"x", X_Call_Id="first"))
             await until(w.sent)
             second.send(request("pay", body=b"y", X_Call_Id="second"))
-            await until(lambda: len(w.sidecar._live) == 2)
+            await until(lambda: len(w.sidecar._requests.live) == 2)
             for each in w.sidecar.listener.connections:
                 if each._transport is not None:
                     each._transport.pause_reading()
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -227,7 +227,7 @@
             # Over the other protocol calls that come so late are refused: their clients keep their connections.
             assert (await waiting.answer())[0] == (200 if pair().client == HTTP else 503)
             waiting.close()
-            await asyncio.wait_for(w.sidecar._over.wait(), PATIENCE_S)
+            await asyncio.wait_for(w.sidecar._drained.wait(), PATIENCE_S)
 
     play(scene())
 
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -187,7 +187,7 @@
             monkeypatch.setattr(w.sidecar._balancer, "handle", faulty)
             assert (await w.ask(kind="pay", body=b"x"))[0] == 500
             assert (await w.ask())[0] == 200
-            assert not w.sidecar._live
+            assert not w.sidecar._requests.live
 
     play(scene())
 
@@ -197,11 +197,11 @@
 def test_a_defect_in_carrying_out_fails_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            monkeypatch.setattr(w.sidecar._endpoints, "send", None)
+            monkeypatch.setattr(w.sidecar._endpoint_table, "send", None)
             assert (await w.ask(kind="pay", body=b"x"))[0] == 500
             monkeypatch.undo()
             assert (await w.ask())[0] == 200
-            assert not w.sidecar._live
+            assert not w.sidecar._requests.live
 
     play(scene())
 
@@ -221,7 +221,7 @@
     async def scene() -> None:
         async with world() as w:
             emitted = {kind for kind in get_args(Action) if kind.__name__ in vars(balancer)}
-            assert len(emitted) > 5 and emitted <= set(w.sidecar._carry)
+            assert len(emitted) > 5 and emitted <= set(w.sidecar._driver._carry_out)
 
     play(scene())
 
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -15,7 +15,7 @@
 
 from topazbank.balancing.events import ServerDescription
 from topazbank.config import check_tier
-from topazbank.core.driver import SidecarConfig
+from topazbank.core.components import SidecarConfig
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, ProtocolDefaults
 from topazbank.core.endpoints import HTTP, MSGPACK_RPC
 from topazbank.core.gossip_transport import GossipAddresses
--- a/topazbank/__main__.py
+++ b/topazbank/__main__.py
@@ -17,7 +17,8 @@
 from types import FrameType
 
 from topazbank.config import BAD_CONFIG, check_tier, read_config
-from topazbank.core.driver import Components, Sidecar, SidecarConfig
+from topazbank.core.components import Components, SidecarConfig
+from topazbank.core.sidecar import Sidecar
 from topazbank.operations.service import Service
 from topazbank.operator_config import OperatorConfig, read_operator_config
 from topazbank.wiring import wire
--- a/topazbank/cluster/service.py
+++ b/topazbank/cluster/service.py
@@ -16,7 +16,7 @@
 from topazbank.cluster.rules import Rules
 from topazbank.cluster.view import Answer, View
 from topazbank.cluster.wire import BadMessage, decode, encode
-from topazbank.core.driver import SidecarConfig
+from topazbank.core.components import SidecarConfig
 from topazbank.core.net import Address
 from topazbank.estimation.fleet_size import FleetSize
 from topazbank.operator_config import Tiering
--- a/topazbank/config.py
+++ b/topazbank/config.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from topazbank.core.driver import SidecarConfig
+from topazbank.core.components import SidecarConfig
 from topazbank.core.endpoint_source import EndpointList
 from topazbank.core.gossip_transport import GossipAddresses
 from topazbank.core.net import Address, parse_address
--- a/topazbank/operations/service.py
+++ b/topazbank/operations/service.py
@@ -9,7 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from topazbank.core.driver import Components, Sidecar, SidecarConfig
+from topazbank.core.components import Components, SidecarConfig
+from topazbank.core.sidecar import Sidecar
 from topazbank.discovery.list_format import list_to_json, parse_list
 from topazbank.operations.admin_api import AdminApi, Calls
 from topazbank.operations.handover import Handover, inherit
@@ -39,9 +40,9 @@
         self.sidecar = Sidecar(
             config,
             wiring,
-            clients=self._before.clients,
-            peers=self._before.peers,
-            tier=tier if isinstance(tier, dict) else None,
+            client_socket=self._before.clients,
+            gossip_socket=self._before.peers,
+            cluster_state=tier if isinstance(tier, dict) else None,
         )
         self._handover = None
         if path is not None:
@@ -84,7 +85,7 @@
 
     def _snapshot(self) -> Mapping[str, Any]:
         """What the next process is told."""
-        known = self.sidecar.endpoints
+        known = self.sidecar.endpoint_list
         clients, nodes = self.sidecar.open_connections
         told = {"list": list_to_json(known.version, known.entries), "clients": clients, "nodes": nodes}
         return told | ({"tier": self.sidecar.cluster_state} if self.sidecar.cluster_state else {})
--- a/topazbank/planning/forwarder.py
+++ b/topazbank/planning/forwarder.py
@@ -20,7 +20,7 @@
 
 
 class Forwarding:
-    """One forwarder's part in planning (topazbank.core.driver.Observer)."""
+    """One forwarder's part in planning (topazbank.core.components.RequestObserver)."""
 
     def __init__(self, name: str, planners: Sequence[Address], now: Callable[[], int], seed: int) -> None:
         self._random = random.Random(seed)
--- a/topazbank/planning/server.py
+++ b/topazbank/planning/server.py
@@ -19,7 +19,7 @@
 import msgpack
 
 from topazbank.balancing.events import ServerState
-from topazbank.core.driver import Clock
+from topazbank.core.clock import Clock
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, EndpointSource
 from topazbank.core.net import Address
 from topazbank.operator_config import ZOOKEEPER, OperatorConfig, read_operator_config
--- a/topazbank/wiring.py
+++ b/topazbank/wiring.py
@@ -9,7 +9,7 @@
 
 from topazbank.balancing.settings import Settings
 from topazbank.core.client_connection import ConnectionFactory
-from topazbank.core.driver import ClusterMembership, Components, RequestObserver, SidecarConfig
+from topazbank.core.components import ClusterMembership, Components, RequestObserver, SidecarConfig
 from topazbank.core.endpoint_source import EndpointList, EndpointSource, ProtocolDefaults
 from topazbank.core.endpoints import HTTP, MSGPACK_RPC
 from topazbank.core.net import Address
