--- a/benchmarks/notification_delay.py
+++ b/benchmarks/notification_delay.py
@@ -21,8 +21,9 @@
 from testbed.wire import HTTP, Asked, Reply
 from testbed.zookeeper import Ensemble
 from topazbank.balancing.events import ServerState
-from topazbank.core.driver import Sidecar, SidecarConfig
+from topazbank.core.components import SidecarConfig
 from topazbank.core.endpoint_source import EndpointList
+from topazbank.core.sidecar import Sidecar
 from topazbank.discovery.registrar import Registrar, Standing
 from topazbank.discovery.roster import Registration
 from topazbank.discovery.zkclient import Ensemble as Where
@@ -96,7 +97,7 @@
 
     everyone = {lodge.name for lodge, _ in nodes}
     await until(lambda: ready() == everyone)
-    tasks += [asyncio.create_task(load(sidecar.frontend.address, number)) for number in range(CALLERS)]
+    tasks += [asyncio.create_task(load(sidecar.listener.address, number)) for number in range(CALLERS)]
     took: dict[str, list[float]] = {"deleted": [], "leaving": []}
     changed: deque[int] = deque(maxlen=NODES - 6)
     loop = asyncio.get_running_loop()
--- a/testbed/fleet/worker.py
+++ b/testbed/fleet/worker.py
@@ -16,7 +16,8 @@
 
 from testbed.fleet.calling import Clients, Ears, now
 from testbed.wire import Address
-from topazbank.core.driver import Sidecar, SidecarConfig
+from topazbank.core.components import SidecarConfig
+from topazbank.core.sidecar import Sidecar
 from topazbank.discovery.list_format import parse_list
 from topazbank.operator_config import MsgpackRpc, OperatorConfig, Planning
 from topazbank.planning.forwarder import Forwarding
@@ -78,7 +79,7 @@
         rate = self.spec.rate * len(self.sidecars)
         self._loading = asyncio.get_running_loop().create_task(
             self.clients.load(
-                rate, self._over, lambda: numbers, lambda number: self.sidecars[number].frontend.address
+                rate, self._over, lambda: numbers, lambda number: self.sidecars[number].listener.address
             )
         )
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -18,8 +18,9 @@
 from helpers import KEYED, SAFE, UNSAFE, S, settings
 
 from testbed.wire import HTTP, MSGPACK_RPC, Asked, Listening, Reply, pack, read_http, read_rpc, reset
-from topazbank.core.driver import Sidecar, SidecarConfig
+from topazbank.core.components import SidecarConfig
 from topazbank.core.net import Address
+from topazbank.core.sidecar import Sidecar
 from topazbank.discovery.list_format import parse_list
 from topazbank.operator_config import Membership, MsgpackRpc, OperatorConfig
 from topazbank.wiring import wire
@@ -259,7 +260,7 @@
         return [request for server in self.servers for request in server.requests]
 
     async def ask(self, **changes: Any) -> tuple[int, Head, bytes]:
-        return await ask(self.sidecar.frontend.address, request(**changes))
+        return await ask(self.sidecar.listener.address, request(**changes))
 
 
 # As the stage has them, with time enough for a slow machine.
@@ -292,7 +293,9 @@
     await until(lambda: made.sidecar._balancer._started)
     try:
         yield made
-        broken = {name: count for name, count in made.sidecar.counters.show()["violations"].items() if count}
+        broken = {
+            name: count for name, count in made.sidecar.counters.as_mapping()["violations"].items() if count
+        }
         assert not broken, f"promises broken at run time: {broken}"
     finally:
         running.cancel()
--- a/tests/msgpackrpc/simulated.py
+++ b/tests/msgpackrpc/simulated.py
@@ -20,11 +20,14 @@
 from topazbank.balancing.actions import CancelAttempt
 from topazbank.balancing.events import Outcome, ServerDescription, ServerState
 from topazbank.balancing.settings import Settings
-from topazbank.core.driver import Clock, Components, Sidecar, SidecarConfig
+from topazbank.core.clock import Clock
+from topazbank.core.components import Components, SidecarConfig
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, ProtocolDefaults, SourceStatus
-from topazbank.core.endpoints import MSGPACK_RPC, ConnectionLimit, UpstreamClient
+from topazbank.core.endpoints import MSGPACK_RPC
 from topazbank.core.listener import Listener
 from topazbank.core.net import Address
+from topazbank.core.sidecar import Sidecar
+from topazbank.core.upstream_client import ConnectionLimit, UpstreamClient
 from topazbank.http.server import HttpConnection
 from topazbank.msgpackrpc.client import RpcNodeConnection, RpcUpstreamClient, Sharing
 from topazbank.msgpackrpc.server import RpcConnection
@@ -227,7 +230,7 @@
     """A client's connection: it notes each response and checks that it is its call's own."""
 
     def __init__(self, world: Played, room: int = _NO_END) -> None:
-        self.connection = RpcConnection(world.sidecar.frontend, world.quiet)
+        self.connection = RpcConnection(world.sidecar.listener.table, world.quiet)
         super().__init__(self.connection, room)
         self.world = world
         self.unpacker = msgpack.Unpacker(raw=False)
@@ -282,7 +285,7 @@
 
 
 class _NoSource:
-    def follow(self, wanted: bool) -> None: ...
+    def watch(self, wanted: bool) -> None: ...
 
     def fetch(self) -> None: ...
 
@@ -290,7 +293,7 @@
 
     def stop(self) -> None: ...
 
-    def standing(self) -> tuple[SourceStatus, ...]:
+    def status(self) -> tuple[SourceStatus, ...]:
         return ()
 
     def source_of(self, name: str) -> str:
@@ -335,11 +338,11 @@
             RpcConnection,
             carriers,
             lambda *_: _NoSource(),
-            dialects=ProtocolDefaults(MSGPACK_RPC),
+            protocol_defaults=ProtocolDefaults(MSGPACK_RPC),
         )
         self.sidecar = Sidecar(config, wiring, Clock(lambda: int(loop.time() * 1e9)))
-        self.sidecar.server_list.begin(at_once=False)
-        self._frontend: Listener = self.sidecar.frontend
+        self.sidecar.endpoint_watcher.start(at_once=False)
+        self._listener: Listener = self.sidecar.listener
 
     def check(self, kept: bool, rule: str) -> None:
         if not kept:
@@ -361,17 +364,19 @@
 
     def give_up(self, index: int) -> None:
         """Stop waiting for an attempt of a request that is open, as the decision module does with a silent one."""
-        lives = [live for live in self.sidecar._live.values() if live.out and not live.answered]
-        lives = [live for live in lives if live.call.kind.name != "pay"]
+        lives = [live for live in self.sidecar._requests.live.values() if live.attempts and not live.answered]
+        lives = [live for live in lives if live.call.request_class.name != "pay"]
         if lives:
             live = lives[index % len(lives)]
             self.sidecar._balancer.retries.budget = 5.0  # so that its end draws again
-            self.sidecar._cancel(CancelAttempt(live.ident, next(iter(live.out))))
+            self.sidecar._requests._cancel(CancelAttempt(live.number, next(iter(live.attempts))))
 
     def drain(self, node: Node) -> None:
         node.drained = True
         server = ServerDescription(node.name, "east", "m", 1, ServerState.DRAINING)
-        self.sidecar.server_list.told(EndpointList(2, False, [DiscoveredServer(server, ("127.0.0.1", 9))]))
+        self.sidecar.endpoint_watcher.receive(
+            EndpointList(2, False, [DiscoveredServer(server, ("127.0.0.1", 9))])
+        )
 
     async def settle(self) -> None:
         """Let all time pass that anything may take, and judge."""
@@ -389,9 +394,9 @@
         ran = Counter(ident for node in self.nodes for ident in node.ran)
         twice = [ident for ident, count in ran.items() if count > 1 and ident.startswith("pay")]
         self.check(not twice, f"run twice: {twice}")
-        self.check(not self.sidecar._live, "a request is kept after its end")
+        self.check(not self.sidecar._requests.live, "a request is kept after its end")
 
     def close(self) -> None:
-        self._frontend._sock.close()
+        self._listener._sock.close()
         self.quiet.close()
         self._other.close()
--- a/topazbank/cluster/service.py
+++ b/topazbank/cluster/service.py
@@ -16,7 +16,7 @@
 from topazbank.cluster.rules import Rules
 from topazbank.cluster.view import Answer, View
 from topazbank.cluster.wire import BadMessage, decode, encode
-from topazbank.core.driver import SidecarConfig
+from topazbank.core.components import SidecarConfig
 from topazbank.core.net import Address
 from topazbank.estimation.fleet_size import FleetSize
 from topazbank.operator_config import Tiering
@@ -45,13 +45,13 @@
 
         `wall`: Unix milliseconds by the machine's clock, which may be set back between two lives.
         """
-        assert config.tier is not None
+        assert config.gossip is not None
         self._clock = clock
         self._others = others
         self._told = config.settings.fleet_size
         self._key = given.key.encode()
-        members = config.tier.members
-        listen = config.tier.listen
+        members = config.gossip.members
+        listen = config.gossip.listen
         number = members.index(listen) if listen in members else config.settings.instance
         self.name = given.name or str(number)
         self._names = {ident_of(self.name): self.name}
--- a/topazbank/wiring.py
+++ b/topazbank/wiring.py
@@ -8,12 +8,13 @@
 from typing import Any
 
 from topazbank.balancing.settings import Settings
-from topazbank.core.driver import ClusterMembership, Components, RequestObserver, SidecarConfig
+from topazbank.core.client_connection import ConnectionFactory
+from topazbank.core.components import ClusterMembership, Components, RequestObserver, SidecarConfig
 from topazbank.core.endpoint_source import EndpointList, EndpointSource, ProtocolDefaults
-from topazbank.core.endpoints import HTTP, MSGPACK_RPC, ConnectionLimit, UpstreamClient
-from topazbank.core.listener import ConnectionFactory
+from topazbank.core.endpoints import HTTP, MSGPACK_RPC
 from topazbank.core.net import Address
 from topazbank.core.trace import Trace
+from topazbank.core.upstream_client import ConnectionLimit, UpstreamClient
 from topazbank.discovery.combined import CombinedSource
 from topazbank.discovery.registry import RegistrySource
 from topazbank.estimation.fleet_size import FleetSize
@@ -80,7 +81,7 @@
             service.name,
             service.address_of,
             lambda: time.monotonic_ns() // 1000,
-            config.folder,
+            config.handover_folder,
             given.tier.key.encode(),
             given.ledger,
             given.store,
@@ -93,7 +94,7 @@
 
 def _source(membership: Membership, config: SidecarConfig, told: Hear) -> EndpointSource:
     return membership_source(
-        membership, config.discovery, told, config.known.version, config.seed, config.others
+        membership, config.discovery, told, config.cached_endpoints.version, config.seed, config.fleet_size
     )
 
 
