--- a/benchmarks/ensemble_scale.py
+++ b/benchmarks/ensemble_scale.py
@@ -27,9 +27,10 @@
 from testbed.zookeeper import Ensemble, jute
 from topazbank.core.endpoint_source import EndpointList
 from topazbank.core.net import Address, parse_address
-from topazbank.discovery.registrar import Registrar, Standing
-from topazbank.discovery.roster import Registration
-from topazbank.discovery.zkclient import Ensemble as Where
+from topazbank.discovery.registrar import Registrar, RegistrationState
+from topazbank.discovery.registration import Registration
+from topazbank.discovery.registration_view import Connectivity
+from topazbank.discovery.zkclient import EnsembleConfig
 from topazbank.discovery.zookeeper import ZooKeeperSource
 
 PATH = "/lodge/nodes"
@@ -101,13 +102,15 @@
     for number in range(count):
         address = ("127.0.0.1", 10_000 + number)
         registration = Registration(address, number % 7, "std", "a", "http", 1.0, f"life-{number}", 0)
-        made.append(Registrar(Where(members, SESSION_S), PATH, f"n-{number:05}", registration, seed=number))
+        made.append(
+            Registrar(EnsembleConfig(members, SESSION_S), PATH, f"n-{number:05}", registration, seed=number)
+        )
         made[-1].start()
         if number % 50 == 49:
             await asyncio.sleep(0.05)
     while True:
         await asyncio.sleep(0.2)
-        say(there=sum(each.standing is Standing.IN for each in made))
+        say(there=sum(each.state is RegistrationState.REGISTERED for each in made))
 
 
 async def clients_part(members: tuple[Address, ...], first: int, count: int) -> None:
@@ -118,12 +121,12 @@
 
     made = []
     for number in range(first, first + count):
-        made.append(ZooKeeperSource(Where(members, SESSION_S), PATH, told, number))
+        made.append(ZooKeeperSource(EnsembleConfig(members, SESSION_S), PATH, told, number))
         made[-1].follow(True)
     while True:
         await asyncio.sleep(0.2)
-        sizes = [len(each.roster.entries) - len(each.roster._unread) for each in made]
-        live = sum(each.roster.knowledge.value == "live" for each in made)
+        sizes = [len(each.view.nodes) - len(each.view._unread) for each in made]
+        live = sum(each.view.connectivity is Connectivity.CONNECTED for each in made)
         say(known=min(sizes), live=live, **used())
 
 
--- a/benchmarks/list_hold.py
+++ b/benchmarks/list_hold.py
@@ -26,8 +26,9 @@
 from topazbank.core.endpoint_list import STEP
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList
 from topazbank.discovery import zkclient, zkwire
-from topazbank.discovery.merge import Merge
-from topazbank.discovery.roster import Registration, Roster
+from topazbank.discovery.merge import SourceMerger
+from topazbank.discovery.registration import Registration
+from topazbank.discovery.registration_view import RegistrationView
 from topazbank.operator_config import OperatorConfig
 from topazbank.platform_names import settings_from_wire
 from topazbank.wiring import wire
@@ -150,9 +151,9 @@
 
 def roster(size: int) -> tuple[float, float]:
     """One node's new data, and the names read anew, in the ensemble's roster."""
-    kept = Roster()
+    kept = RegistrationView()
     names = [f"n-{number:05}" for number in range(size)]
-    kept.names_read(0.0, names, 1)
+    kept.names_listed(0.0, names, 1)
 
     def data(number: int, leaving: bool) -> bytes:
         address = (f"127.{number >> 16}.{number >> 8 & 255}.{number & 255}", 80)
@@ -167,38 +168,38 @@
         kept.node_read(0.0, names[changed], data(changed, number % 2 == 0), 1, 2 + number, 0)
 
     def listed(number: int) -> None:
-        kept.names_read(0.0, names, 2 + number)
+        kept.names_listed(0.0, names, 2 + number)
 
     return median_ms(change, ROUNDS), median_ms(listed, WHOLE_ROUNDS)
 
 
 def merge(size: int) -> tuple[float, float]:
     """One change and a turn's part of a whole list, among two sources."""
-    both = Merge(["zookeeper", "registry"])
+    both = SourceMerger(["zookeeper", "registry"])
     whole = lines(size)
     some = lines(min(size, STEP), ServerState.DRAINING)
-    both.told("zookeeper", EndpointList(1, True, whole))
-    both.told("registry", EndpointList(1, True, lines(size)))
+    both.update("zookeeper", EndpointList(1, True, whole))
+    both.update("registry", EndpointList(1, True, lines(size)))
     states = (ServerState.DRAINING, ServerState.READY)
 
     def change(number: int) -> None:
         line = whole[size // 2]
         server = lines_of_one(line.server, states[number % 2])
-        both.told("zookeeper", EndpointList(2, False, [DiscoveredServer(server, line.address)]))
+        both.update("zookeeper", EndpointList(2, False, [DiscoveredServer(server, line.address)]))
 
     def again(number: int) -> None:
-        both.told("zookeeper", EndpointList(2, False, whole[:STEP] if number % 2 else some))
+        both.update("zookeeper", EndpointList(2, False, whole[:STEP] if number % 2 else some))
 
     return median_ms(change, ROUNDS), median_ms(again, WHOLE_ROUNDS)
 
 
 def names_decoded(size: int) -> float:
     """A turn's part of the names below a path."""
-    data = zkwire.texts([f"n-{number:05}" for number in range(size)])
+    data = zkwire.encode_strings([f"n-{number:05}" for number in range(size)])
 
     def decode(number: int) -> None:
-        record = zkwire.Record(data)
-        record.texts(min(record.number(), zkclient._NAMES_A_STEP))
+        record = zkwire.RecordReader(data)
+        record.read_strings(min(record.read_int(), zkclient._NAMES_PER_TURN))
 
     return median_ms(decode, WHOLE_ROUNDS)
 
--- a/benchmarks/notification_delay.py
+++ b/benchmarks/notification_delay.py
@@ -23,9 +23,9 @@
 from topazbank.balancing.events import ServerState
 from topazbank.core.driver import Sidecar, SidecarConfig
 from topazbank.core.endpoint_source import EndpointList
-from topazbank.discovery.registrar import Registrar, Standing
-from topazbank.discovery.roster import Registration
-from topazbank.discovery.zkclient import Ensemble as Where
+from topazbank.discovery.registrar import Registrar, RegistrationState
+from topazbank.discovery.registration import Registration
+from topazbank.discovery.zkclient import EnsembleConfig
 from topazbank.operator_config import ZOOKEEPER, Membership, OperatorConfig, ZooKeeper
 from topazbank.platform_names import settings_from_wire
 from topazbank.wiring import wire
@@ -55,7 +55,7 @@
     return lodge, server
 
 
-def registrar(where: Where, server: LodgeServer) -> Registrar:
+def registrar(where: EnsembleConfig, server: LodgeServer) -> Registrar:
     registration = Registration(server.address, 1, "m", "a", HTTP, 1.0, server.lodge.name, 0)
     made = Registrar(where, PATH, server.lodge.name, registration)
     made.start()
@@ -80,7 +80,7 @@
     ensemble = Ensemble(3)
     await ensemble.start()
     members = ensemble.addresses
-    where = Where(members, 20.0)
+    where = EnsembleConfig(members, 20.0)
     nodes = [await node(number) for number in range(NODES)]
     registrars = [registrar(where, server) for _, server in nodes]
     operator = OperatorConfig(membership=Membership((ZOOKEEPER,), ZooKeeper(members, PATH, "", 20.0)))
@@ -113,17 +113,17 @@
         if kind == "deleted":
             registrars[index]._task.cancel()  # type: ignore[union-attr]
             began = loop.time()
-            ensemble.expire(registrars[index]._session.ident)
+            ensemble.expire(registrars[index]._session.session_id)
         else:
             began = loop.time()
-            await registrars[index].leave()
+            await registrars[index].drain()
         await asyncio.sleep(WATCH_S)
         late = [at for at in lodge.reached if at > began]
         took[kind].append((max(late) - began) if late else 0.0)
         await registrars[index].stop()
         await until(lambda name=lodge.name: name not in ready())
         registrars[index] = registrar(where, server)
-        await until(lambda index=index: registrars[index].standing is Standing.IN)
+        await until(lambda index=index: registrars[index].state is RegistrationState.REGISTERED)
         await until(lambda: ready() == everyone)
         if change % 20 == 19:
             print(f"{change + 1} of {changes} changes", file=sys.stderr, flush=True)
--- a/testbed/demo/__main__.py
+++ b/testbed/demo/__main__.py
@@ -29,8 +29,8 @@
 from testbed.wire import HTTP, MSGPACK_RPC, Address, Asked, place
 from testbed.zookeeper import Ensemble
 from topazbank.discovery.registrar import Registrar
-from topazbank.discovery.roster import Registration
-from topazbank.discovery.zkclient import Ensemble as Where
+from topazbank.discovery.registration import Registration
+from topazbank.discovery.zkclient import EnsembleConfig
 
 ROOT = Path(__file__).parent.parent.parent
 EXAMPLE = ROOT / "deploy" / "example.json"
@@ -103,7 +103,9 @@
             f"{lodge.name}-{server.started_ms}",
             server.started_ms,
         )
-        registrar = Registrar(Where(self.ensemble.addresses, SESSION_S), NODES, lodge.name, registration)
+        registrar = Registrar(
+            EnsembleConfig(self.ensemble.addresses, SESSION_S), NODES, lodge.name, registration
+        )
         self._registrars[lodge.name] = registrar
         registrar.start()
 
@@ -130,7 +132,7 @@
         """The node says that it leaves, and takes nothing new from half a second later on."""
         server = self.servers[name]
         if name in self._registrars:
-            self._leaving = asyncio.get_running_loop().create_task(self._registrars[name].leave())
+            self._leaving = asyncio.get_running_loop().create_task(self._registrars[name].drain())
         else:
             self.registry.put(server.entry(status="leaving"))
         asyncio.get_running_loop().call_later(0.5, server.drain)
--- a/testbed/fleet/harness.py
+++ b/testbed/fleet/harness.py
@@ -22,9 +22,9 @@
 from topazbank.core.driver import Sidecar, SidecarConfig
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, SourceStatus
 from topazbank.discovery.registrar import Registrar
-from topazbank.discovery.registrar import Standing as NodeStanding
-from topazbank.discovery.roster import Registration
-from topazbank.discovery.zkclient import Ensemble as Where
+from topazbank.discovery.registrar import RegistrationState as NodeState
+from topazbank.discovery.registration import Registration
+from topazbank.discovery.zkclient import EnsembleConfig
 from topazbank.operator_config import ZOOKEEPER, Membership, MsgpackRpc, OperatorConfig, Planning, ZooKeeper
 from topazbank.planning.election import Election
 from topazbank.planning.forwarder import Forwarding
@@ -115,7 +115,7 @@
         await self.ensemble.start()
         for number in range(self._count):
             await self.launch(f"n-{number}")
-        await until(lambda: all(each.standing is NodeStanding.IN for each in self.registrars.values()))
+        await until(lambda: all(each.state is NodeState.REGISTERED for each in self.registrars.values()))
         for number in range(len(self.planners)):
             await self.start_planner(number)
         for number in range(self._sidecars):
@@ -173,7 +173,9 @@
             f"{name}-{server.started_ms}",
             server.started_ms,
         )
-        registrar = Registrar(Where(self.ensemble.addresses, self._session_s), PATH, name, registration)
+        registrar = Registrar(
+            EnsembleConfig(self.ensemble.addresses, self._session_s), PATH, name, registration
+        )
         self.registrars[name] = registrar
         registrar.start()
 
@@ -185,7 +187,7 @@
 
     async def leave(self, name: str, after_s: float = 0.7) -> None:
         """The node says that it leaves, finishes what it holds and stops."""
-        await self.registrars[name].leave()
+        await self.registrars[name].drain()
         await asyncio.sleep(after_s)
         self.nodes[name].drain()
         await until(lambda: not self.nodes[name].lodge.held)
@@ -198,7 +200,7 @@
             self._fallen.append(name)
 
     def session_of(self, name: str) -> int:
-        return self.registrars[name]._session.ident
+        return self.registrars[name]._session.session_id
 
     def _list(self) -> list[DiscoveredServer]:
         """The nodes as a list from before a start."""
@@ -311,7 +313,11 @@
         self.planners[number] = server
         if not self._by_rank:
             election = Election(
-                Where(self.ensemble.addresses, self._session_s), "/lodge/planners", name, server.lead, number
+                EnsembleConfig(self.ensemble.addresses, self._session_s),
+                "/lodge/planners",
+                name,
+                server.lead,
+                number,
             )
             election.start()
             self.elections[number] = election
--- a/testbed/fleet/scenarios.py
+++ b/testbed/fleet/scenarios.py
@@ -29,7 +29,7 @@
 
 async def stale_list(rig: Rig, pace: float) -> None:
     """Watches are held back, so sidecars go by an old list: one node dies meanwhile, another leaves and ends."""
-    held = [each.session.ident for each in rig.sources()]
+    held = [each.session.session_id for each in rig.sources()]
     for ident in held:
         connection = rig.ensemble.connection_of(ident)
         assert connection is not None
@@ -80,10 +80,10 @@
 async def own_sessions_expire(rig: Rig, pace: float) -> None:
     """The sidecars' own sessions expire and are cut off; a node leaves meanwhile."""
     for each in rig.sources():
-        rig.ensemble.expire(each.session.ident)
+        rig.ensemble.expire(each.session.session_id)
     await rig.leave("n-5", after_s=0.5)
     for each in rig.sources():
-        connection = rig.ensemble.connection_of(each.session.ident)
+        connection = rig.ensemble.connection_of(each.session.session_id)
         if connection is not None:
             connection.stall()
     await asyncio.sleep(3 * pace)
@@ -157,7 +157,7 @@
     rig.ways[1, leader].heal()
     election = rig.elections[leader]
     if election is not None:
-        rig.ensemble.expire(election._session.ident)
+        rig.ensemble.expire(election._session.session_id)
         await until(lambda: rig.leader() not in (None, leader))
     rig.die("n-2")
     await asyncio.sleep(pace)
--- a/tests/discovery/test_combined.py
+++ b/tests/discovery/test_combined.py
@@ -1,4 +1,4 @@
-"""Several sources behind one: a source that can't say is asked again, at a pace, while others can."""
+"""Several sources combined: one that fails is retried at an interval while others answer."""
 
 from __future__ import annotations
 
@@ -15,12 +15,14 @@
 from topazbank.discovery.combined import CombinedSource
 from topazbank.discovery.registry import RegistrySource
 
+RETRY_S = 0.2
+FAILED_CALLS = 4
 
-class Silent:
-    """A source that is in touch and has nothing to tell."""
 
-    def __init__(self, told: Callable[[EndpointList | None], None]) -> None:
-        self.told = told
+class IdleSource:
+    """A source that is in contact and publishes nothing."""
+
+    def __init__(self, on_update: Callable[[EndpointList | None], None]) -> None: ...
 
     def follow(self, wanted: bool) -> None: ...
 
@@ -34,34 +36,42 @@
         return ()
 
     def source_of(self, name: str) -> str:
-        return "silent"
+        return "idle"
 
 
-@pytest.mark.parametrize("failing", [answer(503, b""), b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n{"])
-def test_a_registry_that_fails_is_asked_again_while_another_source_is_in_touch(
-    failing: bytes, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("failure", [answer(503, b""), b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n{"])
+def test_a_registry_that_fails_is_retried_at_an_interval_while_another_source_is_in_contact(
+    failure: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Nobody else asks: whoever listens hears of a failure only where no source can say.
-    monkeypatch.setattr(combined, "_AGAIN_S", 0.2)
+    """The registry answers with errors while ZooKeeper is in contact.
+
+    The receiver of the combined list learns of failures, and polls again, only when every source has failed.  Without a
+    retry of its own the registry would never be called again; without an interval it would be called in a busy loop.
+    """
+    monkeypatch.setattr(combined, "_RETRY_S", RETRY_S)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         service = FakeDiscovery()
         await service.start()
-        heard: list[EndpointList | None] = []
-        several = CombinedSource(
-            {"registry": lambda told: RegistrySource(service.address, 1, told), "other": Silent}, heard.append
+        updates: list[EndpointList | None] = []
+        source = CombinedSource(
+            {
+                "registry": lambda on_update: RegistrySource(service.address, 1, on_update),
+                "other": IdleSource,
+            },
+            updates.append,
         )
-        several.follow(True)
-        began = loop.time()
-        for _ in range(4):
-            service.answers.put_nowait(failing)
-        await until(lambda: service.called(5))
-        assert loop.time() - began >= 4 * 0.2  # not at once: it would be asked without a pause
+        source.follow(True)
+        started_at = loop.time()
+        for _ in range(FAILED_CALLS):
+            service.answers.put_nowait(failure)
+        await until(lambda: service.called(FAILED_CALLS + 1))
+        assert loop.time() - started_at >= FAILED_CALLS * RETRY_S
         service.say(7, [entry(status="leaving")])
-        await until(lambda: any(heard))
-        assert not several._calls
-        several.stop()
+        await until(lambda: any(updates))
+        assert not source._retry_timers
+        source.stop()
         service.stop()
 
-    play(scene())
+    play(scenario())
--- a/tests/discovery/test_merge.py
+++ b/tests/discovery/test_merge.py
@@ -1,76 +1,84 @@
-"""Several sources by precedence: whose word stands, and that gone stays gone."""
+"""Several sources by precedence: which source's endpoint is published, and that a removal lasts."""
 
 from __future__ import annotations
 
 from topazbank.balancing.events import ServerDescription, ServerState
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList
-from topazbank.discovery.merge import Merge
+from topazbank.discovery.merge import SourceMerger
 
-READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
+READY, DRAINING, REMOVED = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
 
 
-def line(name: str, state: ServerState = READY, port: int = 80) -> DiscoveredServer:
+def endpoint(name: str, state: ServerState = READY, port: int = 80) -> DiscoveredServer:
     return DiscoveredServer(ServerDescription(name, state=state), ("10.0.0.1", port), None)
 
 
-def whole(*lines: DiscoveredServer) -> EndpointList:
-    return EndpointList(1, True, list(lines))
+def snapshot(*endpoints: DiscoveredServer) -> EndpointList:
+    return EndpointList(1, True, list(endpoints))
 
 
-def changes(*lines: DiscoveredServer) -> EndpointList:
-    return EndpointList(2, False, list(lines))
+def delta(*endpoints: DiscoveredServer) -> EndpointList:
+    return EndpointList(2, False, list(endpoints))
 
 
-def read(told: EndpointList | None) -> dict[str, ServerState]:
-    assert told is not None
-    return {each.server.name: each.server.state for each in told.lines}
+def states(update: EndpointList | None) -> dict[str, ServerState]:
+    assert update is not None
+    return {line.server.name: line.server.state for line in update.lines}
 
 
-def test_the_list_begins_when_all_sources_have_spoken_or_can_t() -> None:
-    # Guards a move between sources: the first one's empty list must not take away what the other will tell.
-    merge = Merge(["zookeeper", "registry"])
-    assert merge.told("zookeeper", whole()) is None
-    first = merge.told("registry", whole(line("a"), line("b")))
-    assert first is not None and first.complete and read(first) == {"a": READY, "b": READY}
-    second = merge.told("zookeeper", changes(line("b", DRAINING), line("c")))
-    assert second is not None and not second.complete
-    assert read(second) == {"b": DRAINING, "c": READY}
-    assert (merge.source_of("a"), merge.source_of("b")) == ("registry", "zookeeper")
+def test_the_first_source_s_empty_snapshot_does_not_remove_what_the_second_is_about_to_list() -> None:
+    """An operator moves from the registry to ZooKeeper, where no node has registered yet.
 
+    Published at once, ZooKeeper's empty snapshot would remove every node until the registry has answered.  The merged
+    list begins once every source has a snapshot or has failed.
+    """
+    merger = SourceMerger(["zookeeper", "registry"])
+    assert merger.update("zookeeper", snapshot()) is None
+    first = merger.update("registry", snapshot(endpoint("a"), endpoint("b")))
+    assert first is not None
+    assert first.complete
+    assert states(first) == {"a": READY, "b": READY}
+    second = merger.update("zookeeper", delta(endpoint("b", DRAINING), endpoint("c")))
+    assert second is not None
+    assert not second.complete
+    assert states(second) == {"b": DRAINING, "c": READY}
+    assert merger.source_of("a") == "registry"
+    assert merger.source_of("b") == "zookeeper"
 
-def test_a_source_that_can_t_know_is_not_waited_for_and_nobody_s_word_is_no_list() -> None:
-    merge = Merge(["zookeeper", "registry"])
-    assert merge.cannot_know("zookeeper") is None
-    assert merge.cannot_know("registry") is None
-    assert read(merge.told("registry", whole(line("a")))) == {"a": READY}
 
+def test_a_failed_source_is_not_awaited_and_no_list_is_published_while_all_have_failed() -> None:
+    merger = SourceMerger(["zookeeper", "registry"])
+    assert merger.source_unavailable("zookeeper") is None
+    assert merger.source_unavailable("registry") is None
+    assert states(merger.update("registry", snapshot(endpoint("a")))) == {"a": READY}
 
-def test_what_a_live_quorum_saw_go_is_not_brought_back_by_a_slower_list() -> None:
-    merge = Merge(["zookeeper", "registry"])
-    merge.told("zookeeper", whole(line("a")))
-    assert read(merge.told("registry", whole(line("a")))) == {"a": READY}
-    assert read(merge.told("zookeeper", changes(line("a", GONE)))) == {"a": GONE}
-    assert merge.told("registry", changes(line("a"))) is None
-    assert read(merge.told("zookeeper", changes(line("a")))) == {"a": READY}
 
+def test_a_node_removed_by_a_quorum_is_not_brought_back_by_a_slower_source() -> None:
+    merger = SourceMerger(["zookeeper", "registry"])
+    merger.update("zookeeper", snapshot(endpoint("a")))
+    assert states(merger.update("registry", snapshot(endpoint("a")))) == {"a": READY}
+    assert states(merger.update("zookeeper", delta(endpoint("a", REMOVED)))) == {"a": REMOVED}
+    assert merger.update("registry", delta(endpoint("a"))) is None
+    assert states(merger.update("zookeeper", delta(endpoint("a")))) == {"a": READY}
 
-def test_a_later_source_s_word_counts_only_where_the_first_has_none() -> None:
-    merge = Merge(["zookeeper", "registry"])
-    merge.told("zookeeper", whole(line("a")))
-    assert read(merge.told("registry", whole(line("a", DRAINING)))) == {"a": READY}
-    assert read(merge.told("registry", changes(line("b", DRAINING)))) == {"b": DRAINING}
-    assert read(merge.told("registry", whole(line("a")))) == {"b": GONE}
 
+def test_a_later_source_counts_only_for_nodes_that_the_first_has_never_listed() -> None:
+    merger = SourceMerger(["zookeeper", "registry"])
+    merger.update("zookeeper", snapshot(endpoint("a")))
+    assert states(merger.update("registry", snapshot(endpoint("a", DRAINING)))) == {"a": READY}
+    assert states(merger.update("registry", delta(endpoint("b", DRAINING)))) == {"b": DRAINING}
+    assert states(merger.update("registry", snapshot(endpoint("a")))) == {"b": REMOVED}
 
-def test_a_whole_list_says_who_has_gone() -> None:
-    merge = Merge(["registry"])
-    merge.told("registry", whole(line("a"), line("b")))
-    assert read(merge.told("registry", whole(line("b")))) == {"a": GONE}
-    assert merge.told("registry", whole(line("b"))) is None
 
+def test_a_snapshot_removes_the_nodes_that_it_does_not_list() -> None:
+    merger = SourceMerger(["registry"])
+    merger.update("registry", snapshot(endpoint("a"), endpoint("b")))
+    assert states(merger.update("registry", snapshot(endpoint("b")))) == {"a": REMOVED}
+    assert merger.update("registry", snapshot(endpoint("b"))) is None
 
-def test_changes_before_any_whole_list_are_kept_for_it() -> None:
-    merge = Merge(["zookeeper", "registry"])
-    assert merge.told("zookeeper", changes(line("a"))) is None
-    assert merge.told("registry", whole(line("b"))) is None
-    assert read(merge.cannot_know("zookeeper")) == {"a": READY, "b": READY}
+
+def test_deltas_before_the_first_snapshot_are_part_of_it() -> None:
+    merger = SourceMerger(["zookeeper", "registry"])
+    assert merger.update("zookeeper", delta(endpoint("a"))) is None
+    assert merger.update("registry", snapshot(endpoint("b"))) is None
+    assert states(merger.source_unavailable("zookeeper")) == {"a": READY, "b": READY}
--- a/tests/discovery/test_registering.py
+++ b/tests/discovery/test_registrar.py
@@ -14,19 +14,19 @@
 
 import pytest
 from loopback import play, until
-from test_zookeeper import where
+from test_zookeeper_source import where
 
 from testbed.zookeeper import Ensemble, jute
 from testbed.zookeeper.jute import OPEN
 from testbed.zookeeper.tree import Asker
 from topazbank.balancing.events import ServerState
 from topazbank.core.endpoint_source import EndpointList
-from topazbank.discovery import registrar
-from topazbank.discovery.registrar import Registrar, Standing
-from topazbank.discovery.roster import Registration, decode
-from topazbank.discovery.zkclient import Ensemble as Where
-from topazbank.discovery.zkclient import Session, State, ZkError
-from topazbank.discovery.zkwire import OPEN_ACL, Code
+from topazbank.discovery import registrar_command
+from topazbank.discovery.registrar import Registrar, RegistrationState
+from topazbank.discovery.registration import Registration, decode_registration
+from topazbank.discovery.registration_view import Connectivity
+from topazbank.discovery.zkclient import EnsembleConfig, Session, SessionState, ZooKeeperError
+from topazbank.discovery.zkwire import OPEN_ACL, ErrorCode
 from topazbank.discovery.zookeeper import ZooKeeperSource
 
 ROOT = Path(__file__).parent.parent.parent
@@ -65,7 +65,7 @@
 
 
 def is_live(session: Session) -> bool:
-    return session.state is State.LIVE
+    return session.state is SessionState.CONNECTED
 
 
 def there(ensemble: Ensemble) -> bool:
@@ -74,11 +74,11 @@
 
 def data(ensemble: Ensemble) -> Registration:
     assert ensemble.leader is not None
-    return decode(ensemble.leader.tree.nodes[NODE].data)
+    return decode_registration(ensemble.leader.tree.nodes[NODE].data)
 
 
 def test_the_command_registers_says_that_it_leaves_and_goes() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         ensemble = Ensemble(3)
         await ensemble.start()
         states: list[ServerState] = []
@@ -93,7 +93,7 @@
                 ("127.0.0.1", 4001), 3, "", "", "http", 1.0, "life-1", 7, False
             )
             members = where(ensemble).members
-            source = ZooKeeperSource(Where(members, 2.0, "/site-a"), "/lodge/nodes", told, 1)
+            source = ZooKeeperSource(EnsembleConfig(members, 2.0, "/site-a"), "/lodge/nodes", told, 1)
             source.follow(True)
             await until(lambda: states == [ServerState.READY])
             process.send_signal(signal.SIGTERM)
@@ -106,70 +106,74 @@
         assert not any("opensesame" in line for line in lines)
         ensemble.stop()
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_killed_process_s_node_stays_until_its_session_ends() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         ensemble = Ensemble(3)
         await ensemble.start()
         async with registered(ensemble) as (process, lines):
             await until(lambda: "n-1 is in" in lines)
             process.kill()
             await process.wait()
-            assert there(ensemble) and not data(ensemble).leaving
+            assert there(ensemble) and not data(ensemble).draining
             await until(lambda: not there(ensemble))
             assert ensemble.expired
         ensemble.stop()
 
-    play(scene())
+    play(scenario())
 
 
 def test_nobody_else_may_write_or_delete_what_a_secret_protects() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         ensemble = Ensemble(3)
         await ensemble.start()
         registration = Registration(("127.0.0.1", 4001), 1, "m", "a", "http", 1.0, "life", 0)
         members = where(ensemble).members
-        owner = Registrar(Where(members, 5.0, "/site-a", SECRET), "/lodge/nodes", "n-1", registration, seed=1)
+        owner = Registrar(
+            EnsembleConfig(members, 5.0, "/site-a", SECRET), "/lodge/nodes", "n-1", registration, seed=1
+        )
         owner.start()
-        await until(lambda: owner.standing is Standing.IN)
+        await until(lambda: owner.state is RegistrationState.REGISTERED)
         for secret in ("", "broker:wrong"):
-            other = Session(Where(members, 5.0, "/site-a", secret), lambda _: None, lambda *_: None, 2)
+            other = Session(
+                EnsembleConfig(members, 5.0, "/site-a", secret), lambda _: None, lambda *_: None, 2
+            )
             other.start()
             await until(partial(is_live, other))
             assert (await other.get("/lodge/nodes/n-1"))[0] == registration.encode()  # all may read
             for attempt in (other.set("/lodge/nodes/n-1", b"x"), other.delete("/lodge/nodes/n-1")):
-                with pytest.raises(ZkError, match="NO_AUTH"):
+                with pytest.raises(ZooKeeperError, match="NO_AUTH"):
                     await attempt
             other.stop()
         assert there(ensemble) and data(ensemble) == registration
         owner.crash()
-        again = Session(Where(members, 5.0, "/site-a", SECRET), lambda _: None, lambda *_: None, 3)
+        again = Session(EnsembleConfig(members, 5.0, "/site-a", SECRET), lambda _: None, lambda *_: None, 3)
         again.start()
-        await until(lambda: again.state is State.LIVE)
+        await until(lambda: again.state is SessionState.CONNECTED)
         await again.set("/lodge/nodes/n-1", b"mine")  # the same secret is the same owner
         again.stop()
         ensemble.stop()
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_refused_write_says_why() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         ensemble = Ensemble(3)
         await ensemble.start()
         session = Session(where(ensemble), lambda _: None, lambda *_: None, 1)
         session.start()
-        await until(lambda: session.state is State.LIVE)
+        await until(lambda: session.state is SessionState.CONNECTED)
         await session.create("/once", b"", OPEN_ACL)
-        with pytest.raises(ZkError) as refused:
+        with pytest.raises(ZooKeeperError) as refused:
             await session.create("/once", b"", OPEN_ACL)
-        assert refused.value.code == Code.NODE_EXISTS and str(refused.value) == "NODE_EXISTS"
+        assert refused.value.code == ErrorCode.NODE_EXISTS and str(refused.value) == "NODE_EXISTS"
         session.stop()
         ensemble.stop()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize("wrong", [["--address", "nowhere"], ["--ensemble", "a:b,c"]])
@@ -177,7 +181,7 @@
     wrong: list[str], capsys: pytest.CaptureFixture[str]
 ) -> None:
     good = ["--ensemble", "127.0.0.1:1", "--name", "n", "--address", "127.0.0.1:2"]
-    assert registrar.main([*good, *wrong]) == 2
+    assert registrar_command.main([*good, *wrong]) == 2
     assert len(capsys.readouterr().err.strip().splitlines()) == 1
 
 
@@ -220,9 +224,9 @@
         logging.getLogger("topazbank.discovery").setLevel(logging.NOTSET)
 
 
-def registration(number: int, leaving: bool = False) -> bytes:
+def registration(number: int, draining: bool = False) -> bytes:
     return Registration(
-        ("127.0.0.1", 9000 + number), 1, "m", "a", "http", 1.0, f"l-{number}", 0, leaving
+        ("127.0.0.1", 9000 + number), 1, "m", "a", "http", 1.0, f"l-{number}", 0, draining
     ).encode()
 
 
@@ -232,33 +236,33 @@
 
 
 def test_a_change_that_all_watches_tell_is_read_once_by_each() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with crowd() as (ensemble, _, states):
             before = ensemble.requests.copy()
             await ensemble.submit(
                 ensemble.members[0],
                 await asker_of(ensemble),
-                lambda draft: draft.set_data("/nodes/n-3", registration(3, leaving=True), -1),
+                lambda draft: draft.set_data("/nodes/n-3", registration(3, draining=True), -1),
             )
             await until(lambda: all(each["n-3"] is ServerState.DRAINING for each in states))
             asked = ensemble.requests - before
             assert asked[jute.GET_DATA] == SOURCES and asked[jute.GET_CHILDREN2] == 0
 
-    play(scene())
+    play(scenario())
 
 
 def test_after_an_outage_each_client_asks_little_and_no_member_is_overrun() -> None:
     """All come back to one ensemble: four requests each, since watches are set anew and nothing is read again."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with crowd() as (ensemble, sources, _):
             ensemble.outage()
-            await until(lambda: all(each.session.state is State.SUSPENDED for each in sources))
+            await until(lambda: all(each.session.state is SessionState.SUSPENDED for each in sources))
             connections = [each.session.connections for each in sources]
             await asyncio.sleep(0.5)
             before = ensemble.requests.copy()
             ensemble.restore()
-            await until(lambda: all(each.roster.knowledge.value == "live" for each in sources))
+            await until(lambda: all(each.view.connectivity is Connectivity.CONNECTED for each in sources))
             asked = ensemble.requests - before
             assert asked[jute.SYNC] <= 2 * SOURCES and asked[jute.SET_WATCHES] <= 2 * SOURCES
             assert asked[jute.GET_DATA] == 0
@@ -267,4 +271,4 @@
             ]
             assert max(again) <= 2  # of those that reach a member before there is a leader
 
-    play(scene())
+    play(scenario())
--- /dev/null
+++ b/tests/discovery/test_registration_view.py
@@ -0,0 +1,312 @@
+"""The view of registrations, state by state: removed, draining, unknown, empty, and changes between two reads."""
+
+from __future__ import annotations
+
+import json
+from dataclasses import replace
+from typing import Any
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from topazbank.balancing.events import ServerState
+from topazbank.core.endpoint_source import DiscoveredServer
+from topazbank.discovery.flap_damper import FLAP_HOLD_S, FLAP_RETURNS
+from topazbank.discovery.registration import Registration, RegistrationError, decode_registration
+from topazbank.discovery.registration_view import Connectivity, RegistrationView, ViewChange
+
+NOW_MS = 1_800_000_000_000
+BASE = Registration(("10.0.0.1", 80), 1, "m", "a", "http", 1.0, "incarnation-1", NOW_MS - 60_000)
+READY, DRAINING, REMOVED = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
+
+
+def registration_at(port: int, **changes: Any) -> Registration:
+    return replace(BASE, address=("10.0.0.1", port), **changes)
+
+
+class Receiver:
+    """A view, and the endpoint list of a receiver of its changes."""
+
+    def __init__(self) -> None:
+        self.view = RegistrationView()
+        self.now = 100.0
+        self.zxid = 10
+        self.states: dict[str, ServerState] = {}
+        self.endpoints: dict[str, DiscoveredServer] = {}
+        self.snapshots = 0
+
+    def apply(self, change: ViewChange) -> ViewChange:
+        if change.is_snapshot:
+            self.snapshots += 1
+            self.states, self.endpoints = {}, {}
+        for endpoint in change.updates:
+            name, state = endpoint.server.name, endpoint.server.state
+            if state is REMOVED:
+                self.states.pop(name, None)
+            else:
+                self.states[name], self.endpoints[name] = state, endpoint
+        return change
+
+    def connectivity(self) -> Connectivity:
+        return self.view.connectivity
+
+    def list_names(self, *names: str) -> ViewChange:
+        self.zxid += 1
+        return self.apply(self.view.names_listed(self.now, names, self.zxid))
+
+    def read_node(
+        self, name: str, registration: Registration | bytes, czxid: int = 1, mzxid: int | None = None
+    ) -> ViewChange:
+        self.zxid += 1
+        data = registration if isinstance(registration, bytes) else registration.encode()
+        mzxid = self.zxid if mzxid is None else mzxid
+        return self.apply(self.view.node_read(self.now, name, data, czxid, mzxid, NOW_MS))
+
+    def register(self, *names: str) -> None:
+        """Nodes on ports from 80 on."""
+        self.list_names(*names)
+        for number, name in enumerate(names):
+            self.read_node(name, registration_at(80 + number), czxid=self.zxid)
+
+
+def test_the_first_list_is_a_snapshot_published_once_every_node_is_read() -> None:
+    receiver = Receiver()
+    assert receiver.list_names("a", "b").nodes_to_read == ["a", "b"]
+    assert not receiver.read_node("a", registration_at(1)).is_snapshot
+    assert receiver.read_node("b", registration_at(2)).is_snapshot
+    assert receiver.states == {"a": READY, "b": READY}
+
+
+def test_a_node_is_removed_when_a_quorum_does_not_list_it_any_more() -> None:
+    receiver = Receiver()
+    receiver.register("a", "b")
+    receiver.list_names("b")
+    assert receiver.states == {"b": READY}
+    receiver.apply(receiver.view.node_removed("b"))
+    assert not receiver.states
+
+
+def test_a_node_whose_record_says_that_it_leaves_is_draining() -> None:
+    receiver = Receiver()
+    receiver.register("a")
+    receiver.read_node("a", registration_at(80, draining=True))
+    assert receiver.states == {"a": DRAINING}
+
+
+def test_a_lost_quorum_changes_nothing_but_the_age() -> None:
+    receiver = Receiver()
+    receiver.register("a", "b")
+    receiver.now += 300
+    receiver.view.quorum_lost(receiver.now)
+    assert receiver.states == {"a": READY, "b": READY}
+    ages_s = [receiver.now - node.updated_at for node in receiver.view.nodes.values()]
+    assert ages_s == [300.0, 300.0]
+    assert receiver.connectivity() is Connectivity.UNKNOWN
+    receiver.list_names("a", "b")
+    assert receiver.connectivity() is Connectivity.CONNECTED
+    assert receiver.snapshots == 1
+
+
+def test_a_quorum_s_empty_list_removes_every_node() -> None:
+    receiver = Receiver()
+    receiver.list_names()
+    assert receiver.snapshots == 1
+    assert not receiver.states
+    receiver.register("a", "b", "c")
+    receiver.list_names()
+    assert not receiver.states
+
+
+def test_a_list_of_names_older_than_a_former_one_is_ignored() -> None:
+    receiver = Receiver()
+    receiver.register("a")
+    assert not receiver.apply(receiver.view.names_listed(receiver.now, (), 5)).updates
+    assert receiver.states == {"a": READY}
+
+
+def test_data_older_than_a_former_read_is_ignored() -> None:
+    receiver = Receiver()
+    receiver.register("a")
+    receiver.read_node("a", registration_at(80, draining=True), mzxid=500)
+    receiver.read_node("a", registration_at(80), mzxid=400)
+    assert receiver.states == {"a": DRAINING}
+
+
+def test_a_node_created_again_between_two_reads_gets_its_new_address_and_start() -> None:
+    receiver = Receiver()
+    receiver.register("a")
+    assert receiver.apply(receiver.view.node_changed("a")).nodes_to_read == ["a"]
+    restarted = registration_at(99, incarnation="incarnation-2", started_ms=NOW_MS)
+    receiver.read_node("a", restarted, czxid=900)
+    assert receiver.endpoints["a"].address == ("10.0.0.1", 99)
+    assert receiver.endpoints["a"].server.started_at == NOW_MS * 1000
+
+
+def test_the_same_incarnation_in_a_new_session_keeps_its_start_and_another_does_not() -> None:
+    receiver = Receiver()
+    receiver.register("a")
+    started_at = receiver.endpoints["a"].server.started_at
+    receiver.list_names()
+    receiver.list_names("a")
+    receiver.read_node("a", registration_at(80), czxid=800)
+    assert receiver.endpoints["a"].server.started_at == started_at
+    assert receiver.states == {"a": READY}
+    restarted = registration_at(80, incarnation="incarnation-2", started_ms=NOW_MS - 5)
+    receiver.read_node("a", restarted, czxid=801)
+    assert receiver.endpoints["a"].server.started_at == (NOW_MS - 5) * 1000
+
+
+def test_a_start_in_the_future_is_replaced_by_the_time_of_the_first_read() -> None:
+    receiver = Receiver()
+    receiver.list_names("a")
+    future = registration_at(80, started_ms=NOW_MS + 3_600_000)
+    receiver.read_node("a", future)
+    assert receiver.endpoints["a"].server.started_at == NOW_MS * 1000
+    receiver.list_names()
+    receiver.list_names("a")
+    later_ms = NOW_MS + 5_000
+    receiver.apply(receiver.view.node_read(receiver.now, "a", future.encode(), 7, 999, later_ms))
+    assert receiver.endpoints["a"].server.started_at == NOW_MS * 1000
+
+
+def test_of_two_nodes_at_one_address_the_later_registration_is_ready_until_it_is_removed() -> None:
+    receiver = Receiver()
+    receiver.list_names("old", "new")
+    receiver.read_node("old", registration_at(80), czxid=5)
+    receiver.read_node("new", registration_at(80), czxid=6)
+    assert receiver.states == {"old": DRAINING, "new": READY}
+    receiver.apply(receiver.view.node_removed("new"))
+    assert receiver.states == {"old": READY}
+
+
+def test_a_node_that_changes_its_address_leaves_the_former_one_to_the_other_claimant() -> None:
+    receiver = Receiver()
+    receiver.list_names("a", "b")
+    receiver.read_node("a", registration_at(80), czxid=9)
+    receiver.read_node("b", registration_at(80), czxid=5)
+    assert receiver.states == {"a": READY, "b": DRAINING}
+    receiver.read_node("a", registration_at(81), czxid=9)
+    assert receiver.states == {"a": READY, "b": READY}
+
+
+VALID = {"v": 1, "state": "active", "address": "a:1", "incarnation": "x"}
+UNREADABLE = {
+    "": "JSON",
+    "nonsense": "JSON",
+    "[" * 3000: "JSON",
+    "[]": "an object",
+    "{}": "v: 1 is wanted",
+    '{"v": 2}': "v: 1 is wanted",
+    json.dumps({"v": 1, "state": "resting"}): "state: active or leaving",
+    json.dumps({"v": 1, "state": "active", "address": "nowhere"}): "address",
+    json.dumps({"v": 1, "state": "active", "address": "a:1"}): "incarnation",
+    json.dumps(VALID | {"pod": "y"}): "pod",
+    json.dumps(VALID | {"weight": -1}): "weight",
+    json.dumps(VALID | {"started_ms": -1}): "started_ms",
+    json.dumps({"v": 1, "pad": "x" * 5000}): "at most",
+}
+
+
+@pytest.mark.parametrize("data", UNREADABLE, ids=range(len(UNREADABLE)))
+def test_an_unreadable_record_leaves_out_only_its_node_with_one_log_line(
+    data: str, caplog: pytest.LogCaptureFixture
+) -> None:
+    with pytest.raises(RegistrationError, match=UNREADABLE[data]):
+        decode_registration(data.encode())
+    receiver = Receiver()
+    receiver.list_names("bad", "good")
+    receiver.read_node("bad", data.encode(), mzxid=50)
+    receiver.read_node("bad", data.encode(), mzxid=50)
+    receiver.read_node("good", registration_at(81))
+    assert receiver.states == {"good": READY}
+    assert receiver.snapshots == 1
+    assert len([record for record in caplog.records if "left out" in record.message]) == 1
+
+
+def test_a_listed_node_whose_record_becomes_unreadable_is_draining() -> None:
+    receiver = Receiver()
+    receiver.register("a")
+    receiver.read_node("a", b"\xff")
+    assert receiver.states == {"a": DRAINING}
+    receiver.read_node("a", registration_at(80))
+    assert receiver.states == {"a": READY}
+
+
+def test_a_record_is_decoded_as_it_was_encoded() -> None:
+    other = registration_at(9, draining=True, weight=2.5, protocol="msgpack-rpc", pod=-3)
+    for registration in (BASE, other):
+        assert decode_registration(registration.encode()) == registration
+
+
+def test_a_flapping_node_is_held_until_it_has_stayed() -> None:
+    receiver = Receiver()
+    receiver.register("a")
+    for number in range(FLAP_RETURNS):
+        assert receiver.states == {"a": READY}
+        receiver.now += 1.0
+        receiver.list_names()
+        receiver.list_names("a")
+        receiver.read_node("a", registration_at(80), czxid=100 + number)
+    assert receiver.states == {"a": DRAINING}
+    release_at = receiver.view.next_release_at()
+    assert release_at == receiver.now + FLAP_HOLD_S
+    receiver.apply(receiver.view.release_held(release_at - 0.1))
+    assert receiver.states == {"a": DRAINING}
+    receiver.apply(receiver.view.release_held(release_at))
+    assert receiver.states == {"a": READY}
+    assert receiver.view.next_release_at() is None
+
+
+def test_after_an_expired_session_every_node_is_to_be_read_again() -> None:
+    receiver = Receiver()
+    receiver.register("a", "b")
+    receiver.view.watches_lost()
+    assert all(map(receiver.view.is_unread, receiver.view.nodes))
+    assert receiver.states == {"a": READY, "b": READY}
+
+
+NAMES = st.sampled_from(["a", "b", "c"])
+STEPS = st.one_of(
+    st.tuples(st.just("names"), st.sets(NAMES)),
+    st.tuples(st.just("data"), NAMES, st.integers(80, 82), st.booleans()),
+    st.tuples(st.just("removed"), NAMES),
+    st.tuples(st.just("quorum lost")),
+    st.tuples(st.just("unreadable"), NAMES),
+    st.tuples(st.just("wait"), st.floats(0.0, 5.0)),
+)
+
+
+@settings(max_examples=400, deadline=None, derandomize=True)
+@given(st.lists(STEPS, max_size=40))
+def test_no_history_keeps_a_removed_node_ready_or_removes_one_for_a_lost_quorum(history: list[Any]) -> None:
+    receiver = Receiver()
+    receiver.register("a", "b", "c")
+    registered = {"a", "b", "c"}
+    for step, *arguments in history:
+        before = dict(receiver.states)
+        if step == "names":
+            registered = set(arguments[0])
+            for name in receiver.list_names(*registered).nodes_to_read:
+                receiver.read_node(name, registration_at(80 + "abc".index(name)), czxid=receiver.zxid)
+        elif step == "data":
+            name, port, draining = arguments
+            if name in registered:
+                receiver.read_node(name, registration_at(port, draining=draining), czxid=receiver.zxid)
+        elif step == "removed":
+            registered.discard(arguments[0])
+            receiver.apply(receiver.view.node_removed(arguments[0]))
+        elif step == "quorum lost":
+            receiver.view.quorum_lost(receiver.now)
+            assert receiver.states == before
+        elif step == "unreadable":
+            if arguments[0] in registered:
+                receiver.read_node(arguments[0], b"?")
+        else:
+            receiver.now += arguments[0]
+            receiver.apply(receiver.view.release_held(receiver.now))
+        assert set(receiver.states) <= registered
+        ready = [
+            receiver.endpoints[name].address for name, state in receiver.states.items() if state is READY
+        ]
+        assert len(set(ready)) == len(ready)
--- a/tests/discovery/test_histories.py
+++ b/tests/discovery/test_zookeeper_histories.py
@@ -18,9 +18,8 @@
 from testbed.zookeeper.tree import Asker, Draft, Refused
 from topazbank.balancing.events import ServerState
 from topazbank.core.endpoint_source import EndpointList
-from topazbank.discovery.roster import Registration
-from topazbank.discovery.zkclient import Ensemble as Where
-from topazbank.discovery.zkclient import State
+from topazbank.discovery.registration import Registration
+from topazbank.discovery.zkclient import EnsembleConfig, SessionState
 from topazbank.discovery.zookeeper import ZooKeeperSource
 
 PATH = "/nodes"
@@ -49,7 +48,9 @@
         await self.ensemble.start()
         await self.change(lambda draft: draft.create(PATH, b"", OPEN, 0))
         members = self.ensemble.addresses
-        self.source = ZooKeeperSource(Where(members, 1.0), PATH, self.told, self.random.randrange(10**6))
+        self.source = ZooKeeperSource(
+            EnsembleConfig(members, 1.0), PATH, self.told, self.random.randrange(10**6)
+        )
         self.source.follow(True)
 
     def stop(self) -> None:
@@ -99,7 +100,7 @@
             data = b"?" if what == "bad" else registration.encode().replace(b"active", b"leaving")
             await self.change(lambda draft: _set(draft, name, data))
         elif what == "expire":
-            ensemble.expire(self.source.session.ident)
+            ensemble.expire(self.source.session.session_id)
         elif what in ("cut", "heal", "crash", "restart"):
             getattr(ensemble, what)(pick.randrange(3))
         elif what == "leader":
@@ -117,7 +118,7 @@
             self.out = False
             ensemble.restore()
         elif what == "hold":
-            connection = ensemble.connection_of(self.source.session.ident)
+            connection = ensemble.connection_of(self.source.session.session_id)
             if connection is not None:
                 connection.hold_watches()
                 asyncio.get_running_loop().call_later(0.1, connection.release)
@@ -127,7 +128,11 @@
         """Nothing is ready that a live quorum has told gone for longer than the rule allows."""
         now = asyncio.get_running_loop().time()
         ensemble = self.ensemble
-        live = self.source.session.state is State.LIVE and ensemble.leader is not None and not self.out
+        live = (
+            self.source.session.state is SessionState.CONNECTED
+            and ensemble.leader is not None
+            and not self.out
+        )
         self.live_since = (self.live_since or now) if live else None
         there = self.registered()
         for name in self.states.keys() - there:
@@ -174,7 +179,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_history_keeps_the_roster_true(seed: int) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         history = History(seed)
         await history.start()
         try:
@@ -185,4 +190,4 @@
         finally:
             history.stop()
 
-    play(scene())
+    play(scenario())
--- a/tests/discovery/test_zookeeper.py
+++ b/tests/discovery/test_zookeeper_source.py
@@ -18,14 +18,13 @@
 from topazbank.balancing.events import ServerState
 from topazbank.core.driver import SidecarConfig
 from topazbank.core.endpoint_source import EndpointList
-from topazbank.discovery.registrar import Registrar, Standing
-from topazbank.discovery.roster import Registration
-from topazbank.discovery.zkclient import Disconnected, Session, State
-from topazbank.discovery.zkclient import Ensemble as Where
+from topazbank.discovery.registrar import Registrar, RegistrationState
+from topazbank.discovery.registration import Registration
+from topazbank.discovery.zkclient import ConnectionLossError, EnsembleConfig, Session, SessionState
 from topazbank.discovery.zkwire import OPEN_ACL
 from topazbank.discovery.zookeeper import ZooKeeperSource
 from topazbank.operator_config import REGISTRY, ZOOKEEPER, Membership, OperatorConfig, ZooKeeper
-from topazbank.roster import table
+from topazbank.roster import format_endpoint_table
 from topazbank.wiring import wire
 
 pytestmark = pytest.mark.usefixtures("each_node")
@@ -45,9 +44,9 @@
     return None
 
 
-def where(ensemble: Ensemble, timeout_s: float = 20.0) -> Where:
+def where(ensemble: Ensemble, timeout_s: float = 20.0) -> EnsembleConfig:
     members = ensemble.addresses
-    return Where(members, timeout_s)
+    return EnsembleConfig(members, timeout_s)
 
 
 def membership(ensemble: Ensemble, *sources: str, timeout_s: float = 20.0) -> Membership:
@@ -86,7 +85,7 @@
         return made
 
     def session_of(self, number: int) -> int:
-        return self.registrars[number]._session.ident
+        return self.registrars[number]._session.session_id
 
 
 @contextlib.asynccontextmanager
@@ -113,18 +112,18 @@
 
 
 def test_nodes_that_register_are_served_by_and_their_protocol_is_taken_from_their_data() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with stage(served, served) as s:
             for number in range(10):
                 assert (await s.w.ask(X_Call_Id=f"c-{number}"))[0] == 200
             assert {each.protocol for each in s.w.sidecar._nodes.endpoints.values()} == {pair().nodes}
             assert not s.w.discovery.targets  # the registry is not asked
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_session_that_expires_under_a_running_lodge_takes_nothing_from_it_and_brings_nothing_new() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with stage(hung) as s:
             one = await client(s.w.sidecar.frontend.address)
             one.send(request("pay", body=b"x", X_Call_Id="lodge"))
@@ -140,26 +139,29 @@
             assert (await one.answer())[2] == b"late"
             one.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_node_that_lost_its_session_registers_again_as_the_same_and_is_not_cold() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with stage(served) as s:
-            heard: list[Standing] = []
-            s.registrars[0]._told = heard.append
+            heard: list[RegistrationState] = []
+            s.registrars[0]._on_state_change = heard.append
             s.ensemble.expire(s.session_of(0))
-            await until(lambda: s.registrars[0].registered == 2 and s.ready == {"s-0"})
-            assert heard[0] is Standing.OUT or heard[:2] == [Standing.UNKNOWN, Standing.OUT]
-            assert heard[-1] is Standing.IN
+            await until(lambda: s.registrars[0].registrations == 2 and s.ready == {"s-0"})
+            assert heard[0] is RegistrationState.UNREGISTERED or heard[:2] == [
+                RegistrationState.UNKNOWN,
+                RegistrationState.UNREGISTERED,
+            ]
+            assert heard[-1] is RegistrationState.REGISTERED
             server = s.w.sidecar._balancer._servers["s-0"]
             assert not s.w.sidecar._balancer._is_cold(server)
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_node_that_crashed_and_started_again_waits_its_former_session_out_and_is_cold() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with stage(served) as s:
             former = s.session_of(0)
             s.registrars[0].crash()
@@ -167,22 +169,22 @@
             again = registrar(s.ensemble, s.w.servers[0], "life-2", started_ms=started_ms)
             again.start()
             s.registrars.append(again)
-            await until(lambda: again._session.state is State.LIVE)
+            await until(lambda: again._session.state is SessionState.CONNECTED)
             await asyncio.sleep(0.5)
-            assert again.registered == 0 and again.standing is Standing.OUT
+            assert again.registrations == 0 and again.state is RegistrationState.UNREGISTERED
             s.ensemble.expire(former)
-            await until(lambda: again.standing is Standing.IN and s.ready == {"s-0"})
+            await until(lambda: again.state is RegistrationState.REGISTERED and s.ready == {"s-0"})
             server = s.w.sidecar._balancer._servers["s-0"]
             assert server.started_at == started_ms * 1000 and s.w.sidecar._balancer._is_cold(server)
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_node_that_says_it_leaves_gets_nothing_new_and_its_end_is_no_loss() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with stage(served, served) as s:
-            await s.registrars[0].leave()
-            assert s.registrars[0].standing is Standing.LEAVING
+            await s.registrars[0].drain()
+            assert s.registrars[0].state is RegistrationState.DRAINING
             await until(lambda: s.ready == {"s-1"})
             before = len(s.w.servers[0].requests)
             for number in range(10):
@@ -191,15 +193,15 @@
             await s.registrars[0].stop()
             await until(lambda: set(s.w.sidecar._balancer._servers) == {"s-1"})
 
-    play(scene())
+    play(scenario())
 
 
 def test_through_an_outage_the_last_list_holds_and_no_change_made_meanwhile_is_missed() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with stage(served, served) as s:
-            ident = s.source.session.ident
+            ident = s.source.session.session_id
             s.ensemble.outage()
-            await until(lambda: s.source.session.state is State.SUSPENDED)
+            await until(lambda: s.source.session.state is SessionState.SUSPENDED)
             for number in range(10):
                 assert (await s.w.ask(X_Call_Id=f"c-{number}"))[0] == 200
             assert s.ready == {"s-0", "s-1"}
@@ -211,27 +213,31 @@
             s.registrars[0].crash()
             s.ensemble.expire(s.session_of(0))
             await until(lambda: s.ready == {"s-1"})
-            assert s.source.session.ident == ident  # the session lived through it
+            assert s.source.session.session_id == ident  # the session lived through it
 
-    play(scene())
+    play(scenario())
 
 
 def test_an_expired_session_of_the_sidecar_s_own_keeps_the_list_and_reads_all_anew() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with stage(served, served) as s:
-            ident = s.source.session.ident
+            ident = s.source.session.session_id
             s.ensemble.expire(ident)
-            await until(lambda: s.source.session.state is State.LIVE and s.source.session.ident != ident)
+            await until(
+                lambda: (
+                    s.source.session.state is SessionState.CONNECTED and s.source.session.session_id != ident
+                )
+            )
             assert s.ready == {"s-0", "s-1"}
-            await until(lambda: not any(map(s.source.roster.is_unread, s.source.roster.entries)))
-            await s.registrars[1].leave()  # its watch is there again
+            await until(lambda: not any(map(s.source.view.is_unread, s.source.view.nodes)))
+            await s.registrars[1].drain()  # its watch is there again
             await until(lambda: s.ready == {"s-0"})
 
-    play(scene())
+    play(scenario())
 
 
 def test_an_empty_list_of_a_member_without_quorum_is_nobody_knows() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         ensemble = Ensemble(3)
         await ensemble.start()
         empty = next(each for each in ensemble.members if each is not ensemble.leader)
@@ -241,13 +247,13 @@
         await node.start()
         registered = registrar(ensemble, node)
         registered.start()
-        await until(lambda: registered.standing is Standing.IN)
+        await until(lambda: registered.state is RegistrationState.REGISTERED)
         told: list[EndpointList | None] = []
         assert empty.server is not None
-        source = ZooKeeperSource(Where((empty.server.address,), 2.0), PATH, told.append, 1)
+        source = ZooKeeperSource(EnsembleConfig((empty.server.address,), 2.0), PATH, told.append, 1)
         source.follow(True)
         await asyncio.sleep(0.6)
-        assert not told and not source.roster.entries
+        assert not told and not source.view.nodes
         ensemble.heal(empty.number)
         await until(lambda: told)
         assert told[0] is not None and [each.server.name for each in told[0].lines] == ["s-0"]
@@ -256,53 +262,53 @@
         node.stop()
         ensemble.stop()
 
-    play(scene())
+    play(scenario())
 
 
 def test_all_sessions_lost_at_once_are_obeyed_and_come_back_warm() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with stage(served, served, served) as s:
-            mine = s.source.session.ident
+            mine = s.source.session.session_id
             for ident in [each for each in s.ensemble.sessions if each != mine]:
                 s.ensemble.expire(ident)
             await until(
-                lambda: s.ready == {"s-0", "s-1", "s-2"} and all(r.registered == 2 for r in s.registrars)
+                lambda: s.ready == {"s-0", "s-1", "s-2"} and all(r.registrations == 2 for r in s.registrars)
             )
             assert (await s.w.ask())[0] == 200
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_member_that_answers_from_before_what_was_seen_is_left_for_another() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         ensemble = Ensemble(3)
         await ensemble.start()
-        states: list[State] = []
+        states: list[SessionState] = []
         session = Session(where(ensemble), states.append, lambda *_: None, seed=1)
         session.start()
-        await until(lambda: session.state is State.LIVE)
-        await session.make_path("/x", OPEN_ACL)
+        await until(lambda: session.state is SessionState.CONNECTED)
+        await session.ensure_path("/x", OPEN_ACL)
         session.zxid += 1000  # as if another member had told it of more
-        with contextlib.suppress(Disconnected):
+        with contextlib.suppress(ConnectionLossError):
             await session.exists("/x")
-        await until(lambda: session.older == 1)
+        await until(lambda: session.stale_replies == 1)
         await until(lambda: ensemble.refused_zxid >= 3)  # each member turns the handshake away
-        assert session.state is State.SUSPENDED
+        assert session.state is SessionState.SUSPENDED
         ensemble._counter += 2000
         one = Session(where(ensemble), lambda _: None, lambda *_: None, seed=2)
         one.start()
-        await until(lambda: one.state is State.LIVE)
-        await one.make_path("/now", OPEN_ACL)
-        await until(lambda: session.state is State.LIVE)
+        await until(lambda: one.state is SessionState.CONNECTED)
+        await one.ensure_path("/now", OPEN_ACL)
+        await until(lambda: session.state is SessionState.CONNECTED)
         session.stop()
         one.stop()
         ensemble.stop()
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_thousand_nodes_deleted_in_one_transaction_are_gone_at_once() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with stage(served) as s:
             asker = Asker(s.session_of(0), frozenset({("world", "anyone")}))
             data = [
@@ -324,11 +330,11 @@
             await s.ensemble.submit(member, asker, delete)
             await until(lambda: s.ready == {"s-0"})
 
-    play(scene())
+    play(scenario())
 
 
 def test_the_list_moves_from_the_registry_to_the_ensemble_and_back_under_load() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with stage(served, served, sources=(REGISTRY, ZOOKEEPER), wait=False) as s:
             s.w.discovery.say(42, [each.entry() for each in s.w.servers], snapshot=True)
             await until(lambda: s.ready == {"s-0", "s-1"})
@@ -342,7 +348,7 @@
 
             running = [asyncio.create_task(load(number)) for number in range(4)]
             # Moved before its nodes are there, the ensemble's word would be that nothing runs.
-            await until(lambda: all(each.standing is Standing.IN for each in s.registrars))
+            await until(lambda: all(each.state is RegistrationState.REGISTERED for each in s.registrars))
             config = SidecarConfig(
                 ("127.0.0.1", 0),
                 s.w.discovery.address,
@@ -363,11 +369,11 @@
             await asyncio.gather(*running)
             assert set(statuses) == {200}
 
-    play(scene())
+    play(scenario())
 
 
 def test_the_roster_is_shown_with_the_source_and_the_age_of_each_entry() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with stage(served, served) as s:
             status, _, body = await ask(
                 s.w.sidecar.frontend.address, b"GET /admin/roster HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -376,6 +382,6 @@
             assert status == 200 and [each["name"] for each in told["nodes"]] == ["s-0", "s-1"]
             assert {each["source"] for each in told["nodes"]} == {"zookeeper"}
             assert told["sources"][0]["can_know"] and told["nodes"][0]["age_s"] >= 0
-            assert any("s-0" in each and "zookeeper" in each for each in table(told))
+            assert any("s-0" in each and "zookeeper" in each for each in format_endpoint_table(told))
 
-    play(scene())
+    play(scenario())
--- a/tests/planning/test_leadership.py
+++ b/tests/planning/test_leadership.py
@@ -10,7 +10,7 @@
 from loopback import play, until
 
 from testbed.zookeeper import Ensemble
-from topazbank.discovery.zkclient import Ensemble as Where
+from topazbank.discovery.zkclient import EnsembleConfig
 from topazbank.planning.election import Election
 from topazbank.planning.leadership import FRESH, PATIENCE, PATIENCE_RANK, StaticLead
 from topazbank.planning.plan import S
@@ -84,7 +84,9 @@
     def __init__(self, ensemble: Ensemble, name: str, seed: int) -> None:
         self.epochs: list[int | None] = []
         members = ensemble.addresses
-        self.election = Election(Where(members, 1.0), "/lodge/planners", name, self.epochs.append, seed)
+        self.election = Election(
+            EnsembleConfig(members, 1.0), "/lodge/planners", name, self.epochs.append, seed
+        )
         self.election.start()
 
     @property
@@ -103,7 +105,9 @@
         await until(lambda: two.election._node is not None and three.election._node is not None)
         assert two.epoch is None and three.epoch is None
         seen = [one.epoch]
-        ensemble.expire(one.election._session.ident)  # it does not know yet; the ensemble gave its place away
+        ensemble.expire(
+            one.election._session.session_id
+        )  # it does not know yet; the ensemble gave its place away
         await until(lambda: two.epoch is not None or three.epoch is not None)
         leader, other = (two, three) if two.epoch is not None else (three, two)
         seen.append(leader.epoch)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,9 +12,9 @@
 
 from topazbank.balancing.events import ServerState
 from topazbank.core.endpoint_source import EndpointList
-from topazbank.discovery import registry
+from topazbank.discovery import registry, registry_client
 from topazbank.discovery.list_format import parse_list
-from topazbank.discovery.registry import _IDLE_S, RegistrySource
+from topazbank.discovery.registry import _IDLE_PAUSE_S, RegistrySource
 from topazbank.estimation import poll_schedule
 from topazbank.estimation.fleet_size import FleetSize
 
@@ -37,7 +37,7 @@
             await until(lambda: len(w.discovery.targets) == 4)
             paths = [each.split("&")[0] for each in w.discovery.targets]
             assert paths == [f"/registry/instances?after={index}" for index in (41, 42, 43, 44)]
-            assert _IDLE_S < 0.2  # the only pause there is; later it would be a new watch
+            assert _IDLE_PAUSE_S < 0.2  # the only pause there is; later it would be a new watch
 
     play(scene())
 
@@ -149,7 +149,7 @@
 def test_a_connection_to_discovery_that_does_not_come_up_is_a_failed_call(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(registry, "_DIAL_S", 0.1)
+    monkeypatch.setattr(registry_client, "_CONNECT_TIMEOUT_S", 0.1)
 
     async def scene() -> None:
         with deaf() as address:
@@ -283,7 +283,7 @@
 def test_polls_that_are_lost_keep_none_from_being_answered_and_few_are_out_at_a_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(registry, "_POLL_AGAIN_S", 0.0)
+    monkeypatch.setattr(registry, "_POLL_INTERVAL_MIN_S", 0.0)
 
     async def scene() -> None:
         service = FakeDiscovery()
@@ -293,7 +293,7 @@
         for calls in range(1, 8):
             discovery.follow(True)
             await until(lambda: service.called(calls))  # noqa: B023
-            assert len(discovery._polls) == min(calls, registry._POLLS_MOST)
+            assert len(discovery._polls) == min(calls, registry._CONCURRENT_POLLS_MAX)
         for _ in range(7):
             service.say(9, [entry()], snapshot=True)
         await until(lambda: heard)
@@ -342,7 +342,7 @@
             service.say(version, [])
         await until(lambda: heard == [2, 3, 4])
         await until(lambda: service.called(4))
-        assert caplog.text.count("a list could not be taken") == 3
+        assert caplog.text.count("the receiver failed to process a list") == 3
         discovery.stop()
         service.stop()
 
--- a/topazbank/cluster/__main__.py
+++ b/topazbank/cluster/__main__.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from topazbank.core.net import parse_address
-from topazbank.roster import ask
+from topazbank.roster import fetch_admin_report
 
 
 def table(told: dict[str, Any], now_ms: int) -> list[str]:
@@ -40,7 +40,7 @@
 
 def ask_tier(address: str) -> dict[str, Any]:
     """The sidecar's account of its tier; raise OSError or ValueError where there is none."""
-    told = ask(parse_address(address)).get("tier")
+    told = fetch_admin_report(parse_address(address)).get("tier")
     if told is None:
         raise ValueError("[tier] is off there")
     return dict(told)
--- a/topazbank/discovery/__init__.py
+++ b/topazbank/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of nodes comes from."""
+"""Service discovery: the sources of the endpoint list, and the registration of a node."""
--- a/topazbank/discovery/combined.py
+++ b/topazbank/discovery/combined.py
@@ -1,4 +1,4 @@
-"""Several membership sources behind one: each tells, merge.py decides."""
+"""Several endpoint sources as one: merge.py decides, this module runs them."""
 
 from __future__ import annotations
 
@@ -9,109 +9,126 @@
 from topazbank.core.endpoint_list import PendingUpdates
 from topazbank.core.endpoint_source import EndpointList, EndpointSource, SourceStatus
 from topazbank.core.net import Address
-from topazbank.discovery.merge import Merge
+from topazbank.discovery.merge import SourceMerger
 
-# Between the calls of a source that has failed while others answer: two fit before its news count as told, 6 s after it
-# could be reached.
-_AGAIN_S = 1.5
-_WAIT_S = 2.0  # how long the first list waits for all sources; the one of before the start holds meanwhile
+# Of a source that has failed while others answer.  Two retries fit into the 6 s after which its changes must have been
+# received once it is reachable again.
+_RETRY_S = 1.5
+_FIRST_SNAPSHOT_WAIT_S = 2.0  # for all sources; until then the list from before the start stays in force
 
-Make = Callable[[Callable[[EndpointList | None], None]], EndpointSource]
+UpdateCallback = Callable[[EndpointList | None], None]
+SourceFactory = Callable[[UpdateCallback], EndpointSource]
 
 
 class CombinedSource:
-    """Sources by name, in their precedence."""
-
-    def __init__(self, makers: Mapping[str, Make], told: Callable[[EndpointList | None], None]) -> None:
-        self._merge = Merge(list(makers))
-        self._told = told
-        self._listings = {name: PendingUpdates() for name in makers}
-        self._whole = dict.fromkeys(makers, False)  # whether what waits there is of a whole list
-        self._stepping: set[str] = set()  # sources whose next step is due in the loop's next turn
-        self._failed: set[str] = set()  # sources that could not say when they were last asked
-        self._sources = {name: make(partial(self._heard, name)) for name, make in makers.items()}
-        self._waited: asyncio.TimerHandle | None = None
-        self._calls: dict[str, asyncio.TimerHandle] = {}  # the next call of each source that was last in vain
-
-    def _heard(self, name: str, told: EndpointList | None) -> None:
-        if told is None:
-            self._failed.add(name)
-            self._pass_on(self._merge.cannot_know(name))
-            if len(self._failed) == len(self._sources):
-                self._failed.clear()
-                self._told(None)  # nobody can say
-            self._call_later(name)
+    """Sources by name, the highest precedence first; `on_update` receives None where every source has failed."""
+
+    def __init__(self, factories: Mapping[str, SourceFactory], on_update: UpdateCallback) -> None:
+        self._merger = SourceMerger(list(factories))
+        self._on_update = on_update
+        self._pending = {name: PendingUpdates() for name in factories}
+        self._snapshot_pending = dict.fromkeys(factories, False)  # whether `_pending` has part of a snapshot
+        self._step_scheduled: set[str] = set()
+        self._failed: set[str] = set()  # since all sources last failed together
+        self._sources = {name: make(partial(self._source_updated, name)) for name, make in factories.items()}
+        self._first_snapshot_timer: asyncio.TimerHandle | None = None
+        self._retry_timers: dict[str, asyncio.TimerHandle] = {}  # of sources whose last call failed
+
+    # -- EndpointSource --------------------------------------------------------------------------------
+
+    def follow(self, wanted: bool) -> None:
+        """See EndpointSource."""
+        if wanted and self._first_snapshot_timer is None:
+            loop = asyncio.get_running_loop()
+            self._first_snapshot_timer = loop.call_later(_FIRST_SNAPSHOT_WAIT_S, self._end_first_wait)
+        for source in self._sources.values():
+            source.follow(wanted)
+
+    def fetch(self) -> None:
+        """See EndpointSource."""
+        for source in self._sources.values():
+            source.fetch()
+
+    def move(self, address: Address) -> None:
+        """See EndpointSource."""
+        for source in self._sources.values():
+            source.move(address)
+
+    def stop(self) -> None:
+        """Stop all sources."""
+        if self._first_snapshot_timer is not None:
+            self._first_snapshot_timer.cancel()
+        for name, source in self._sources.items():
+            self._cancel_retry(name)
+            source.stop()
+
+    def standing(self) -> tuple[SourceStatus, ...]:
+        """The status of each source, in their precedence."""
+        return tuple(status for source in self._sources.values() for status in source.standing())
+
+    def source_of(self, name: str) -> str:
+        """See EndpointSource; "-" where no source lists the node."""
+        return self._merger.source_of(name) or "-"
+
+    # -- Updates of a source ---------------------------------------------------------------------------
+
+    def _source_updated(self, name: str, update: EndpointList | None) -> None:
+        if update is None:
+            self._source_failed(name)
             return
         self._failed.discard(name)
-        self._end_calls(name)
-        listing = self._listings[name]
-        listing.told(asyncio.get_running_loop().time(), told)
-        self._whole[name] |= told.complete
+        self._cancel_retry(name)
+        self._pending[name].told(asyncio.get_running_loop().time(), update)
+        self._snapshot_pending[name] |= update.complete
         self._step(name)
 
-    def _call_later(self, name: str) -> None:
-        """Whoever listens asks again only once no source can say: one alone is called here until it answers."""
-        if name not in self._calls:
-            self._calls[name] = asyncio.get_running_loop().call_later(_AGAIN_S, self._call_again, name)
-
-    def _call_again(self, name: str) -> None:
-        self._sources[name].follow(True)
-        self._calls[name] = asyncio.get_running_loop().call_later(_AGAIN_S, self._call_again, name)
-
-    def _end_calls(self, name: str) -> None:
-        call = self._calls.pop(name, None)
-        if call is not None:
-            call.cancel()
+    def _source_failed(self, name: str) -> None:
+        self._failed.add(name)
+        self._publish(self._merger.source_unavailable(name))
+        if len(self._failed) == len(self._sources):
+            self._failed.clear()
+            self._on_update(None)
+        if name not in self._retry_timers:
+            self._schedule_retry(name)
 
     def _step(self, name: str) -> None:
-        """Pass on some of what a source told now, and the rest in the loop's next turns."""
-        listing = self._listings[name]
-        lines = listing.take()
-        if lines:
-            self._pass_on(self._merge.told(name, EndpointList(listing.version, False, lines)))
-        if listing.waits():
-            if name not in self._stepping:
-                self._stepping.add(name)
+        """Merge one step of a source's pending updates, and the rest in later turns of the event loop."""
+        pending = self._pending[name]
+        updates = pending.take()
+        if updates:
+            self._publish(self._merger.update(name, EndpointList(pending.version, False, updates)))
+        if pending.waits():
+            if name not in self._step_scheduled:
+                self._step_scheduled.add(name)
                 asyncio.get_running_loop().call_soon(self._next_step, name)
-        elif self._whole[name]:
-            self._whole[name] = False
-            self._pass_on(self._merge.spoke(name))
+        elif self._snapshot_pending[name]:
+            self._snapshot_pending[name] = False
+            self._publish(self._merger.snapshot_complete(name))
 
     def _next_step(self, name: str) -> None:
-        self._stepping.discard(name)
+        self._step_scheduled.discard(name)
         self._step(name)
 
-    def _pass_on(self, news: EndpointList | None) -> None:
-        if news is not None:
-            self._told(news)
+    def _publish(self, merged: EndpointList | None) -> None:
+        if merged is not None:
+            self._on_update(merged)
 
-    def _waited_enough(self) -> None:
+    def _end_first_wait(self) -> None:
         for name in self._sources:
-            self._pass_on(self._merge.cannot_know(name))
-
-    def follow(self, wanted: bool) -> None:
-        if wanted and self._waited is None:
-            self._waited = asyncio.get_running_loop().call_later(_WAIT_S, self._waited_enough)
-        for each in self._sources.values():
-            each.follow(wanted)
-
-    def fetch(self) -> None:
-        for each in self._sources.values():
-            each.fetch()
+            self._publish(self._merger.source_unavailable(name))
 
-    def move(self, address: Address) -> None:
-        for each in self._sources.values():
-            each.move(address)
+    # -- Retries ---------------------------------------------------------------------------------------
 
-    def stop(self) -> None:
-        if self._waited is not None:
-            self._waited.cancel()
-        for name, source in self._sources.items():
-            self._end_calls(name)
-            source.stop()
+    def _schedule_retry(self, name: str) -> None:
+        """The receiver retries only when every source has failed: one that fails alone is retried from here."""
+        loop = asyncio.get_running_loop()
+        self._retry_timers[name] = loop.call_later(_RETRY_S, self._retry, name)
 
-    def standing(self) -> tuple[SourceStatus, ...]:
-        return tuple(standing for each in self._sources.values() for standing in each.standing())
+    def _retry(self, name: str) -> None:
+        self._sources[name].follow(True)
+        self._schedule_retry(name)
 
-    def source_of(self, name: str) -> str:
-        return self._merge.source_of(name) or "-"
+    def _cancel_retry(self, name: str) -> None:
+        timer = self._retry_timers.pop(name, None)
+        if timer is not None:
+            timer.cancel()
--- a/topazbank/discovery/merge.py
+++ b/topazbank/discovery/merge.py
@@ -1,113 +1,134 @@
-"""Several sources at once, by precedence; no I/O.
+"""Several sources merged by precedence; no I/O.
 
-A node stands as the first source says that has ever told of it, in the order that the operator gave.  Gone is a word
-too: what the first has told gone stays gone, whatever a later one still lists, so that a slower source can't bring
-back what a live quorum saw go.
+A node's endpoint is that of the first source, in the operator's order, that has ever listed the node.  A removal
+counts too: what that source has removed stays removed, whatever a later source still lists, so that a slower source
+can't bring back a node that a quorum has removed.
 """
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from topazbank.balancing.events import ServerState
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, as_removed
 
-GONE_MOST = 10_000  # names told gone that a source remembers; the oldest are forgotten first
+REMOVED_NAMES_MAX = 10_000  # that are remembered of each source; the oldest are forgotten first
+
+
+class _MergedEndpoint(NamedTuple):
+    endpoint: DiscoveredServer
+    source: str
 
 
 @dataclass(slots=True)
-class _Known:
-    """What one source has told."""
+class _SourceState:
+    """What one source has published."""
+
+    endpoints: dict[str, DiscoveredServer] = field(default_factory=dict)
+    removed: dict[str, None] = field(default_factory=dict)  # an ordered set; bounded by REMOVED_NAMES_MAX
+    has_snapshot: bool = False
+    is_awaited: bool = True  # until it has a snapshot, or it is known that none comes for now
 
-    lines: dict[str, DiscoveredServer] = field(default_factory=dict)
-    gone: dict[str, None] = field(default_factory=dict)  # in the order that they went
-    heard: bool = False  # whether a whole list of it has come, or it has said that it can't know
-    told: bool = False  # whether a whole list of it has come
+    def update(self, endpoint: DiscoveredServer) -> None:
+        name = endpoint.server.name
+        if endpoint.server.state is ServerState.REMOVED:
+            self.remove(name)
+        else:
+            self.endpoints[name] = endpoint
+            self.removed.pop(name, None)
 
+    def remove(self, name: str) -> None:
+        self.endpoints.pop(name, None)
+        self.removed[name] = None
+        if len(self.removed) > REMOVED_NAMES_MAX:
+            del self.removed[next(iter(self.removed))]
 
-class Merge:
-    """The list of all sources together."""
+    def snapshot_complete(self) -> None:
+        self.has_snapshot = True
+        self.is_awaited = False
+
+
+class SourceMerger:
+    """The merged list; each method returns what it changes there, or None."""
 
     def __init__(self, sources: Sequence[str]) -> None:
-        self._known = {name: _Known() for name in sources}
-        self._told: dict[str, tuple[DiscoveredServer, str]] = {}
-        self._begun = False
+        """`sources`: their names, the highest precedence first."""
+        self._sources = {name: _SourceState() for name in sources}
+        self._published: dict[str, _MergedEndpoint] = {}
+        self._snapshot_published = False
         self._version = 0
 
-    def told(self, source: str, told: EndpointList) -> EndpointList | None:
-        """Hear one source; give what changes in the whole, or None where nothing does."""
-        known = self._known[source]
-        touched = {line.server.name for line in told.lines}
-        if told.complete:
-            known.heard = known.told = True
-            for name in known.lines.keys() - touched:
+    def update(self, source: str, update: EndpointList) -> EndpointList | None:
+        """A source has published a snapshot or a delta."""
+        state = self._sources[source]
+        touched = {line.server.name for line in update.lines}
+        if update.complete:
+            state.snapshot_complete()
+            for name in state.endpoints.keys() - touched:
                 touched.add(name)
-                self._gone(known, name)
-        for line in told.lines:
-            name = line.server.name
-            if line.server.state is ServerState.REMOVED:
-                self._gone(known, name)
-            else:
-                known.lines[name] = line
-                known.gone.pop(name, None)
-        return self._news(touched)
-
-    def spoke(self, source: str) -> EndpointList | None:
-        """A source has told its whole list, in changes."""
-        known = self._known[source]
-        known.heard = known.told = True
-        return self._news(set())
-
-    def cannot_know(self, source: str) -> EndpointList | None:
-        """A source can't say, or has been waited for long enough: the list begins without it."""
-        self._known[source].heard = True
-        return self._news(set())
-
-    @staticmethod
-    def _gone(known: _Known, name: str) -> None:
-        known.lines.pop(name, None)
-        known.gone[name] = None
-        if len(known.gone) > GONE_MOST:
-            del known.gone[next(iter(known.gone))]
-
-    def _news(self, touched: set[str]) -> EndpointList | None:
-        if not self._begun:
-            # The first word of one alone would empty the list of what another is about to tell.
-            if not all(known.heard for known in self._known.values()):
-                return None
-            names = {name for known in self._known.values() for name in known.lines}
-            if not names and not any(known.told for known in self._known.values()):
-                return None  # nobody could say
-            self._begun = True
-            self._told = {name: line for name in sorted(names) if (line := self._stands(name)) is not None}
-            return self._next(True, [line for line, _ in self._told.values()])
-        lines = []
+                state.remove(name)
+        for line in update.lines:
+            state.update(line)
+        return self._publish(touched)
+
+    def snapshot_complete(self, source: str) -> EndpointList | None:
+        """A source's snapshot has been passed on completely, in deltas."""
+        self._sources[source].snapshot_complete()
+        return self._publish(set())
+
+    def source_unavailable(self, source: str) -> EndpointList | None:
+        """A source has failed, or was awaited for long enough: the merged list begins without it."""
+        self._sources[source].is_awaited = False
+        return self._publish(set())
+
+    def source_of(self, name: str) -> str | None:
+        """The source that a published endpoint is from."""
+        merged = self._published.get(name)
+        return merged.source if merged is not None else None
+
+    def _publish(self, touched: set[str]) -> EndpointList | None:
+        return self._delta(touched) if self._snapshot_published else self._first_snapshot()
+
+    def _first_snapshot(self) -> EndpointList | None:
+        """The first list, once no source is awaited: before that it would remove what another is about to list."""
+        states = self._sources.values()
+        if any(state.is_awaited for state in states):
+            return None
+        names = {name for state in states for name in state.endpoints}
+        if not names and not any(state.has_snapshot for state in states):
+            return None  # every source has failed
+        self._snapshot_published = True
+        for name in sorted(names):
+            merged = self._merge(name)
+            if merged is not None:
+                self._published[name] = merged
+        return self._next_list(True, [merged.endpoint for merged in self._published.values()])
+
+    def _delta(self, touched: set[str]) -> EndpointList | None:
+        changes = []
         for name in sorted(touched):
-            stands, before = self._stands(name), self._told.get(name)
-            if stands == before:
+            merged, published = self._merge(name), self._published.get(name)
+            if merged == published:
                 continue
-            if stands is not None:
-                self._told[name] = stands
-                lines.append(stands[0])
-            elif before is not None:
-                del self._told[name]
-                lines.append(as_removed(before[0]))
-        return self._next(False, lines) if lines else None
-
-    def _next(self, complete: bool, lines: list[DiscoveredServer]) -> EndpointList:
+            if merged is not None:
+                self._published[name] = merged
+                changes.append(merged.endpoint)
+            elif published is not None:
+                del self._published[name]
+                changes.append(as_removed(published.endpoint))
+        return self._next_list(False, changes) if changes else None
+
+    def _next_list(self, complete: bool, endpoints: list[DiscoveredServer]) -> EndpointList:
         self._version += 1
-        return EndpointList(self._version, complete, lines)
-
-    def _stands(self, name: str) -> tuple[DiscoveredServer, str] | None:
-        """How a node stands, and by whose word."""
-        for source, known in self._known.items():
-            if name in known.lines:
-                return known.lines[name], source
-            if name in known.gone:
+        return EndpointList(self._version, complete, endpoints)
+
+    def _merge(self, name: str) -> _MergedEndpoint | None:
+        """A node's endpoint by precedence; None where it is removed or was never listed."""
+        for source, state in self._sources.items():
+            if name in state.endpoints:
+                return _MergedEndpoint(state.endpoints[name], source)
+            if name in state.removed:
                 return None
         return None
-
-    def source_of(self, name: str) -> str | None:
-        told = self._told.get(name)
-        return told[1] if told is not None else None
--- a/topazbank/discovery/zkwire.py
+++ b/topazbank/discovery/zkwire.py
@@ -1,6 +1,7 @@
-"""ZooKeeper's wire protocol, the client's side: records written and read; no I/O.
+"""ZooKeeper's wire protocol, the client's side: requests encoded, replies decoded; no I/O.
 
-By zookeeper.jute and ZooDefs.java of the published source; the operations that membership needs, and no others.
+It follows `zookeeper.jute` and `ZooDefs.java` of the published source and has only the operations that service
+discovery and leader election use.  Decoding raises MalformedRecordError and nothing else.
 """
 
 from __future__ import annotations
@@ -8,20 +9,25 @@
 import struct
 from dataclasses import dataclass
 from enum import IntEnum, unique
+from typing import NamedTuple
 
 _INT = struct.Struct("!i")
-_HEADER = struct.Struct("!iqi")
+_REPLY_HEADER = struct.Struct("!iqi")
+_CONNECT_RESPONSE = struct.Struct("!iiq")
 _STAT = struct.Struct("!qqqqiiiqiiq")
 
-MESSAGE_MOST = 4 * 1024 * 1024  # bytes of a reply: the children of one node, some 40,000 names
-WATCHES_MOST = 128 * 1024  # bytes of paths in one record that sets watches anew; servers take 1 MiB
+RECORD_BYTES_MAX = 4 * 1024 * 1024  # of a reply: the children of one znode, some 40,000 names
+SET_WATCHES_BYTES_MAX = 128 * 1024  # of paths in one SetWatches request; servers accept 1 MiB
+# Transaction ids of replies that answer no queued request.
 WATCH_XID, PING_XID, AUTH_XID, SET_WATCHES_XID = -1, -2, -4, -8
 ANY_VERSION = -1
 EPHEMERAL, SEQUENTIAL = 1, 2  # bits of create's flags
 
 
 @unique
-class Op(IntEnum):
+class OpCode(IntEnum):
+    """Request types."""
+
     CREATE = 1
     DELETE = 2
     EXISTS = 3
@@ -36,8 +42,8 @@
 
 
 @unique
-class Code(IntEnum):
-    """KeeperException's codes, those that are told apart here."""
+class ErrorCode(IntEnum):
+    """KeeperException's codes, as far as they have a name here."""
 
     NO_NODE = -101
     NO_AUTH = -102
@@ -49,22 +55,22 @@
 
 
 @unique
-class Happened(IntEnum):
-    """What a watch tells."""
+class WatchEvent(IntEnum):
+    """What a watch reports."""
 
     CREATED = 1
     DELETED = 2
-    CHANGED = 3
-    CHILDREN = 4
+    DATA_CHANGED = 3
+    CHILDREN_CHANGED = 4
 
 
-class BadRecord(Exception):
-    """Bytes of a server that are no record."""
+class MalformedRecordError(Exception):
+    """Bytes of a server that do not follow the protocol."""
 
 
 @dataclass(frozen=True, slots=True)
 class Stat:
-    """A node's versions; times in milliseconds of Unix time, by the leader's clock."""
+    """A znode's metadata; times in milliseconds of Unix time, by the leader's clock."""
 
     czxid: int
     mzxid: int
@@ -73,153 +79,199 @@
     version: int
     cversion: int
     aversion: int
-    owner: int
-    length: int
-    children: int
+    ephemeral_owner: int  # session id; 0: not an ephemeral znode
+    data_length: int
+    child_count: int
     pzxid: int
 
 
 @dataclass(frozen=True, slots=True)
 class Acl:
-    perms: int
+    """One entry of an access control list."""
+
+    permissions: int
     scheme: str
-    ident: str
+    identity: str
+
+
+class ReplyHeader(NamedTuple):
+    """What every reply begins with."""
+
+    xid: int
+    zxid: int  # the server's newest transaction
+    error: int  # an ErrorCode; 0: success
 
 
-ALL_PERMS, READ_PERM = 31, 1
-OPEN_ACL = (Acl(ALL_PERMS, "world", "anyone"),)
-CREATOR_ACL = (Acl(ALL_PERMS, "auth", ""), Acl(READ_PERM, "world", "anyone"))
+class ConnectResponse(NamedTuple):
+    """The server's side of the handshake."""
 
+    timeout_ms: int  # 0: the session has expired
+    session_id: int
+    password: bytes
 
-def framed(data: bytes) -> bytes:
+
+ALL_PERMISSIONS, READ_PERMISSION = 31, 1
+OPEN_ACL = (Acl(ALL_PERMISSIONS, "world", "anyone"),)
+CREATOR_ACL = (Acl(ALL_PERMISSIONS, "auth", ""), Acl(READ_PERMISSION, "world", "anyone"))
+
+
+def encode_frame(data: bytes) -> bytes:
+    """A record with the length that precedes it on the wire."""
     return _INT.pack(len(data)) + data
 
 
-def buffer(value: bytes) -> bytes:
+def encode_buffer(value: bytes) -> bytes:
+    """A byte string with its length."""
     return _INT.pack(len(value)) + value
 
 
-def text(value: str) -> bytes:
-    return buffer(value.encode())
+def encode_string(value: str) -> bytes:
+    """A string as UTF-8 with its length."""
+    return encode_buffer(value.encode())
 
 
-def texts(values: list[str]) -> bytes:
-    return _INT.pack(len(values)) + b"".join(map(text, values))
+def encode_strings(values: list[str]) -> bytes:
+    """A list of strings with its count."""
+    return _INT.pack(len(values)) + b"".join(map(encode_string, values))
 
 
-def flag(value: bool) -> bytes:
+def encode_bool(value: bool) -> bytes:
+    """One byte, 0 or 1."""
     return b"\1" if value else b"\0"
 
 
-def connect_request(seen_zxid: int, timeout_ms: int, session: int, password: bytes) -> bytes:
-    return framed(struct.pack("!iqiq", 0, seen_zxid, timeout_ms, session) + buffer(password) + flag(False))
+def encode_connect_request(last_zxid: int, timeout_ms: int, session_id: int, password: bytes) -> bytes:
+    """The handshake's first frame; a new session has id 0 and a password of zeros."""
+    fixed = struct.pack("!iqiq", 0, last_zxid, timeout_ms, session_id)
+    return encode_frame(fixed + encode_buffer(password) + encode_bool(False))
 
 
-def request(xid: int, op: int, body: bytes = b"") -> bytes:
-    return framed(struct.pack("!ii", xid, op) + body)
+def encode_request(xid: int, op: int, body: bytes = b"") -> bytes:
+    """A request's frame."""
+    return encode_frame(struct.pack("!ii", xid, op) + body)
 
 
-def create(path: str, data: bytes, acl: tuple[Acl, ...], flags: int) -> bytes:
-    acls = b"".join(_INT.pack(each.perms) + text(each.scheme) + text(each.ident) for each in acl)
-    return text(path) + buffer(data) + _INT.pack(len(acl)) + acls + _INT.pack(flags)
+def encode_create(path: str, data: bytes, acl: tuple[Acl, ...], flags: int) -> bytes:
+    """The body of a create request."""
+    entries = [
+        _INT.pack(entry.permissions) + encode_string(entry.scheme) + encode_string(entry.identity)
+        for entry in acl
+    ]
+    encoded_acl = _INT.pack(len(acl)) + b"".join(entries)
+    return encode_string(path) + encode_buffer(data) + encoded_acl + _INT.pack(flags)
 
 
-def with_version(path: str, version: int) -> bytes:
-    return text(path) + _INT.pack(version)
+def encode_path_with_version(path: str, version: int) -> bytes:
+    """The body of a delete request."""
+    return encode_string(path) + _INT.pack(version)
 
 
-def set_data(path: str, data: bytes, version: int) -> bytes:
-    return text(path) + buffer(data) + _INT.pack(version)
+def encode_set_data(path: str, data: bytes, version: int) -> bytes:
+    """The body of a setData request."""
+    return encode_string(path) + encode_buffer(data) + _INT.pack(version)
 
 
-def auth(secret: str) -> bytes:
-    return _INT.pack(0) + text("digest") + buffer(secret.encode())
+def encode_auth(secret: str) -> bytes:
+    """The body of a digest authentication; `secret` is user:password."""
+    return _INT.pack(0) + encode_string("digest") + encode_buffer(secret.encode())
 
 
-def set_watches(seen_zxid: int, data: list[str], exists: list[str], children: list[str]) -> bytes:
-    return struct.pack("!q", seen_zxid) + texts(data) + texts(exists) + texts(children)
+def encode_set_watches(last_zxid: int, data: list[str], exists: list[str], children: list[str]) -> bytes:
+    """The body of a SetWatches request, by the kind of watch."""
+    return (
+        struct.pack("!q", last_zxid)
+        + encode_strings(data)
+        + encode_strings(exists)
+        + encode_strings(children)
+    )
 
 
-class Record:
-    """Reads one record from the front."""
+class RecordReader:
+    """Decodes one record from its start; every method raises MalformedRecordError."""
 
     def __init__(self, data: bytes) -> None:
         self._data = data
-        self._at = 0
+        self._offset = 0
 
-    def _unpack(self, form: struct.Struct) -> tuple[int, ...]:
+    def _unpack(self, layout: struct.Struct) -> tuple[int, ...]:
         try:
-            values: tuple[int, ...] = form.unpack_from(self._data, self._at)
+            values: tuple[int, ...] = layout.unpack_from(self._data, self._offset)
         except struct.error:
-            raise BadRecord("a record ends early") from None
-        self._at += form.size
+            raise MalformedRecordError("the record is too short") from None
+        self._offset += layout.size
         return values
 
-    def header(self) -> tuple[int, int, int]:
-        """Transaction id of the request, the server's last zxid, error."""
-        xid, zxid, error = self._unpack(_HEADER)
-        return xid, zxid, error
+    def read_header(self) -> ReplyHeader:
+        """A reply's header."""
+        return ReplyHeader(*self._unpack(_REPLY_HEADER))
 
-    def number(self) -> int:
+    def read_int(self) -> int:
+        """A 32-bit number."""
         return self._unpack(_INT)[0]
 
-    def buffer(self) -> bytes:
-        size = self.number()
-        if size < -1 or self._at + size > len(self._data):
-            raise BadRecord("a record ends early")
-        self._at += max(size, 0)
-        return self._data[self._at - max(size, 0) : self._at]
-
-    def text(self) -> str:
+    def read_buffer(self) -> bytes:
+        """A byte string; the protocol's null is an empty one."""
+        size = self.read_int()
+        if size < -1 or self._offset + size > len(self._data):
+            raise MalformedRecordError("the record is too short")
+        start = self._offset
+        self._offset += max(size, 0)
+        return self._data[start : self._offset]
+
+    def read_string(self) -> str:
+        """A UTF-8 string."""
         try:
-            return self.buffer().decode()
+            return self.read_buffer().decode()
         except UnicodeDecodeError:
-            raise BadRecord("a text is not UTF-8") from None
+            raise MalformedRecordError("a string is not UTF-8") from None
 
-    def texts(self, count: int) -> list[str]:
-        """The next texts of a list, whose count was read before."""
-        found = []
-        data, at = self._data, self._at
+    def read_strings(self, count: int) -> list[str]:
+        """The next `count` strings of a list, whose own count has been read."""
+        strings = []
+        data, offset = self._data, self._offset
         try:
-            for _ in range(count):  # in one loop: a list of names can hold thousands
-                end = at + 4 + max(_INT.unpack_from(data, at)[0], 0)
+            for _ in range(count):  # no call per string: a list of names can hold thousands
+                end = offset + 4 + max(_INT.unpack_from(data, offset)[0], 0)
                 if end > len(data):
-                    raise BadRecord("a record ends early")
-                found.append(data[at + 4 : end].decode())
-                at = end
+                    raise MalformedRecordError("the record is too short")
+                strings.append(data[offset + 4 : end].decode())
+                offset = end
         except struct.error:
-            raise BadRecord("a record ends early") from None
+            raise MalformedRecordError("the record is too short") from None
         except UnicodeDecodeError:
-            raise BadRecord("a text is not UTF-8") from None
-        self._at = at
-        return found
+            raise MalformedRecordError("a string is not UTF-8") from None
+        self._offset = offset
+        return strings
 
-    def stat(self) -> Stat:
+    def read_stat(self) -> Stat:
+        """A znode's metadata."""
         return Stat(*self._unpack(_STAT))
 
-    def connected(self) -> tuple[int, int, bytes]:
-        """Of the handshake: time-out in milliseconds (0: the session is over), session, password."""
-        _, timeout_ms, session = self._unpack(struct.Struct("!iiq"))
-        return timeout_ms, session, self.buffer()
+    def read_connect_response(self) -> ConnectResponse:
+        """The handshake's answer."""
+        _, timeout_ms, session_id = self._unpack(_CONNECT_RESPONSE)
+        return ConnectResponse(timeout_ms, session_id, self.read_buffer())
 
 
-class Splitter:
-    """Splits what a server sends into records."""
+class RecordSplitter:
+    """Splits the byte stream of a server into records."""
 
     def __init__(self) -> None:
-        self._held = bytearray()  # less than a record; bounded by MESSAGE_MOST
+        self._buffered = bytearray()  # less than one record; bounded by RECORD_BYTES_MAX
 
     def feed(self, data: bytes) -> list[bytes]:
-        self._held += data
+        """Add received bytes and return the records that they complete; raise MalformedRecordError."""
+        self._buffered += data
         records = []
-        at = 0
-        while len(self._held) - at >= 4:
-            size = _INT.unpack_from(self._held, at)[0]
-            if not 0 <= size <= MESSAGE_MOST:
-                raise BadRecord(f"a record of {size} bytes")
-            if len(self._held) - at - 4 < size:
+        offset = 0
+        while len(self._buffered) - offset >= _INT.size:
+            size = _INT.unpack_from(self._buffered, offset)[0]
+            if not 0 <= size <= RECORD_BYTES_MAX:
+                raise MalformedRecordError(f"a record of {size} bytes")
+            start = offset + _INT.size
+            if len(self._buffered) - start < size:
                 break
-            records.append(bytes(self._held[at + 4 : at + 4 + size]))
-            at += 4 + size
-        del self._held[:at]
+            records.append(bytes(self._buffered[start : start + size]))
+            offset = start + size
+        del self._buffered[:offset]
         return records
--- a/topazbank/discovery/zookeeper.py
+++ b/topazbank/discovery/zookeeper.py
@@ -1,8 +1,7 @@
-"""The ensemble as a membership source: reads and watches; what they mean is roster.py's.
+"""A ZooKeeper ensemble as an endpoint source: its reads and watches.  registration_view.py decides what they mean.
 
-Each read is made with its watch in the same request, so that nothing can happen between the two unseen, and the first
-after a connection waits for the member to have caught up with a quorum (`sync`): an empty list of one that has lost it
-says nothing.
+A read and its watch are one request, so that no change between the two is missed.  The first read after a connection
+waits (`sync`) until the member has caught up with a quorum: the empty list of a member without one means nothing.
 """
 
 from __future__ import annotations
@@ -15,68 +14,80 @@
 
 from topazbank.core.endpoint_source import EndpointList, SourceStatus
 from topazbank.core.net import Address
-from topazbank.discovery.roster import Knowledge, Roster, Step
-from topazbank.discovery.zkclient import Disconnected, Ensemble, Session, State, ZkError
-from topazbank.discovery.zkwire import Code, Happened
+from topazbank.discovery.registration_view import Connectivity, RegistrationView, ViewChange
+from topazbank.discovery.zkclient import (
+    ConnectionLossError,
+    EnsembleConfig,
+    Session,
+    SessionState,
+    ZooKeeperError,
+)
+from topazbank.discovery.zkwire import ErrorCode, WatchEvent
 
 log = logging.getLogger(__name__)
 
-_AGAIN_S = 0.5  # after a read that the ensemble refused, before it is made again
-_READS_AT_ONCE = 64  # node reads that are out: an ensemble that is back serves all sidecars at once
+_RETRY_S = 0.5  # after a list of names that the ensemble refused
+_CONCURRENT_READS_MAX = 64  # of node data: an ensemble that recovers serves all sidecars at once
 
 
 class ZooKeeperSource:
-    """Follows the nodes below `path`; tells lists to `told`."""
+    """Follows the znodes below `path`; passes lists to `on_update`, and None where no quorum is connected."""
 
     def __init__(
         self,
-        ensemble: Ensemble,
+        ensemble: EnsembleConfig,
         path: str,
-        told: Callable[[EndpointList | None], None],
+        on_update: Callable[[EndpointList | None], None],
         seed: int | None = None,
     ) -> None:
-        self.roster = Roster()
-        self.session = Session(ensemble, self._changed, self._watched, seed)
+        """`seed`: of the session's random choices."""
+        self.view = RegistrationView()
+        self.session = Session(ensemble, self._session_changed, self._watch_event_received, seed)
         self._path = path
-        self._told = told
+        self._on_update = on_update
         self._started = False
-        self._to_read: dict[str, None] = {}  # names whose data is wanted, in their order; one a node
-        self._reading: set[str] = set()  # _READS_AT_ONCE
+        self._read_queue: dict[str, None] = {}  # an ordered set of names; at most one a node
+        self._reading: set[str] = set()  # bounded by _CONCURRENT_READS_MAX
         self._listing = False
-        self._list_again = False
-        self._tasks: set[asyncio.Task[None]] = set()  # one for each read that is out
-        self._wake: asyncio.TimerHandle | None = None
+        self._list_requested = False  # while a list is being read
+        self._tasks: set[asyncio.Task[None]] = set()  # one for each read without a reply yet
+        self._release_timer: asyncio.TimerHandle | None = None
 
-    # -- What a source must offer ----------------------------------------------------------------------
+    # -- EndpointSource --------------------------------------------------------------------------------
 
     def follow(self, wanted: bool) -> None:
+        """See EndpointSource; once started, the session lasts until `stop`."""
         if wanted and not self._started:
             self._started = True
             self.session.start()
 
     def fetch(self) -> None:
-        """Tell the whole list, once a live quorum has confirmed it; at once that nobody can say, if so."""
-        if self.session.state is not State.LIVE:
-            self._told(None)
+        """Publish a snapshot once a quorum has confirmed it, or at once that no quorum is connected."""
+        if self.session.state is not SessionState.CONNECTED:
+            self._on_update(None)
             return
-        self.roster.restart()
+        self.view.request_snapshot()
         self._spawn(self._list(sync=True))
 
     def move(self, address: Address) -> None:
-        """Where the registry is does not matter here."""
+        """See EndpointSource; the registry's address does not matter here."""
 
     def stop(self) -> None:
+        """End the session without closing it, and all reads."""
         self.session.stop()
         for task in list(self._tasks):
             task.cancel()
-        if self._wake is not None:
-            self._wake.cancel()
+        if self._release_timer is not None:
+            self._release_timer.cancel()
 
     def standing(self) -> tuple[SourceStatus, ...]:
-        live = self.roster.knowledge is Knowledge.LIVE
-        return (SourceStatus("zookeeper", live, self._now() if live else self.roster.heard_at),)
+        """See EndpointSource."""
+        connected = self.view.connectivity is Connectivity.CONNECTED
+        last_contact_at = self._now() if connected else self.view.last_contact_at
+        return (SourceStatus("zookeeper", connected, last_contact_at),)
 
     def source_of(self, name: str) -> str:
+        """See EndpointSource."""
         return "zookeeper"
 
     # -- Session and watches ---------------------------------------------------------------------------
@@ -84,25 +95,25 @@
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def _changed(self, state: State) -> None:
-        log.info("the session with the ensemble is %s", state.name.lower())
-        if state is State.LIVE:
+    def _session_changed(self, state: SessionState) -> None:
+        log.info("zookeeper: the session is %s", state.name.lower())
+        if state is SessionState.CONNECTED:
             self._spawn(self._list(sync=True))
-        elif state is not State.CLOSED:
-            self.roster.out_of_touch(self._now())
-            if state is State.EXPIRED:
-                self.roster.unwatched()
+        elif state is not SessionState.CLOSED:
+            self.view.quorum_lost(self._now())
+            if state is SessionState.EXPIRED:
+                self.view.watches_lost()
 
-    def _watched(self, happened: Happened, path: str) -> None:
+    def _watch_event_received(self, event: WatchEvent, path: str) -> None:
         if path == self._path:
-            if happened is not Happened.CHANGED:
+            if event is not WatchEvent.DATA_CHANGED:
                 self._spawn(self._list(sync=False))
             return
         name = path.rpartition("/")[2]
-        if happened is Happened.DELETED:
-            self._take(self.roster.node_gone(name))
-        elif happened is Happened.CHANGED:
-            self._take(self.roster.node_changed(name))
+        if event is WatchEvent.DELETED:
+            self._apply(self.view.node_removed(name))
+        elif event is WatchEvent.DATA_CHANGED:
+            self._apply(self.view.node_changed(name))
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -112,85 +123,97 @@
     # -- Reads -----------------------------------------------------------------------------------------
 
     async def _list(self, sync: bool) -> None:
-        """Read the names, with a watch; while that is out another wish for it waits."""
+        """Read the names, with a watch; a request meanwhile is served by one more read afterwards."""
         if self._listing:
-            self._list_again = True
+            self._list_requested = True
             return
         self._listing = True
         try:
-            if sync:
-                await self.session.sync(self._path)
-            names, stat = await self.session.children(self._path, watch=True)
-            known = set(self.roster.entries)
-            step = self.roster.names_read(self._now(), names, stat.pzxid)
-            if sync:  # what changed on nodes that stay is told by their watches, which were set anew
-                step.read += sorted(name for name in known & self.roster.entries.keys() if self._unread(name))
-            self._take(step)
-        except Disconnected:
+            await self._read_names(sync)
+        except ConnectionLossError:
             pass  # the next connection begins with a list
-        except ZkError as error:
-            if error.code != Code.NO_NODE:
-                log.warning("the ensemble does not list %s: %s", self._path, error)
-            self._take(self._absent() if error.code == Code.NO_NODE else Step())
-            asyncio.get_running_loop().call_later(_AGAIN_S, self._retry)
+        except ZooKeeperError as error:
+            self._list_refused(error)
         finally:
             self._listing = False
-        if self._list_again:
-            self._list_again = False
+        if self._list_requested:
+            self._list_requested = False
             self._spawn(self._list(sync=False))
 
-    def _unread(self, name: str) -> bool:
-        return self.roster.is_unread(name) and name not in self._reading
-
-    def _absent(self) -> Step:
-        """The path itself is not there: nothing has ever been registered, by a live quorum's word."""
-        return self.roster.names_read(self._now(), (), max(self.session.zxid, 0))
-
-    def _retry(self) -> None:
-        if self.session.state is State.LIVE:
+    async def _read_names(self, sync: bool) -> None:
+        if sync:
+            await self.session.sync(self._path)
+        names, stat = await self.session.get_children(self._path, watch=True)
+        former = set(self.view.nodes)
+        change = self.view.names_listed(self._now(), names, stat.pzxid)
+        if sync:  # nodes that stay and are not unread have their watches set again, which report any change
+            staying = former & self.view.nodes.keys()
+            change.nodes_to_read += sorted(name for name in staying if self._needs_read(name))
+        self._apply(change)
+
+    def _needs_read(self, name: str) -> bool:
+        return self.view.is_unread(name) and name not in self._reading
+
+    def _list_refused(self, error: ZooKeeperError) -> None:
+        """The list is retried; a path that does not exist means that no node has ever registered."""
+        change = ViewChange()
+        if error.code == ErrorCode.NO_NODE:
+            change = self.view.names_listed(self._now(), (), max(self.session.zxid, 0))
+        else:
+            log.warning("zookeeper: %s can't be listed: %s", self._path, error)
+        self._apply(change)
+        asyncio.get_running_loop().call_later(_RETRY_S, self._retry_list)
+
+    def _retry_list(self) -> None:
+        if self.session.state is SessionState.CONNECTED:
             self._spawn(self._list(sync=False))
 
-    async def _read(self, name: str) -> None:
+    async def _read_node(self, name: str) -> None:
         try:
             data, stat = await self.session.get(f"{self._path}/{name}", watch=True)
-        except Disconnected:
+        except ConnectionLossError:
             return  # it is read again with the next list
-        except ZkError as error:
-            if error.code != Code.NO_NODE:
-                log.warning("node %s can't be read: %s", name, error)
-            self._take(self.roster.node_gone(name))
+        except ZooKeeperError as error:
+            if error.code != ErrorCode.NO_NODE:
+                log.warning("zookeeper: node %s can't be read: %s", name, error)
+            self._apply(self.view.node_removed(name))
             return
         finally:
             self._reading.discard(name)
-            self._read_more()
+            self._start_reads()
         now_ms = time.time_ns() // 1_000_000
-        self._take(self.roster.node_read(self._now(), name, data, stat.czxid, stat.mzxid, now_ms))
-
-    def _read_more(self) -> None:
-        while self._to_read and len(self._reading) < _READS_AT_ONCE and self.session.state is State.LIVE:
-            name = next(iter(self._to_read))
-            del self._to_read[name]
-            if name not in self._reading and name in self.roster.entries:
+        self._apply(self.view.node_read(self._now(), name, data, stat.czxid, stat.mzxid, now_ms))
+
+    def _start_reads(self) -> None:
+        """Begin queued reads of node data, up to the limit."""
+        while (
+            self._read_queue
+            and len(self._reading) < _CONCURRENT_READS_MAX
+            and self.session.state is SessionState.CONNECTED
+        ):
+            name = next(iter(self._read_queue))
+            del self._read_queue[name]
+            if name not in self._reading and name in self.view.nodes:
                 self._reading.add(name)
-                self._spawn(self._read(name))
-
-    # -- What is told ----------------------------------------------------------------------------------
-
-    def _take(self, step: Step) -> None:
-        self._to_read.update(dict.fromkeys(step.read))
-        self._read_more()
-        if step.complete or step.lines:
-            self._told(EndpointList(self.roster.version, step.complete, step.lines))
-        self._set_wake()
-
-    def _set_wake(self) -> None:
-        at = self.roster.next_wake()
-        if self._wake is not None:
-            self._wake.cancel()
-            self._wake = None
-        if at is not None:
-            self._wake = asyncio.get_running_loop().call_at(at, self._woke)
-
-    def _woke(self) -> None:
-        self._wake = None
-        self._take(self.roster.woke(self._now()))
+                self._spawn(self._read_node(name))
+
+    # -- Updates ---------------------------------------------------------------------------------------
+
+    def _apply(self, change: ViewChange) -> None:
+        self._read_queue.update(dict.fromkeys(change.nodes_to_read))
+        self._start_reads()
+        if change.is_snapshot or change.updates:
+            self._on_update(EndpointList(self.view.version, change.is_snapshot, change.updates))
+        self._schedule_release()
+
+    def _schedule_release(self) -> None:
+        release_at = self.view.next_release_at()
+        if self._release_timer is not None:
+            self._release_timer.cancel()
+            self._release_timer = None
+        if release_at is not None:
+            self._release_timer = asyncio.get_running_loop().call_at(release_at, self._release_due)
+
+    def _release_due(self) -> None:
+        self._release_timer = None
+        self._apply(self.view.release_held(self._now()))
--- a/topazbank/operations/service.py
+++ b/topazbank/operations/service.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from topazbank.core.driver import Components, Sidecar, SidecarConfig
-from topazbank.discovery.list_format import list_to_json, parse_list
+from topazbank.discovery.list_format import encode_list, parse_list
 from topazbank.operations.admin_api import AdminApi, Calls
 from topazbank.operations.handover import Handover, inherit
 from topazbank.operations.upgrade import parts
@@ -86,7 +86,7 @@
         """What the next process is told."""
         known = self.sidecar.known
         clients, nodes = self.sidecar.open
-        told = {"list": list_to_json(known.version, known.lines), "clients": clients, "nodes": nodes}
+        told = {"list": encode_list(known.version, known.lines), "clients": clients, "nodes": nodes}
         return told | ({"tier": self.sidecar.tier} if self.sidecar.tier else {})
 
     def _share(self, shared: bool) -> None:
--- a/topazbank/plan.py
+++ b/topazbank/plan.py
@@ -18,7 +18,7 @@
 
 from topazbank.core.net import Address, parse_address
 from topazbank.planning import record
-from topazbank.roster import ask
+from topazbank.roster import fetch_admin_report
 
 _WAIT_S = 5.0
 _EVERY_S = 1.0  # between two records: a planner's own rates fade over as much
@@ -80,7 +80,7 @@
 
 def ask_forwarder(address: Address) -> dict[str, Any]:
     """Raise OSError or ValueError where there is no plan to be had."""
-    plan = ask(address).get("plan")
+    plan = fetch_admin_report(address).get("plan")
     if plan is None:
         raise ValueError("it has no [planning] planners")
     return dict(plan)
--- a/topazbank/planning/election.py
+++ b/topazbank/planning/election.py
@@ -13,8 +13,14 @@
 from contextlib import suppress
 
 from topazbank.discovery import zkwire
-from topazbank.discovery.zkclient import Disconnected, Ensemble, Session, State, ZkError
-from topazbank.discovery.zkwire import Code, Happened
+from topazbank.discovery.zkclient import (
+    ConnectionLossError,
+    EnsembleConfig,
+    Session,
+    SessionState,
+    ZooKeeperError,
+)
+from topazbank.discovery.zkwire import ErrorCode, WatchEvent
 
 log = logging.getLogger(__name__)
 
@@ -28,7 +34,7 @@
 
     def __init__(
         self,
-        ensemble: Ensemble,
+        ensemble: EnsembleConfig,
         path: str,
         name: str,
         changed: Callable[[int | None], None],
@@ -59,15 +65,15 @@
             self._task.cancel()
         await self._session.close()
 
-    def _changed(self, state: State) -> None:
-        if state is State.LIVE:
+    def _changed(self, state: SessionState) -> None:
+        if state is SessionState.CONNECTED:
             self._wanted.set()
             return
         self._lead(None)
-        if state is State.EXPIRED:
+        if state is SessionState.EXPIRED:
             self._node = None
 
-    def _watched(self, happened: Happened, path: str) -> None:
+    def _watched(self, happened: WatchEvent, path: str) -> None:
         self._wanted.set()
 
     def _lead(self, epoch: int | None) -> None:
@@ -80,10 +86,10 @@
         while True:
             await self._wanted.wait()
             self._wanted.clear()
-            with suppress(Disconnected):  # it is wanted again when the session is back
+            with suppress(ConnectionLossError):  # it is wanted again when the session is back
                 try:
                     await self._stand()
-                except ZkError as error:
+                except ZooKeeperError as error:
                     log.warning("the election goes on: %s", error)
                     await asyncio.sleep(_AGAIN_S)
                     self._wanted.set()
@@ -102,15 +108,15 @@
             return
         place = names.index(self._node)
         if place == 0:
-            with suppress(ZkError):
+            with suppress(ZooKeeperError):
                 await self._session.get(f"{self._path}/{self._node}", watch=True)
             self._lead(_number(self._node) + 1)
             return
         self._lead(None)
         try:
             await self._session.get(f"{self._path}/{names[place - 1]}", watch=True)
-        except ZkError as error:
-            if error.code != Code.NO_NODE:
+        except ZooKeeperError as error:
+            if error.code != ErrorCode.NO_NODE:
                 raise
             self._wanted.set()  # it went between the two reads
 
@@ -118,9 +124,9 @@
         mine = self._name.encode()
         for name in await self._candidates():
             # An answer that was lost with its connection: the node may be there already.
-            with suppress(ZkError):
+            with suppress(ZooKeeperError):
                 data, stat = await self._session.get(f"{self._path}/{name}")
-                if data == mine and stat.owner == self._session.ident:
+                if data == mine and stat.ephemeral_owner == self._session.session_id:
                     self._node = name
                     return
         made = await self._session.create(f"{self._path}/{_PREFIX}", mine, self._acl, _FLAGS)
@@ -128,11 +134,11 @@
 
     async def _candidates(self) -> list[str]:
         try:
-            names, _ = await self._session.children(self._path)
-        except ZkError as error:
-            if error.code != Code.NO_NODE:
+            names, _ = await self._session.get_children(self._path)
+        except ZooKeeperError as error:
+            if error.code != ErrorCode.NO_NODE:
                 raise
-            await self._session.make_path(self._path, self._acl)
+            await self._session.ensure_path(self._path, self._acl)
             return []
         return [each for each in names if each.startswith(_PREFIX)]
 
--- a/topazbank/planning/server.py
+++ b/topazbank/planning/server.py
@@ -209,11 +209,11 @@
     await server.start(given.listen)
     election = None
     if not by_rank:
-        from topazbank.discovery.zkclient import Ensemble
+        from topazbank.discovery.zkclient import EnsembleConfig
         from topazbank.planning.election import Election
 
         place = operator.membership.zookeeper
-        ensemble = Ensemble(place.members, place.session_timeout_s, place.chroot, place.secret)
+        ensemble = EnsembleConfig(place.members, place.session_timeout_s, place.chroot, place.secret)
         election = Election(ensemble, "/lodge/planners", name, server.lead)
         election.start()
     stop = asyncio.Event()
--- a/topazbank/roster.py
+++ b/topazbank/roster.py
@@ -1,4 +1,4 @@
-"""Prints the roster as a sidecar sees it: `python -m topazbank.roster HOST:PORT`.
+"""Prints the endpoint list as a sidecar has it: `python -m topazbank.roster HOST:PORT`.
 
 The sidecar's operator file must allow it: `[admin]` with `roster = true`.
 """
@@ -13,50 +13,59 @@
 
 from topazbank.core.net import Address, parse_address
 
-_WAIT_S = 5.0
+_TIMEOUT_S = 5.0
+_REPORT_PATH = "/admin/roster"
+_HTTP_OK = 200
 
 
-def table(told: dict[str, Any]) -> list[str]:
-    """The sources and the nodes, a line each."""
+def format_endpoint_table(report: dict[str, Any]) -> list[str]:
+    """The sources and the endpoints of a sidecar's report, a line each."""
     lines = [f"{'source':<12}{'can know':<10}{'last in touch':>14}"]
-    for each in told["sources"]:
-        age = "never" if each["age_s"] is None else f"{each['age_s']:.1f} s ago"
-        lines.append(f"{each['source']:<12}{'yes' if each['can_know'] else 'no':<10}{age:>14}")
+    lines += [_source_row(source) for source in report["sources"]]
     lines += ["", f"{'node':<20}{'state':<10}{'address':<22}{'speaks':<13}{'source':<12}{'told':>12}"]
-    for each in told["nodes"]:
-        lines.append(
-            f"{each['name']:<20}{each['state']:<10}{each['address']:<22}{each['protocol']:<13}"
-            f"{each['source']:<12}{each['age_s']:>8.1f} s ago"
-        )
+    lines += [_endpoint_row(endpoint) for endpoint in report["nodes"]]
     return lines
 
 
-def ask(address: Address) -> dict[str, Any]:
-    """A sidecar's account of itself; raise OSError or ValueError where there is none."""
-    connection = http.client.HTTPConnection(*address, timeout=_WAIT_S)
+def _source_row(source: dict[str, Any]) -> str:
+    age = "never" if source["age_s"] is None else f"{source['age_s']:.1f} s ago"
+    return f"{source['source']:<12}{'yes' if source['can_know'] else 'no':<10}{age:>14}"
+
+
+def _endpoint_row(endpoint: dict[str, Any]) -> str:
+    return (
+        f"{endpoint['name']:<20}{endpoint['state']:<10}{endpoint['address']:<22}{endpoint['protocol']:<13}"
+        f"{endpoint['source']:<12}{endpoint['age_s']:>8.1f} s ago"
+    )
+
+
+def fetch_admin_report(address: Address) -> dict[str, Any]:
+    """A sidecar's report on its own state, decoded from JSON; raise OSError or ValueError where there is none."""
+    connection = http.client.HTTPConnection(*address, timeout=_TIMEOUT_S)
     try:
-        connection.request("GET", "/admin/roster")
-        answer = connection.getresponse()
-        body = answer.read()
-    except http.client.HTTPException as fault:
-        raise OSError(str(fault)) from None
+        connection.request("GET", _REPORT_PATH)
+        response = connection.getresponse()
+        body = response.read()
+    except http.client.HTTPException as error:
+        raise OSError(str(error)) from None
     finally:
         connection.close()
-    if answer.status != 200:
-        raise ValueError(f"status {answer.status}; is [admin] roster on?")
+    if response.status != _HTTP_OK:
+        raise ValueError(f"status {response.status}; is [admin] roster on?")
     return dict(json.loads(body))
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Print the endpoint list of the sidecar named on the command line; return the exit status."""
     parser = argparse.ArgumentParser(prog="topazbank.roster", description=(__doc__ or "").split("\n")[0])
     parser.add_argument("address", metavar="HOST:PORT", help="where the sidecar listens")
-    given = parser.parse_args(argv)
+    arguments = parser.parse_args(argv)
     try:
-        told = ask(parse_address(given.address))
-    except (OSError, ValueError) as fault:
-        print(f"no roster from {given.address}: {fault}", file=sys.stderr)
+        report = fetch_admin_report(parse_address(arguments.address))
+    except (OSError, ValueError) as error:
+        print(f"no roster from {arguments.address}: {error}", file=sys.stderr)
         return 1
-    print("\n".join(table(told)))
+    print("\n".join(format_endpoint_table(report)))
     return 0
 
 
--- a/topazbank/wiring.py
+++ b/topazbank/wiring.py
@@ -123,8 +123,8 @@
 
 
 def _zookeeper(given: ZooKeeper, seed: int | None, told: Hear) -> EndpointSource:
-    from topazbank.discovery.zkclient import Ensemble
+    from topazbank.discovery.zkclient import EnsembleConfig
     from topazbank.discovery.zookeeper import ZooKeeperSource
 
-    ensemble = Ensemble(given.members, given.session_timeout_s, given.chroot, given.secret)
+    ensemble = EnsembleConfig(given.members, given.session_timeout_s, given.chroot, given.secret)
     return ZooKeeperSource(ensemble, given.path, told, seed)
