--- a/testbed/demo/__main__.py
+++ b/testbed/demo/__main__.py
@@ -153,7 +153,7 @@
     given |= {
         "listen": place(listen),
         "discovery": place(fleet.registry.address),
-        "known": fleet.registry.whole(),
+        "known": fleet.registry.snapshot(),
     }
     path = folder / "config.json"
     path.write_text(json.dumps(given), encoding="utf-8")
--- a/testbed/fleet/scenarios.py
+++ b/testbed/fleet/scenarios.py
@@ -94,7 +94,7 @@
     ensemble = rig.ensemble
     ensemble.lose_leader(0.3)
     await asyncio.sleep(pace)
-    ensemble.members[0].lag_s, ensemble.disk_s = 0.1, 0.05
+    ensemble.members[0].apply_delay_s, ensemble.commit_delay_s = 0.1, 0.05
     ensemble.cut(1)
     await rig.leave("n-3", after_s=0.6)
     ensemble.heal(1)
@@ -105,7 +105,7 @@
     ensemble.run_clock(3.0)
     await asyncio.sleep(pace)
     ensemble.run_clock(1.0)
-    ensemble.members[0].lag_s = ensemble.disk_s = 0.0
+    ensemble.members[0].apply_delay_s = ensemble.commit_delay_s = 0.0
     await rig.launch("n-0", cold_s=COLD_S)
     await asyncio.sleep(pace)
 
--- a/testbed/fleet/synthetic_peers.py
+++ b/testbed/fleet/synthetic_peers.py
@@ -342,7 +342,7 @@
         self.workers = [
             Part("worker", Crowd(
                 a, b - a, self.rate, self._seed * 1000 + a, self.registry.address,
-                self.registry.whole(), self.given,
+                self.registry.snapshot(), self.given,
             ))
             for a, b in itertools.pairwise(edges)
         ]  # fmt: skip
@@ -395,7 +395,7 @@
 
     async def _restart(self) -> None:
         """All end; two fifths of the nodes are replaced; all come back with the list of before."""
-        known = self.registry.whole()
+        known = self.registry.snapshot()
         names = list(self.registry.entries)
         dead = random.Random(self._seed).sample(names, int(DEAD_PART * len(names)))
         await self.all("end")
--- a/testbed/fleet/wide.py
+++ b/testbed/fleet/wide.py
@@ -154,7 +154,7 @@
                 self._seed * 1000 + first,
                 self.registry.address,
                 self.planners.addresses,
-                self.registry.whole(),
+                self.registry.snapshot(),
                 settings,
             )
             self._workers.append(WorkerProcess(spec))
--- a/testbed/registry/__init__.py
+++ b/testbed/registry/__init__.py
@@ -1,69 +1,82 @@
-"""The registry: whole lists and watches over HTTP, as the platform's discovery answers them."""
+"""The platform's registry over HTTP: snapshots, polls for changes and watches."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 import json
+from dataclasses import dataclass
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
 from testbed.wire import Asked, Listening, Reply, read_http
 
-_CHANGES_MOST = 1000  # kept for watches; an older one gets the whole list
+_CHANGES_MAX = 1000  # that are kept; a client that is further behind gets a snapshot
+_WATCH_MAX_S = 60.0
+
+Entry = dict[str, Any]  # an endpoint in the platform's JSON form
+
+
+@dataclass(frozen=True, slots=True)
+class _Change:
+    index: int
+    entry: Entry
 
 
 class Registry(Listening):
-    """Holds entries by name; `put` and `remove` are told to every watch."""
+    """Entries by name; `put` and `remove` answer every watch."""
 
     def __init__(self) -> None:
-        self.index = 0
-        self.entries: dict[str, dict[str, Any]] = {}
+        self.index = 0  # of the newest change
+        self.entries: dict[str, Entry] = {}
         self.calls = 0
-        self._changes: list[tuple[int, dict[str, Any]]] = []
-        self._news = asyncio.Event()
+        self._changes: list[_Change] = []
+        self._next_change = asyncio.Event()  # replaced with each change
 
-    def put(self, *entries: dict[str, Any]) -> None:
+    def put(self, *entries: Entry) -> None:
+        """Add or replace entries, each as a change of its own."""
         for entry in entries:
             self.entries[entry["name"]] = entry
-            self._changed(entry)
+            self._add_change(entry)
 
     def remove(self, name: str) -> None:
+        """Remove an entry, if there is one."""
         entry = self.entries.pop(name, None)
         if entry is not None:
-            self._changed(entry | {"status": "left"})
+            self._add_change(entry | {"status": "left"})
 
-    def _changed(self, entry: dict[str, Any]) -> None:
+    def _add_change(self, entry: Entry) -> None:
         self.index += 1
-        self._changes = [*self._changes, (self.index, entry)][-_CHANGES_MOST:]
-        self._news.set()
-        self._news = asyncio.Event()
+        self._changes = [*self._changes, _Change(self.index, entry)][-_CHANGES_MAX:]
+        self._next_change.set()
+        self._next_change = asyncio.Event()
 
-    def whole(self) -> dict[str, Any]:
+    def snapshot(self) -> dict[str, Any]:
+        """The complete list, as a call without `after` returns it."""
         return {"index": self.index, "snapshot": True, "endpoints": list(self.entries.values())}
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             while True:
-                asked = await read_http(reader)
+                request = await read_http(reader)
                 self.calls += 1
-                told = await self._answer(asked)
-                writer.write(Reply(200, json.dumps(told).encode()).http())
-                if asked.headers.get("connection") == "close":
+                document = await self._answer(request)
+                writer.write(Reply(200, json.dumps(document).encode()).http())
+                if request.headers.get("connection") == "close":
                     await writer.drain()
                     break
         writer.close()
 
-    async def _answer(self, asked: Asked) -> dict[str, Any]:
-        query = parse_qs(urlsplit(asked.path).query)
+    async def _answer(self, request: Asked) -> dict[str, Any]:
+        query = parse_qs(urlsplit(request.path).query)
         if "after" not in query:
-            return self.whole()
+            return self.snapshot()
         after, wait_s = int(query["after"][0]), int(query.get("wait_ms", ["0"])[0]) / 1000
         if after >= self.index:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._news.wait(), min(wait_s, 60.0))
-        since = self._changes[0][0] if self._changes else self.index + 1
-        if after + 1 < since and after < self.index:
-            return self.whole()
-        changed = [entry for index, entry in self._changes if index > after]
+                await asyncio.wait_for(self._next_change.wait(), min(wait_s, _WATCH_MAX_S))
+        oldest_kept = self._changes[0].index if self._changes else self.index + 1
+        if after + 1 < oldest_kept and after < self.index:
+            return self.snapshot()
+        changed = [change.entry for change in self._changes if change.index > after]
         return {"index": self.index, "snapshot": False, "endpoints": changed}
--- a/testbed/registry/__main__.py
+++ b/testbed/registry/__main__.py
@@ -1,12 +1,13 @@
 """Runs the registry: `python -m testbed.registry --listen 127.0.0.1:8500 --entries nodes.json`.
 
-The file holds a list of entries; SIGHUP reads it again, and what is missing from it has left.
+The file holds a list of entries; SIGHUP reads it again, and an entry that is missing from it then is removed.
 """
 
 from __future__ import annotations
 
 import argparse
 import asyncio
+import contextlib
 import json
 import signal
 
@@ -15,31 +16,33 @@
 
 
 def load(registry: Registry, path: str) -> None:
+    """Make the registry's entries those of the file."""
     with open(path, encoding="utf-8") as file:
-        entries = {each["name"]: each for each in json.load(file)}
-    for name in [each for each in registry.entries if each not in entries]:
+        entries = {entry["name"]: entry for entry in json.load(file)}
+    for name in [name for name in registry.entries if name not in entries]:
         registry.remove(name)
-    registry.put(*(each for name, each in entries.items() if registry.entries.get(name) != each))
+    registry.put(*(entry for name, entry in entries.items() if registry.entries.get(name) != entry))
 
 
-async def run(given: argparse.Namespace) -> None:
+async def run(arguments: argparse.Namespace) -> None:
+    """Run until cancelled."""
     registry = Registry()
-    host, _, port = given.listen.rpartition(":")
+    host, _, port = arguments.listen.rpartition(":")
     await registry.start(host, int(port))
-    load(registry, given.entries)
+    load(registry, arguments.entries)
     print(f"the registry listens at {place(registry.address)}", flush=True)
-    asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, load, registry, given.entries)
+    loop = asyncio.get_running_loop()
+    loop.add_signal_handler(signal.SIGHUP, load, registry, arguments.entries)
     await asyncio.Event().wait()
 
 
 def main() -> None:
+    """Run the registry that the command line describes."""
     parser = argparse.ArgumentParser(prog="testbed.registry", description=__doc__)
     parser.add_argument("--listen", default="127.0.0.1:0", metavar="HOST:PORT")
     parser.add_argument("--entries", required=True, metavar="FILE", help="a JSON list of entries")
-    try:
+    with contextlib.suppress(KeyboardInterrupt):
         asyncio.run(run(parser.parse_args()))
-    except KeyboardInterrupt:
-        pass
 
 
 if __name__ == "__main__":
--- a/testbed/registry/faulty.py
+++ b/testbed/registry/faulty.py
@@ -1,7 +1,7 @@
-"""A registry whose calls can go wrong: refused, held and then refused, never answered, or answered late.
+"""A registry whose calls fail: refused, refused late, never answered, reset, or answered late.
 
-What is wrong holds for the calls that begin meanwhile: one that was swallowed stays so when all is well again, as when
-a machine between the two has forgotten its connection.
+A fault holds for the calls that begin while it lasts: one that is never answered stays so after the fault has ended, as
+when a machine between client and registry has lost its connection.
 """
 
 from __future__ import annotations
@@ -18,44 +18,44 @@
 
 
 @unique
-class Trouble(Enum):
-    """What becomes of a call that begins now."""
+class Fault(Enum):
+    """What happens to a call that begins now; the values are those of schedules."""
 
     NONE = "none"
     REFUSED = "refused"  # 503 at once
-    HELD = "held"  # 503 after `held_s`, as by a service with too many callers
-    SWALLOWED = "swallowed"  # never answered, however long its caller waits
+    REFUSED_LATE = "held"  # 503 after `refusal_delay_s`, as by an overloaded service
+    UNANSWERED = "swallowed"  # however long its client waits
     RESET = "reset"
-    LATE = "late"  # answered, `late_s` after it came
+    ANSWERED_LATE = "late"  # after `answer_delay_s`
 
 
 @dataclass(frozen=True, slots=True)
 class ListCall:
-    """One call for the list, as it came."""
+    """One call for the list."""
 
-    at: float  # on the monotonic clock, seconds
+    received_at: float  # monotonic clock, s
     path: str
-    trouble: Trouble
+    fault: Fault
 
 
 class FaultyRegistry(Registry):
-    """The registry, with one trouble at a time."""
+    """The registry, with one fault at a time."""
 
-    def __init__(self, held_s: float = 2.0, late_s: float = 0.8) -> None:
+    def __init__(self, refusal_delay_s: float = 2.0, answer_delay_s: float = 0.8) -> None:
         super().__init__()
-        self.trouble = Trouble.NONE
-        self.held_s = held_s
-        self.late_s = late_s
+        self.fault = Fault.NONE
+        self.refusal_delay_s = refusal_delay_s
+        self.answer_delay_s = answer_delay_s
         self.list_calls: list[ListCall] = []
-        self.failed = 0  # calls that were told to have failed
+        self.refused_calls = 0  # that were answered with 503
         self._open: set[asyncio.StreamWriter] = set()
 
-    def count(self, trouble: Trouble) -> int:
-        """How many calls met this."""
-        return sum(each.trouble is trouble for each in self.list_calls)
+    def count(self, fault: Fault) -> int:
+        """How many calls met this fault."""
+        return sum(call.fault is fault for call in self.list_calls)
 
     def end_watches(self) -> None:
-        """Reset what waits for an answer, as when the service goes down."""
+        """Reset the calls without an answer, as when the service stops."""
         for writer in list(self._open):
             reset(writer)
 
@@ -63,30 +63,33 @@
         self._open.add(writer)
         try:
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-                await self._one(await read_http(reader), reader, writer)
+                await self._serve_call(await read_http(reader), reader, writer)
         finally:
             self._open.discard(writer)
             writer.close()
 
-    async def _one(self, asked: Asked, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        trouble = self.trouble
+    async def _serve_call(
+        self, request: Asked, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        fault = self.fault
         self.calls += 1
-        self.list_calls.append(ListCall(time.monotonic(), asked.path, trouble))
-        if trouble is Trouble.SWALLOWED:
-            await reader.read()  # until its caller gives it up
-            return
-        if trouble is Trouble.RESET:
+        self.list_calls.append(ListCall(time.monotonic(), request.path, fault))
+        if fault is Fault.UNANSWERED:
+            await reader.read()  # until its client closes the connection
+        elif fault is Fault.RESET:
             reset(writer)
-            return
-        if trouble is Trouble.HELD:
-            await asyncio.sleep(self.held_s)
-        if trouble in (Trouble.HELD, Trouble.REFUSED):
-            writer.write(Reply(503, b"").http())
+        elif fault in (Fault.REFUSED, Fault.REFUSED_LATE):
+            await self._refuse(writer, self.refusal_delay_s if fault is Fault.REFUSED_LATE else None)
+        else:
+            if fault is Fault.ANSWERED_LATE:
+                await asyncio.sleep(self.answer_delay_s)
+            document = await self._answer(request)
+            writer.write(Reply(200, json.dumps(document).encode()).http())
             await writer.drain()
-            self.failed += 1
-            return
-        if trouble is Trouble.LATE:
-            await asyncio.sleep(self.late_s)
-        told = await self._answer(asked)
-        writer.write(Reply(200, json.dumps(told).encode()).http())
+
+    async def _refuse(self, writer: asyncio.StreamWriter, delay_s: float | None) -> None:
+        if delay_s is not None:
+            await asyncio.sleep(delay_s)
+        writer.write(Reply(503, b"").http())
         await writer.drain()
+        self.refused_calls += 1
--- a/testbed/soak/harness.py
+++ b/testbed/soak/harness.py
@@ -21,7 +21,7 @@
 from testbed.cluster.scenarios import REGISTRY, Step
 from testbed.fleet.invariants import ATTEMPTS_MOST, Reached, Verdicts
 from testbed.fleet.invariants import judge as judge_rules
-from testbed.registry.faulty import FaultyRegistry, Trouble
+from testbed.registry.faulty import Fault, FaultyRegistry
 from testbed.soak.faults import Soak
 from testbed.soak.notices import Change, History, Span, words
 from testbed.soak.restarts import Crowd, LastingClients
@@ -128,15 +128,15 @@
     # -- Discovery, signals, restarts ------------------------------------------------------------------
 
     def _trouble(self, step: Step) -> None:
-        trouble = Trouble.NONE if step.do == "registry_well" else Trouble(step.do.removeprefix("registry_"))
-        if trouble is Trouble.NONE:
+        trouble = Fault.NONE if step.do == "registry_well" else Fault(step.do.removeprefix("registry_"))
+        if trouble is Fault.NONE:
             # What was begun in a trouble may last: a late or held call ends by then, or as its caller gives it up.
             self._history.troubles.append(Span(self._trouble_began, now()))
         else:
             self._trouble_began = now()
-            if trouble is not Trouble.LATE:
+            if trouble is not Fault.ANSWERED_LATE:
                 self._faulty.end_watches()
-        self._faulty.trouble = trouble
+        self._faulty.fault = trouble
 
     def _reload(self, member: Member, moves: bool) -> None:
         """SIGHUP, with a configuration that names another way to discovery, or the same."""
@@ -153,7 +153,7 @@
     async def start(self) -> None:
         await super().start()
         await self._way(SECOND_WAY, self.registry.address)
-        self._first_list = self.registry.whole()
+        self._first_list = self.registry.snapshot()
 
     def _more_configuration(self, member: Member) -> dict[str, Any]:
         """Where discovery is for this sidecar, and the list of the beginning, as old as that may be by now."""
--- a/testbed/zookeeper/__main__.py
+++ b/testbed/zookeeper/__main__.py
@@ -17,23 +17,21 @@
 
 from testbed.wire import Listening, place
 from testbed.zookeeper import Ensemble
-from testbed.zookeeper.server import Connection
-
-_PLAIN = frozenset(
-    (
-        "cut",
-        "heal",
-        "crash",
-        "restart",
-        "lose_leader",
-        "outage",
-        "restore",
-        "run_clock",
-        "expire",
-        "expire_all",
-    )
-)
-_OF_CONNECTIONS: dict[str, Callable[[Connection], None]] = {
+from testbed.zookeeper.connection import Connection
+
+_ENSEMBLE_FAULTS: dict[str, Callable[..., None]] = {
+    "cut": Ensemble.cut,
+    "heal": Ensemble.heal,
+    "crash": Ensemble.crash,
+    "restart": Ensemble.restart,
+    "lose_leader": Ensemble.lose_leader,
+    "outage": Ensemble.outage,
+    "restore": Ensemble.restore,
+    "run_clock": Ensemble.run_clock,
+    "expire": Ensemble.expire,
+    "expire_all": Ensemble.expire_all,
+}
+_CONNECTION_FAULTS: dict[str, Callable[[Connection], None]] = {
     "hold": Connection.hold_watches,
     "release": Connection.release,
     "stall": Connection.stall,
@@ -42,7 +40,7 @@
 
 
 class Control(Listening):
-    """Takes faults."""
+    """The control port."""
 
     def __init__(self, ensemble: Ensemble) -> None:
         self._ensemble = ensemble
@@ -51,44 +49,46 @@
         with contextlib.suppress(ConnectionError, asyncio.CancelledError):
             while line := await reader.readline():
                 try:
-                    answer = self.do(*json.loads(line))
-                except (ValueError, TypeError, LookupError) as bad:
-                    answer = {"error": str(bad)}
+                    answer = self.execute(*json.loads(line))
+                except (ValueError, TypeError, LookupError) as error:
+                    answer = {"error": str(error)}
                 writer.write(json.dumps(answer).encode() + b"\n")
         writer.close()
 
-    def do(self, name: str, *given: Any) -> Any:
-        """Carry one fault out; raise ValueError, TypeError or LookupError for one that makes no sense."""
+    def execute(self, name: str, *arguments: Any) -> Any:
+        """Execute one command; raise ValueError, TypeError or LookupError for an invalid one."""
         ensemble = self._ensemble
-        if name in _PLAIN:
-            getattr(ensemble, name)(*given)
+        if name in _ENSEMBLE_FAULTS:
+            _ENSEMBLE_FAULTS[name](ensemble, *arguments)
         elif name == "slow_disk":
-            ensemble.disk_s = float(given[0])
+            ensemble.commit_delay_s = float(arguments[0])
         elif name == "lag":
-            ensemble.members[given[0]].lag_s = float(given[1])
+            ensemble.members[arguments[0]].apply_delay_s = float(arguments[1])
         elif name == "sessions":
             return list(ensemble.sessions)
-        elif name in _OF_CONNECTIONS:
-            connection = ensemble.connection_of(given[0])
+        elif name in _CONNECTION_FAULTS:
+            connection = ensemble.connection_of(arguments[0])
             if connection is None:
                 raise LookupError("that session has no connection")
-            _OF_CONNECTIONS[name](connection)
+            _CONNECTION_FAULTS[name](connection)
         else:
             raise ValueError(f"no fault is called {name!r:.40}")
         return True
 
 
-async def run(given: argparse.Namespace) -> None:
-    ensemble = Ensemble(given.members, given.seed)
+async def run(arguments: argparse.Namespace) -> None:
+    """Run until cancelled."""
+    ensemble = Ensemble(arguments.members, arguments.seed)
     await ensemble.start()
     control = Control(ensemble)
-    host, _, port = given.control.rpartition(":")
+    host, _, port = arguments.control.rpartition(":")
     await control.start(host, int(port))
     print(f"the ensemble listens at {ensemble.hosts}; control at {place(control.address)}", flush=True)
     await asyncio.Event().wait()
 
 
 def main() -> None:
+    """Run the ensemble that the command line describes."""
     parser = argparse.ArgumentParser(prog="testbed.zookeeper", description=__doc__)
     parser.add_argument("--members", type=int, choices=(1, 3, 5), default=3)
     parser.add_argument("--seed", type=int, default=1)
--- a/testbed/zookeeper/jute.py
+++ b/testbed/zookeeper/jute.py
@@ -1,6 +1,6 @@
-"""ZooKeeper's wire records (zookeeper.jute, ZooDefs.java): reading and writing; no I/O.
+"""ZooKeeper's wire records (zookeeper.jute, ZooDefs.java), the server's side: read and written; no I/O.
 
-Integers are big-endian; buffers, texts and vectors begin with an int for their length, -1 for none.
+Integers are big-endian; buffers, strings and vectors begin with an int for their length, -1 for null.
 """
 
 from __future__ import annotations
@@ -9,6 +9,7 @@
 from dataclasses import dataclass, field
 
 _INT, _LONG = struct.Struct("!i"), struct.Struct("!q")
+_NULL_LENGTH = -1
 
 # Operation codes (ZooDefs.OpCode).
 CREATE, DELETE, EXISTS, GET_DATA, SET_DATA = 1, 2, 3, 4, 5
@@ -24,49 +25,54 @@
 NODE_EXISTS, NOT_EMPTY, SESSION_EXPIRED, INVALID_ACL, AUTH_FAILED = -110, -111, -112, -114, -115
 SESSION_MOVED, NOT_READ_ONLY = -118, -119
 
-# Watch events (Watcher.Event) and the state that all of them tell.
-CREATED, DELETED, CHANGED, CHILDREN = 1, 2, 3, 4
+# Watch events (Watcher.Event) and the session state that each of them carries.
+CREATED, DELETED, DATA_CHANGED, CHILDREN_CHANGED = 1, 2, 3, 4
 SYNC_CONNECTED = 3
 
 # Permissions (ZooDefs.Perms).
-READ, WRITE, MAY_CREATE, MAY_DELETE, ADMIN, ALL = 1, 2, 4, 8, 16, 31
+READ_PERMISSION, WRITE_PERMISSION, CREATE_PERMISSION, DELETE_PERMISSION, ADMIN_PERMISSION = 1, 2, 4, 8, 16
+ALL_PERMISSIONS = 31
 
+ANY_VERSION = -1
 EPHEMERAL, SEQUENTIAL = 1, 2  # bits of create's flags
 
-MESSAGE_MOST = 1024 * 1024 + 1024  # bytes of a request: jute.maxbuffer's default, and a header
+REQUEST_BYTES_MAX = 1024 * 1024 + 1024  # jute.maxbuffer's default, and a header
 
 
-class Malformed(Exception):
-    """Bytes that are no record."""
+class MalformedRecordError(Exception):
+    """Bytes of a client that do not follow the protocol."""
 
 
 @dataclass(frozen=True, slots=True)
 class Acl:
-    perms: int
+    """One entry of an access control list."""
+
+    permissions: int
     scheme: str
-    ident: str
+    identity: str
 
 
-OPEN = (Acl(ALL, "world", "anyone"),)
+OPEN_ACL = (Acl(ALL_PERMISSIONS, "world", "anyone"),)
 
 
 @dataclass(slots=True)
 class Stat:
-    """A node's versions and times, as every read tells them."""
+    """A znode's metadata, as every read returns it; times in milliseconds."""
 
     czxid: int = 0
     mzxid: int = 0
-    ctime: int = 0  # ms
+    ctime: int = 0
     mtime: int = 0
     version: int = 0
     cversion: int = 0
     aversion: int = 0
-    owner: int = 0  # the session of an ephemeral node
-    length: int = 0
-    children: int = 0
+    ephemeral_owner: int = 0  # session id; 0: not an ephemeral znode
+    data_length: int = 0
+    child_count: int = 0
     pzxid: int = 0
 
-    def write(self) -> bytes:
+    def encode(self) -> bytes:
+        """The record on the wire."""
         return struct.pack(
             "!qqqqiiiqiiq",
             self.czxid,
@@ -76,113 +82,135 @@
             self.version,
             self.cversion,
             self.aversion,
-            self.owner,
-            self.length,
-            self.children,
+            self.ephemeral_owner,
+            self.data_length,
+            self.child_count,
             self.pzxid,
         )
 
 
-class Reading:
-    """Reads one record; raise Malformed where it ends early or holds nonsense."""
+class RecordReader:
+    """Reads one record from its start; every method raises MalformedRecordError."""
 
     def __init__(self, data: bytes) -> None:
         self._data = data
-        self._at = 0
+        self._offset = 0
 
     def _take(self, size: int) -> bytes:
-        if size < 0 or self._at + size > len(self._data):
-            raise Malformed("a record ends early")
-        self._at += size
-        return self._data[self._at - size : self._at]
+        if size < 0 or self._offset + size > len(self._data):
+            raise MalformedRecordError("the record is too short")
+        self._offset += size
+        return self._data[self._offset - size : self._offset]
 
-    def i32(self) -> int:
-        return int(_INT.unpack(self._take(4))[0])
+    def read_int(self) -> int:
+        """A 32-bit number."""
+        return int(_INT.unpack(self._take(_INT.size))[0])
 
-    def i64(self) -> int:
-        return int(_LONG.unpack(self._take(8))[0])
+    def read_long(self) -> int:
+        """A 64-bit number."""
+        return int(_LONG.unpack(self._take(_LONG.size))[0])
 
-    def flag(self) -> bool:
+    def read_bool(self) -> bool:
+        """One byte."""
         return self._take(1) != b"\0"
 
-    def buffer(self) -> bytes | None:
-        size = self.i32()
-        return None if size == -1 else self._take(size)
+    def read_buffer(self) -> bytes | None:
+        """A byte string; None for the protocol's null."""
+        size = self.read_int()
+        return None if size == _NULL_LENGTH else self._take(size)
 
-    def text(self) -> str:
+    def read_string(self) -> str:
+        """A UTF-8 string; empty for the protocol's null."""
         try:
-            return (self.buffer() or b"").decode()
+            return (self.read_buffer() or b"").decode()
         except UnicodeDecodeError:
-            raise Malformed("a text is not UTF-8") from None
+            raise MalformedRecordError("a string is not UTF-8") from None
 
-    def texts(self) -> list[str]:
-        return [self.text() for _ in range(self._count())]
+    def read_strings(self) -> list[str]:
+        """A vector of strings."""
+        return [self.read_string() for _ in range(self._read_count())]
 
-    def acls(self) -> tuple[Acl, ...]:
-        return tuple(Acl(self.i32(), self.text(), self.text()) for _ in range(self._count()))
+    def read_acl(self) -> tuple[Acl, ...]:
+        """An access control list."""
+        count = self._read_count()
+        return tuple(Acl(self.read_int(), self.read_string(), self.read_string()) for _ in range(count))
 
-    def _count(self) -> int:
-        count = self.i32()
+    def _read_count(self) -> int:
+        count = self.read_int()
         if count > len(self._data):
-            raise Malformed("a vector is longer than its record")
+            raise MalformedRecordError("a vector is longer than its record")
         return max(count, 0)
 
-    def is_done(self) -> bool:
-        return self._at == len(self._data)
+    def is_at_end(self) -> bool:
+        """Whether the record has been read completely."""
+        return self._offset == len(self._data)
 
 
 @dataclass(slots=True)
-class Writing:
-    """Writes one record."""
+class RecordWriter:
+    """Writes one record; each method returns the writer."""
 
     parts: list[bytes] = field(default_factory=list)
 
-    def i32(self, *values: int) -> Writing:
-        self.parts += [_INT.pack(each) for each in values]
+    def write_int(self, *values: int) -> RecordWriter:
+        """32-bit numbers."""
+        self.parts += [_INT.pack(value) for value in values]
         return self
 
-    def i64(self, *values: int) -> Writing:
-        self.parts += [_LONG.pack(each) for each in values]
+    def write_long(self, *values: int) -> RecordWriter:
+        """64-bit numbers."""
+        self.parts += [_LONG.pack(value) for value in values]
         return self
 
-    def flag(self, value: bool) -> Writing:
-        self.parts.append(b"\1" if value else b"\0")
-        return self
+    def write_bool(self, value: bool) -> RecordWriter:
+        """One byte."""
+        return self.write_encoded(b"\1" if value else b"\0")
 
-    def buffer(self, value: bytes | None) -> Writing:
-        return self.i32(-1) if value is None else self.i32(len(value)).raw(value)
+    def write_buffer(self, value: bytes | None) -> RecordWriter:
+        """A byte string; None is the protocol's null."""
+        if value is None:
+            return self.write_int(_NULL_LENGTH)
+        return self.write_int(len(value)).write_encoded(value)
 
-    def raw(self, value: bytes) -> Writing:
+    def write_encoded(self, value: bytes) -> RecordWriter:
+        """Bytes that are encoded already."""
         self.parts.append(value)
         return self
 
-    def text(self, value: str) -> Writing:
-        return self.buffer(value.encode())
+    def write_string(self, value: str) -> RecordWriter:
+        """A string as UTF-8."""
+        return self.write_buffer(value.encode())
 
-    def texts(self, values: list[str]) -> Writing:
-        self.i32(len(values))
-        for each in values:
-            self.text(each)
+    def write_strings(self, values: list[str]) -> RecordWriter:
+        """A vector of strings."""
+        self.write_int(len(values))
+        for value in values:
+            self.write_string(value)
         return self
 
-    def acls(self, values: tuple[Acl, ...]) -> Writing:
-        self.i32(len(values))
-        for each in values:
-            self.i32(each.perms).text(each.scheme).text(each.ident)
+    def write_acl(self, acl: tuple[Acl, ...]) -> RecordWriter:
+        """An access control list."""
+        self.write_int(len(acl))
+        for entry in acl:
+            self.write_int(entry.permissions).write_string(entry.scheme).write_string(entry.identity)
         return self
 
-    def done(self) -> bytes:
+    def finish(self) -> bytes:
+        """The record."""
         return b"".join(self.parts)
 
 
-def framed(data: bytes) -> bytes:
-    """A record as it goes over the wire: its length before it."""
+def encode_frame(data: bytes) -> bytes:
+    """A record with the length that precedes it on the wire."""
     return _INT.pack(len(data)) + data
 
 
-def reply(xid: int, zxid: int, error: int, body: bytes = b"") -> bytes:
-    return framed(struct.pack("!iqi", xid, zxid, error) + body)
+def encode_reply(xid: int, zxid: int, error: int, body: bytes = b"") -> bytes:
+    """A reply's frame."""
+    return encode_frame(struct.pack("!iqi", xid, zxid, error) + body)
 
 
-def watch_event(kind: int, path: str) -> bytes:
-    return reply(WATCH_XID, -1, OK, Writing().i32(kind, SYNC_CONNECTED).text(path).done())
+def encode_watch_event(event_type: int, path: str) -> bytes:
+    """A watch event's frame."""
+    record = RecordWriter().write_int(event_type, SYNC_CONNECTED).write_string(path)
+    return encode_reply(WATCH_XID, -1, OK, record.finish())
--- a/tests/discovery/test_registrar.py
+++ b/tests/discovery/test_registrar.py
@@ -17,8 +17,7 @@
 from test_zookeeper_source import where
 
 from testbed.zookeeper import Ensemble, jute
-from testbed.zookeeper.jute import OPEN
-from testbed.zookeeper.tree import Asker
+from testbed.zookeeper.transactions import Requester
 from topazbank.balancing.events import ServerState
 from topazbank.core.endpoint_source import EndpointList
 from topazbank.discovery import registrar_command
@@ -199,9 +198,9 @@
     asker = await asker_of(ensemble)
 
     def create(draft: object) -> None:
-        draft.create("/nodes", b"", OPEN, 0)  # type: ignore[attr-defined]
+        draft.create("/nodes", b"", jute.OPEN_ACL, 0)  # type: ignore[attr-defined]
         for number in range(NODES):
-            draft.create(f"/nodes/n-{number}", registration(number), OPEN, 0)  # type: ignore[attr-defined]
+            draft.create(f"/nodes/n-{number}", registration(number), jute.OPEN_ACL, 0)  # type: ignore[attr-defined]
 
     await ensemble.submit(ensemble.members[0], asker, create)
     states: list[dict[str, ServerState]] = [{} for _ in range(SOURCES)]
@@ -230,9 +229,9 @@
     ).encode()
 
 
-async def asker_of(ensemble: Ensemble) -> Asker:
+async def asker_of(ensemble: Ensemble) -> Requester:
     session = await ensemble.open_session(ensemble.members[0], 60.0)
-    return Asker(session.ident, frozenset({("world", "anyone")}))
+    return Requester(session.session_id, frozenset({("world", "anyone")}))
 
 
 def test_a_change_that_all_watches_tell_is_read_once_by_each() -> None:
--- a/tests/discovery/test_zookeeper_histories.py
+++ b/tests/discovery/test_zookeeper_histories.py
@@ -13,9 +13,10 @@
 from loopback import PATIENCE_S, play
 
 from testbed.zookeeper import Ensemble
-from testbed.zookeeper.ensemble import Lost
-from testbed.zookeeper.jute import OPEN
-from testbed.zookeeper.tree import Asker, Draft, Refused
+from testbed.zookeeper.ensemble import UnavailableError
+from testbed.zookeeper.jute import OPEN_ACL
+from testbed.zookeeper.transactions import Requester, TransactionBuilder
+from testbed.zookeeper.tree import RequestError
 from topazbank.balancing.events import ServerState
 from topazbank.core.endpoint_source import EndpointList
 from topazbank.discovery.registration import Registration
@@ -46,7 +47,7 @@
 
     async def start(self) -> None:
         await self.ensemble.start()
-        await self.change(lambda draft: draft.create(PATH, b"", OPEN, 0))
+        await self.change(lambda draft: draft.create(PATH, b"", OPEN_ACL, 0))
         members = self.ensemble.addresses
         self.source = ZooKeeperSource(
             EnsembleConfig(members, 1.0), PATH, self.told, self.random.randrange(10**6)
@@ -75,12 +76,14 @@
         try:
             member = next(each for each in ensemble.members if ensemble.may_write(each))
             session = await ensemble.open_session(member, 60.0)
-            await ensemble.submit(member, Asker(session.ident, ANYONE), build)  # type: ignore[arg-type]
-        except (StopIteration, Lost, Refused):
+            await ensemble.submit(member, Requester(session.session_id, ANYONE), build)  # type: ignore[arg-type]
+        except (StopIteration, UnavailableError, RequestError):
             pass
         finally:
             if session is not None:
-                ensemble.sessions.pop(session.ident, None)  # its nodes are plain ones: nothing goes with it
+                ensemble.sessions.pop(
+                    session.session_id, None
+                )  # its nodes are plain ones: nothing goes with it
 
     async def step(self) -> None:
         pick, ensemble = self.random, self.ensemble
@@ -92,7 +95,9 @@
         )
         if what == "create":
             self.gone_at.pop(name, None)
-            await self.change(lambda draft: draft.create(f"{PATH}/{name}", registration.encode(), OPEN, 0))
+            await self.change(
+                lambda draft: draft.create(f"{PATH}/{name}", registration.encode(), OPEN_ACL, 0)
+            )
         elif what == "delete":
             self.deleted_at[name] = asyncio.get_running_loop().time()
             await self.change(lambda draft: draft.delete(f"{PATH}/{name}", -1))
@@ -173,7 +178,7 @@
             await asyncio.sleep(0.01)
 
 
-def _set(draft: Draft, name: str, data: bytes) -> None:
+def _set(draft: TransactionBuilder, name: str, data: bytes) -> None:
     draft.set_data(f"{PATH}/{name}", data, -1)
 
 
--- a/tests/discovery/test_zookeeper_source.py
+++ b/tests/discovery/test_zookeeper_source.py
@@ -12,9 +12,8 @@
 import pytest
 from loopback import FakeServer, World, answer, ask, client, pair, play, request, until, world
 
-from testbed.zookeeper import Ensemble
-from testbed.zookeeper.jute import OPEN
-from testbed.zookeeper.tree import Asker, Draft
+from testbed.zookeeper import Ensemble, jute
+from testbed.zookeeper.transactions import Requester, TransactionBuilder
 from topazbank.balancing.events import ServerState
 from topazbank.core.driver import SidecarConfig
 from topazbank.core.endpoint_source import EndpointList
@@ -242,7 +241,7 @@
         await ensemble.start()
         empty = next(each for each in ensemble.members if each is not ensemble.leader)
         ensemble.cut(empty.number)  # before anything is registered
-        empty.noticed, empty.read_only = False, True
+        empty.leaderless, empty.read_only = False, True
         node = FakeServer("s-0", served)
         await node.start()
         registered = registrar(ensemble, node)
@@ -292,7 +291,7 @@
         with contextlib.suppress(ConnectionLossError):
             await session.exists("/x")
         await until(lambda: session.stale_replies == 1)
-        await until(lambda: ensemble.refused_zxid >= 3)  # each member turns the handshake away
+        await until(lambda: ensemble.rejected_handshakes >= 3)  # each member turns the handshake away
         assert session.state is SessionState.SUSPENDED
         ensemble._counter += 2000
         one = Session(where(ensemble), lambda _: None, lambda *_: None, seed=2)
@@ -310,17 +309,17 @@
 def test_a_thousand_nodes_deleted_in_one_transaction_are_gone_at_once() -> None:
     async def scenario() -> None:
         async with stage(served) as s:
-            asker = Asker(s.session_of(0), frozenset({("world", "anyone")}))
+            asker = Requester(s.session_of(0), frozenset({("world", "anyone")}))
             data = [
                 Registration(("127.0.0.1", 20_000 + n), 1, "m", "east", "http", 1.0, f"l{n}", 0).encode()
                 for n in range(1000)
             ]
 
-            def create(draft: Draft) -> None:
+            def create(draft: TransactionBuilder) -> None:
                 for number, each in enumerate(data):
-                    draft.create(f"{PATH}/n-{number}", each, OPEN, 0)
+                    draft.create(f"{PATH}/n-{number}", each, jute.OPEN_ACL, 0)
 
-            def delete(draft: Draft) -> None:
+            def delete(draft: TransactionBuilder) -> None:
                 for number in range(1000):
                     draft.delete(f"{PATH}/n-{number}", -1)
 
--- a/tests/incidents/test_drains_and_discovery.py
+++ b/tests/incidents/test_drains_and_discovery.py
@@ -27,7 +27,7 @@
 from test_life import ROOT, config
 
 from testbed.ports import free, own_host
-from testbed.registry.faulty import FaultyRegistry, Trouble
+from testbed.registry.faulty import Fault, FaultyRegistry
 from testbed.wire import Address
 
 TOLD_S = 6.0  # after discovery had a change and could be reached
@@ -65,7 +65,7 @@
 
     def drain(self, entry: Mapping[str, Any], told_s: float = TOLD_S) -> None:
         """Its registry has a change from now on, and can be reached."""
-        self.registry.trouble = Trouble.NONE
+        self.registry.fault = Fault.NONE
         self.registry.put(dict(entry) | {"status": "leaving"})
         self.told_at = time.monotonic() + told_s
 
@@ -221,15 +221,15 @@
         await made.end()
 
 
-def fail_until(trouble: Trouble, failures: int) -> Callable[[Scene, One], Awaitable[None]]:
+def fail_until(trouble: Fault, failures: int) -> Callable[[Scene, One], Awaitable[None]]:
     """Discovery is down, and is back with a drain just behind a process's failed call."""
 
     async def faults(scene: Scene, one: One) -> None:
         await until(lambda: one.registry.list_calls)
-        one.registry.trouble = trouble
+        one.registry.fault = trouble
         one.registry.end_watches()
         async with asyncio.timeout(OUTAGE_MOST_S):
-            while one.registry.failed < failures:
+            while one.registry.refused_calls < failures:
                 await asyncio.sleep(0.002)
         one.drain(scene.servers[0].entry())
 
@@ -239,11 +239,11 @@
 async def swallow_the_call_after_a_failure(scene: Scene, one: One) -> None:
     """Discovery's only call after a failed one gets no answer, ever; discovery itself is back."""
     await until(lambda: one.registry.list_calls)
-    one.registry.trouble = Trouble.REFUSED
+    one.registry.fault = Fault.REFUSED
     one.registry.end_watches()
-    await until(lambda: one.registry.failed)
-    one.registry.trouble = Trouble.SWALLOWED
-    await until(lambda: one.registry.count(Trouble.SWALLOWED))
+    await until(lambda: one.registry.refused_calls)
+    one.registry.fault = Fault.UNANSWERED
+    await until(lambda: one.registry.count(Fault.UNANSWERED))
     one.drain(scene.servers[0].entry())
 
 
@@ -253,7 +253,7 @@
     async def faults(scene: Scene, one: One) -> None:
         await until(lambda: one.registry.list_calls)
         one.drain(scene.servers[0].entry())
-        one.registry.trouble = Trouble.LATE
+        one.registry.fault = Fault.ANSWERED_LATE
         one.registry.end_watches()
         while time.monotonic() < one.told_at + SIGNALLED_S:
             one.process.send_signal(signal.SIGHUP)
@@ -267,7 +267,7 @@
     await until(lambda: one.registry.list_calls)
     moved = FaultyRegistry()
     moved.put(*(each.entry() for each in scene.servers))
-    moved.trouble = Trouble.SWALLOWED
+    moved.fault = Fault.UNANSWERED
     await moved.start(*free(own_host(), 1)[0])
     former, one.registry = one.registry, moved
     scene.configure(one.path, one.listen, moved)
@@ -281,16 +281,16 @@
     """Where lists are pushed, the agent says nothing for some seconds; what it has at its return counts at once."""
     await until(lambda: one.registry.list_calls)
     await asyncio.sleep(0.5)  # its watch is open
-    one.registry.trouble = Trouble.SWALLOWED
+    one.registry.fault = Fault.UNANSWERED
     one.registry.end_watches()
     await asyncio.sleep(3.0)
     one.drain(scene.servers[0].entry(), told_s=0.0)
 
 
 FAULTS: Mapping[str, tuple[Fleet, Callable[[Scene, One], Awaitable[None]]]] = {
-    "refused, 200 sidecars": (Fleet(200, 15.0), fail_until(Trouble.REFUSED, 4)),
-    "held, 200 sidecars": (Fleet(200, 15.0), fail_until(Trouble.HELD, 3)),
-    "refused, asked for once a minute": (Fleet(8, 60.0), fail_until(Trouble.REFUSED, 3)),
+    "refused, 200 sidecars": (Fleet(200, 15.0), fail_until(Fault.REFUSED, 4)),
+    "held, 200 sidecars": (Fleet(200, 15.0), fail_until(Fault.REFUSED_LATE, 3)),
+    "refused, asked for once a minute": (Fleet(8, 60.0), fail_until(Fault.REFUSED, 3)),
     "swallowed after a failure": (Fleet(), swallow_the_call_after_a_failure),
     "signals while discovery is slow": (Fleet(), signal_while_discovery_is_slow(0.35)),
     "many signals while discovery is slow": (Fleet(), signal_while_discovery_is_slow(0.05)),
@@ -321,12 +321,12 @@
 
             def prepared(registry: FaultyRegistry) -> None:
                 registry.put(made.servers[0].entry() | {"status": "leaving"})
-                registry.trouble = Trouble.REFUSED
+                registry.fault = Fault.REFUSED
 
             async def begun(one: One) -> None:
                 one.told_at = begun_at + TOLD_S
-                await until(lambda: one.registry.failed >= 2)
-                one.registry.trouble = Trouble.NONE
+                await until(lambda: one.registry.refused_calls >= 2)
+                one.registry.fault = Fault.NONE
 
             await asyncio.gather(*(made.start(number, prepared) for number in range(2 * SIDECARS)))
             late = await made.judge(begun)
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -173,9 +173,9 @@
             writer.write(json.dumps(fault).encode() + b"\n")
             return json.loads(await asyncio.wait_for(reader.readline(), PATIENCE_S))
 
-        assert await do("crash", 0) is True and not ensemble.members[0].up
-        assert await do("slow_disk", 0.2) is True and ensemble.disk_s == 0.2
-        assert await do("lag", 1, 0.5) is True and ensemble.members[1].lag_s == 0.5
+        assert await do("crash", 0) is True and not ensemble.members[0].running
+        assert await do("slow_disk", 0.2) is True and ensemble.commit_delay_s == 0.2
+        assert await do("lag", 1, 0.5) is True and ensemble.members[1].apply_delay_s == 0.5
         assert await do("sessions") == []
         for bad in (("hold", 7), ("burn",), ("cut",), ("cut", 9)):
             assert "error" in await do(*bad)
