--- a/tests/discovery/test_ensemble.py
+++ b/tests/discovery/test_ensemble.py
@@ -1,4 +1,4 @@
-"""The stand-in ensemble, driven by the published client (kazoo) with its recipes, in its own threads."""
+"""The emulated ensemble, used by the published client (kazoo) with its recipes, which run in threads."""
 
 from __future__ import annotations
 
@@ -28,60 +28,56 @@
 PATIENCE_S = 20.0
 
 
-class Running:
+class RunningEnsemble:
     """An ensemble on an event loop of its own thread."""
 
     def __init__(self, members: int) -> None:
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
-        self.ensemble = self.do(lambda: Ensemble(members))
+        self.ensemble = self.call(lambda: Ensemble(members))
         asyncio.run_coroutine_threadsafe(self.ensemble.start(), self.loop).result(PATIENCE_S)
         self.clients: list[Any] = []
 
-    def do(self, what: Callable[[], _Result]) -> _Result:
-        """Run something on the ensemble's loop."""
+    def call(self, function: Callable[[], _Result]) -> _Result:
+        """Call a function on the ensemble's event loop."""
 
         async def run() -> _Result:
-            return what()
+            return function()
 
         return asyncio.run_coroutine_threadsafe(run(), self.loop).result(PATIENCE_S)
 
-    def client(self, timeout: float = 4.0, **given: Any) -> Any:
-        made = KazooClient(hosts=self.ensemble.hosts, timeout=timeout, **given)
-        made.start(PATIENCE_S)
-        self.clients.append(made)
-        return made
+    def client(self, timeout: float = 4.0, **options: Any) -> Any:
+        client = KazooClient(hosts=self.ensemble.hosts, timeout=timeout, **options)
+        client.start(PATIENCE_S)
+        self.clients.append(client)
+        return client
 
     def stop(self) -> None:
-        for each in self.clients:
-            each.stop()
-            each.close()
-        self.do(self.ensemble.stop)
+        for client in self.clients:
+            client.stop()
+            client.close()
+        self.call(self.ensemble.stop)
         self.loop.call_soon_threadsafe(self.loop.stop)
         self.thread.join(PATIENCE_S)
         self.loop.close()
 
 
 @pytest.fixture(params=[3, 5], ids=str)
-def running(request: pytest.FixtureRequest) -> Iterator[Running]:
-    made = Running(request.param)
-    yield made
-    made.stop()
-
-
-def attempt(what: Callable[[], Any]) -> None:
-    what()
+def running(request: pytest.FixtureRequest) -> Iterator[RunningEnsemble]:
+    ensemble = RunningEnsemble(request.param)
+    yield ensemble
+    ensemble.stop()
 
 
 def eventually(condition: Callable[[], object]) -> None:
-    end = time.monotonic() + PATIENCE_S
+    deadline = time.monotonic() + PATIENCE_S
     while not condition():
-        assert time.monotonic() < end
+        assert time.monotonic() < deadline
         time.sleep(0.01)
 
 
-def test_nodes_versions_and_errors_are_zookeeper_s(running: Running) -> None:
+def test_znodes_versions_and_errors_are_those_of_zookeeper(running: RunningEnsemble) -> None:
     one = running.client()
     assert one.create("/a", b"x") == "/a"
     data, stat = one.get("/a")
@@ -90,26 +86,27 @@
     assert changed.version == 1 and changed.mzxid > changed.czxid and changed.data_length == 6
     one.create("/a/b")
     assert one.exists("/a").children_count == 1 and one.exists("/a").pzxid > changed.mzxid
-    for wrong, error in (
+    refused: list[tuple[Callable[[], Any], type[Exception]]] = [
         (lambda: one.create("/a"), NodeExistsError),
         (lambda: one.create("/nowhere/x"), NoNodeError),
         (lambda: one.get("/nowhere"), NoNodeError),
         (lambda: one.delete("/a"), NotEmptyError),
         (lambda: one.set("/a", b"", version=7), BadVersionError),
         (lambda: one.delete("/a/b", version=7), BadVersionError),
-    ):
+    ]
+    for operation, error in refused:
         with pytest.raises(error):
-            attempt(wrong)
+            operation()
     assert one.exists("/nowhere") is None
     one.delete("/a", recursive=True)
     assert one.exists("/a") is None
     assert one.sync("/") == "/"
 
 
-def test_ephemeral_and_sequential_nodes(running: Running) -> None:
+def test_ephemeral_and_sequential_znodes(running: RunningEnsemble) -> None:
     one, two = running.client(), running.client()
     one.create("/q")
-    names = [each.create("/q/n-", b"", ephemeral=True, sequence=True) for each in (one, two, one)]
+    names = [client.create("/q/n-", b"", ephemeral=True, sequence=True) for client in (one, two, one)]
     assert names == [f"/q/n-{number:010d}" for number in range(3)]
     assert two.exists(names[0]).ephemeralOwner == one.client_id[0]
     with pytest.raises(NoChildrenForEphemeralsError):
@@ -118,33 +115,33 @@
     eventually(lambda: two.get_children("/q") == ["n-0000000001"])
 
 
-def test_transactions_are_done_whole_or_not_at_all(running: Running) -> None:
+def test_a_transaction_applies_all_operations_or_none(running: RunningEnsemble) -> None:
     one = running.client()
     one.create("/a", b"0")
-    done = one.transaction()
-    done.create("/b", b"1")
-    done.check("/a", version=0)
-    done.set_data("/a", b"2")
-    done.set_data("/a", b"3")
-    done.delete("/b")
-    results = done.commit()
+    committed = one.transaction()
+    committed.create("/b", b"1")
+    committed.check("/a", version=0)
+    committed.set_data("/a", b"2")
+    committed.set_data("/a", b"3")
+    committed.delete("/b")
+    results = committed.commit()
     assert results[0] == "/b" and results[1] is True and results[4] is True
     assert one.get("/a")[0] == b"3" and one.get("/a")[1].version == 2 and one.exists("/b") is None
-    undone = one.transaction()
-    undone.create("/c", b"1")
-    undone.check("/a", version=0)
-    undone.create("/d", b"1")
-    kinds = [type(each) for each in undone.commit()]
+    refused = one.transaction()
+    refused.create("/c", b"1")
+    refused.check("/a", version=0)
+    refused.create("/d", b"1")
+    kinds = [type(result) for result in refused.commit()]
     assert kinds[:2] == [RolledBackError, BadVersionError] and one.exists("/c") is None
 
 
-def test_watches_fire_once_and_before_the_change_can_be_read(running: Running) -> None:
+def test_a_watch_reports_once_and_before_the_change_can_be_read(running: RunningEnsemble) -> None:
     one, two = running.client(), running.client()
     one.create("/w")
-    seen: list[tuple[str, str]] = []
+    events: list[tuple[str, str]] = []
 
     def watch(event: Any) -> None:
-        seen.append((event.type, event.path))
+        events.append((event.type, event.path))
 
     two.sync("/")
     two.get_children("/w", watch=watch)
@@ -155,12 +152,12 @@
     one.set("/w", b"1")
     one.set("/w", b"2")
     one.create("/later")
-    eventually(lambda: len(seen) == 3)
+    eventually(lambda: len(events) == 3)
     time.sleep(0.1)
-    assert sorted(seen) == [("CHANGED", "/w"), ("CHILD", "/w"), ("CREATED", "/later")]
+    assert sorted(events) == [("CHANGED", "/w"), ("CHILD", "/w"), ("CREATED", "/later")]
 
 
-def test_acls_with_digest_authentication(running: Running) -> None:
+def test_access_control_with_digest_authentication(running: RunningEnsemble) -> None:
     owner = running.client(auth_data=[("digest", "broker:secret")])
     other = running.client()
     owner.create("/mine", b"x", acl=[make_digest_acl("broker", "secret", all=True)])
@@ -174,7 +171,7 @@
     assert other.get_acls("/mine")[0][0].id.scheme == "digest"
 
 
-def test_the_client_s_recipes_run_lock_election_party_and_children_watch(running: Running) -> None:
+def test_kazoo_s_lock_election_party_and_children_watch_work(running: RunningEnsemble) -> None:
     one, two = running.client(), running.client()
     order: list[str] = []
 
@@ -190,108 +187,113 @@
     waiting.join(PATIENCE_S)
     assert order == ["one", "two"]
 
-    led: list[str] = []
-    elections = [each.Election("/election", name) for each, name in ((one, "one"), (two, "two"))]
+    leaders: list[str] = []
+    elections = [client.Election("/election", name) for client, name in ((one, "one"), (two, "two"))]
     threads = [
-        threading.Thread(target=election.run, args=(led.append, name))
+        threading.Thread(target=election.run, args=(leaders.append, name))
         for election, name in zip(elections, ("one", "two"), strict=True)
     ]
-    for each in threads:
-        each.start()
-    for each in threads:
-        each.join(PATIENCE_S)
-    assert sorted(led) == ["one", "two"]
+    for thread in threads:
+        thread.start()
+    for thread in threads:
+        thread.join(PATIENCE_S)
+    assert sorted(leaders) == ["one", "two"]
 
-    parties = [each.Party("/party", name) for each, name in ((one, "one"), (two, "two"))]
+    parties = [client.Party("/party", name) for client, name in ((one, "one"), (two, "two"))]
     for party in parties:
         party.join()
     eventually(lambda: sorted(parties[0]) == ["one", "two"])
 
-    heard: list[list[str]] = []
-    two.create("/kids")
-    ChildrenWatch(two, "/kids", lambda names: heard.append(sorted(names)))
+    lists: list[list[str]] = []
+    two.create("/children")
+    ChildrenWatch(two, "/children", lambda names: lists.append(sorted(names)))
     for number in range(3):
         one.sync("/")
-        one.create(f"/kids/{number}")
-    eventually(lambda: heard and heard[-1] == ["0", "1", "2"])
-    assert heard[0] == []
+        one.create(f"/children/{number}")
+    eventually(lambda: lists and lists[-1] == ["0", "1", "2"])
+    assert lists[0] == []
 
 
-def test_an_expired_session_loses_its_nodes_and_a_live_one_moves_between_members(running: Running) -> None:
+def test_an_expired_session_loses_its_znodes_and_a_live_one_moves_between_members(
+    running: RunningEnsemble,
+) -> None:
     one, two = running.client(timeout=2.0), running.client()
     states: list[str] = []
     one.add_listener(states.append)
     one.create("/e", ephemeral=True)
-    ident = one.client_id[0]
+    session_id = one.client_id[0]
     member = next(
-        each for each in running.ensemble.members if any(c.session_id == ident for c in each.connections)
+        member
+        for member in running.ensemble.members
+        if any(connection.session_id == session_id for connection in member.connections)
     )
-    running.do(lambda: running.ensemble.crash(member.number))
+    running.call(lambda: running.ensemble.crash(member.number))
     eventually(lambda: "SUSPENDED" in states and states[-1] == "CONNECTED")
-    assert one.client_id[0] == ident and "LOST" not in states and two.retry(two.exists, "/e")
-    running.do(lambda: running.ensemble.expire(ident))
+    assert one.client_id[0] == session_id and "LOST" not in states and two.retry(two.exists, "/e")
+    running.call(lambda: running.ensemble.expire(session_id))
     eventually(lambda: "LOST" in states and states[-1] == "CONNECTED")
-    assert two.retry(two.exists, "/e") is None and one.client_id[0] != ident
+    assert two.retry(two.exists, "/e") is None and one.client_id[0] != session_id
 
 
-def test_a_member_without_quorum_writes_nothing_and_comes_back_with_all(running: Running) -> None:
+def test_a_partitioned_member_writes_nothing_and_catches_up_afterwards(running: RunningEnsemble) -> None:
     one = running.client()
     one.create("/a", b"1")
     ensemble = running.ensemble
-    leader = running.do(lambda: ensemble.leader)
+    leader = running.call(lambda: ensemble.leader)
     assert leader is not None
-    cut = next(each.number for each in ensemble.members if each is not leader)
-    running.do(lambda: ensemble.cut(cut))
+    cut = next(member.number for member in ensemble.members if member is not leader)
+    running.call(lambda: ensemble.cut(cut))
     one.retry(one.set, "/a", b"2")
-    assert running.do(lambda: ensemble.members[cut].tree.nodes["/a"].data) == b"1"
-    running.do(lambda: ensemble.heal(cut))
-    eventually(lambda: running.do(lambda: ensemble.members[cut].tree.nodes["/a"].data) == b"2")
+    assert running.call(lambda: ensemble.members[cut].tree.nodes["/a"].data) == b"1"
+    running.call(lambda: ensemble.heal(cut))
+    eventually(lambda: running.call(lambda: ensemble.members[cut].tree.nodes["/a"].data) == b"2")
 
-    running.do(ensemble.lose_leader)
+    running.call(ensemble.lose_leader)
     one.retry(one.set, "/a", b"3")
-    epochs = one.retry(one.exists, "/a").mzxid >> 32
-    assert epochs == 2
+    epoch = one.retry(one.exists, "/a").mzxid >> 32
+    assert epoch == 2
 
 
-def test_an_outage_of_all_keeps_sessions_that_come_back_in_time(running: Running) -> None:
+def test_a_session_survives_an_outage_that_is_shorter_than_its_timeout(running: RunningEnsemble) -> None:
     one = running.client(timeout=10.0)
     one.create("/e", ephemeral=True)
-    ident = one.client_id[0]
-    running.do(running.ensemble.outage)
+    session_id = one.client_id[0]
+    running.call(running.ensemble.outage)
     eventually(lambda: not one.connected)
-    running.do(running.ensemble.restore)
+    running.call(running.ensemble.restore)
     eventually(lambda: one.connected)
-    assert one.retry(one.exists, "/e") is not None and one.client_id[0] == ident
+    assert one.retry(one.exists, "/e") is not None and one.client_id[0] == session_id
 
 
-def test_a_clock_that_runs_fast_expires_a_session_that_is_alive(running: Running) -> None:
+def test_a_fast_clock_expires_a_session_that_sends_heartbeats(running: RunningEnsemble) -> None:
     one = running.client(timeout=6.0)
     one.create("/e", ephemeral=True)
-    ident = one.client_id[0]
-    running.do(lambda: running.ensemble.run_clock(20.0))
-    eventually(lambda: ident in running.do(lambda: list(running.ensemble.expired)))
-    running.do(lambda: running.ensemble.run_clock(1.0))
-    assert "/e" not in running.do(running.ensemble.snapshot).nodes
+    session_id = one.client_id[0]
+    running.call(lambda: running.ensemble.run_clock(20.0))
+    eventually(lambda: session_id in running.call(lambda: list(running.ensemble.expired)))
+    running.call(lambda: running.ensemble.run_clock(1.0))
+    assert "/e" not in running.call(running.ensemble.snapshot).nodes
 
 
-def test_a_held_watch_holds_what_comes_behind_it(running: Running) -> None:
+def test_a_held_watch_event_delays_the_replies_after_it(running: RunningEnsemble) -> None:
     one, two = running.client(), running.client()
     one.create("/w")
     two.sync("/")
-    seen: list[str] = []
-    two.get("/w", watch=lambda event: seen.append(event.type))
-    ident = two.client_id[0]
+    events: list[str] = []
+    two.get("/w", watch=lambda event: events.append(event.type))
+    session_id = two.client_id[0]
 
     def hold() -> None:
-        connection = running.ensemble.connection_of(ident)
+        connection = running.ensemble.connection_of(session_id)
         assert connection is not None
         connection.hold_watches()
 
-    running.do(hold)
+    running.call(hold)
     one.set("/w", b"new")
     read = two.get_async("/w")
     time.sleep(0.3)
-    assert not seen and not read.ready()  # the new data can't be read before its watch has come
-    running.do(lambda: running.ensemble.connection_of(ident).release())  # type: ignore[union-attr]
+    assert not events  # the new data must not be read before its event
+    assert not read.ready()
+    running.call(lambda: running.ensemble.connection_of(session_id).release())  # type: ignore[union-attr]
     assert read.get(timeout=PATIENCE_S)[0] == b"new"
-    eventually(lambda: seen == ["CHANGED"])
+    eventually(lambda: events == ["CHANGED"])
--- a/tests/discovery/test_registrar.py
+++ b/tests/discovery/test_registrar.py
@@ -1,4 +1,4 @@
-"""Registration as a process, with chroot and authentication; many sidecars' sources on one ensemble."""
+"""Registration as a command, with chroot and authentication; many sidecars' sources with one ensemble."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 import signal
 import sys
 from collections.abc import AsyncIterator
+from dataclasses import dataclass
 from functools import partial
 from pathlib import Path
 
 import pytest
 from loopback import play, until
-from test_zookeeper_source import where
+from test_zookeeper_source import config_of
 
 from testbed.zookeeper import Ensemble, jute
-from testbed.zookeeper.transactions import Requester
+from testbed.zookeeper.transactions import Requester, TransactionBuilder
 from topazbank.balancing.events import ServerState
 from topazbank.core.endpoint_source import EndpointList
 from topazbank.discovery import registrar_command
@@ -33,14 +34,25 @@
 SECRET = "broker:opensesame"
 
 
+@dataclass(slots=True)
+class Command:
+    """A running command, and the lines that it has printed."""
+
+    process: asyncio.subprocess.Process
+    lines: list[str]
+
+
 @contextlib.asynccontextmanager
-async def registered(ensemble: Ensemble) -> AsyncIterator[tuple[asyncio.subprocess.Process, list[str]]]:
-    """The command, below a chroot and with a secret; and the lines that it prints."""
-    command = [sys.executable, "-m", "topazbank.discovery.registrar", "--ensemble", ensemble.hosts]
-    command += ["--chroot", "/site-a", "--name", "n-1", "--address", "127.0.0.1:4001", "--timeout-s", "1.0"]
-    command += ["--pod", "3", "--incarnation", "life-1", "--started-ms", "7", "--linger-s", "0.3"]
+async def command(ensemble: Ensemble) -> AsyncIterator[Command]:
+    """The command, below a chroot and with a secret."""
+    arguments = ["--ensemble", ensemble.hosts, "--chroot", "/site-a", "--timeout-s", "1.0"]
+    arguments += ["--name", "n-1", "--address", "127.0.0.1:4001", "--pod", "3"]
+    arguments += ["--incarnation", "incarnation-1", "--started-ms", "7", "--linger-s", "0.3"]
     process = await asyncio.create_subprocess_exec(
-        *command,
+        sys.executable,
+        "-m",
+        "topazbank.discovery.registrar",
+        *arguments,
         cwd=ROOT,
         env={**os.environ, "TOPAZBANK_ENSEMBLE_SECRET": SECRET},
         stdout=asyncio.subprocess.PIPE,
@@ -48,14 +60,14 @@
     )
     lines: list[str] = []
 
-    async def read() -> None:
+    async def read_lines() -> None:
         assert process.stdout is not None
         while line := await process.stdout.readline():
             lines.append(line.decode().strip())
 
-    reading = asyncio.create_task(read())
+    reading = asyncio.create_task(read_lines())
     try:
-        yield process, lines
+        yield Command(process, lines)
     finally:
         with contextlib.suppress(ProcessLookupError):
             process.kill()
@@ -63,112 +75,114 @@
         await reading
 
 
-def is_live(session: Session) -> bool:
+def is_connected(session: Session) -> bool:
     return session.state is SessionState.CONNECTED
 
 
-def there(ensemble: Ensemble) -> bool:
+def is_registered(ensemble: Ensemble) -> bool:
     return ensemble.leader is not None and NODE in ensemble.leader.tree.nodes
 
 
-def data(ensemble: Ensemble) -> Registration:
+def stored_registration(ensemble: Ensemble) -> Registration:
     assert ensemble.leader is not None
     return decode_registration(ensemble.leader.tree.nodes[NODE].data)
 
 
-def test_the_command_registers_says_that_it_leaves_and_goes() -> None:
+def test_the_command_registers_drains_and_removes_its_node() -> None:
     async def scenario() -> None:
         ensemble = Ensemble(3)
         await ensemble.start()
         states: list[ServerState] = []
 
-        def told(what: EndpointList | None) -> None:
-            assert what is not None
-            states.extend(line.server.state for line in what.lines)
+        def on_update(update: EndpointList | None) -> None:
+            assert update is not None
+            states.extend(line.server.state for line in update.lines)
 
-        async with registered(ensemble) as (process, lines):
-            await until(lambda: "n-1 is in" in lines)
-            assert data(ensemble) == Registration(
-                ("127.0.0.1", 4001), 3, "", "", "http", 1.0, "life-1", 7, False
+        async with command(ensemble) as running:
+            await until(lambda: "n-1 is in" in running.lines)
+            assert stored_registration(ensemble) == Registration(
+                ("127.0.0.1", 4001), 3, "", "", "http", 1.0, "incarnation-1", 7, False
             )
-            members = where(ensemble).members
-            source = ZooKeeperSource(EnsembleConfig(members, 2.0, "/site-a"), "/lodge/nodes", told, 1)
+            config = EnsembleConfig(ensemble.addresses, 2.0, "/site-a")
+            source = ZooKeeperSource(config, "/lodge/nodes", on_update, 1)
             source.follow(True)
             await until(lambda: states == [ServerState.READY])
-            process.send_signal(signal.SIGTERM)
-            assert await process.wait() == 0
+            running.process.send_signal(signal.SIGTERM)
+            assert await running.process.wait() == 0
             await until(lambda: states[-1] is ServerState.REMOVED)
             assert states == [ServerState.READY, ServerState.DRAINING, ServerState.REMOVED]
             source.stop()
-        said = [line for line in lines if line.startswith("n-1 is")]
-        assert said == ["n-1 is in", "n-1 is leaving", "n-1 is out"]
-        assert not any("opensesame" in line for line in lines)
+        printed = [line for line in running.lines if line.startswith("n-1 is")]
+        assert printed == ["n-1 is in", "n-1 is leaving", "n-1 is out"]
+        assert not any("opensesame" in line for line in running.lines)
         ensemble.stop()
 
     play(scenario())
 
 
-def test_a_killed_process_s_node_stays_until_its_session_ends() -> None:
+def test_a_killed_process_s_node_stays_until_its_session_expires() -> None:
     async def scenario() -> None:
         ensemble = Ensemble(3)
         await ensemble.start()
-        async with registered(ensemble) as (process, lines):
-            await until(lambda: "n-1 is in" in lines)
-            process.kill()
-            await process.wait()
-            assert there(ensemble) and not data(ensemble).draining
-            await until(lambda: not there(ensemble))
+        async with command(ensemble) as running:
+            await until(lambda: "n-1 is in" in running.lines)
+            running.process.kill()
+            await running.process.wait()
+            assert is_registered(ensemble)
+            assert not stored_registration(ensemble).draining
+            await until(lambda: not is_registered(ensemble))
             assert ensemble.expired
         ensemble.stop()
 
     play(scenario())
 
 
-def test_nobody_else_may_write_or_delete_what_a_secret_protects() -> None:
+def test_a_client_without_the_secret_can_neither_write_nor_delete_a_protected_node() -> None:
     async def scenario() -> None:
         ensemble = Ensemble(3)
         await ensemble.start()
-        registration = Registration(("127.0.0.1", 4001), 1, "m", "a", "http", 1.0, "life", 0)
-        members = where(ensemble).members
-        owner = Registrar(
-            EnsembleConfig(members, 5.0, "/site-a", SECRET), "/lodge/nodes", "n-1", registration, seed=1
-        )
+        registration = Registration(("127.0.0.1", 4001), 1, "m", "a", "http", 1.0, "incarnation", 0)
+        members = ensemble.addresses
+        owner_config = EnsembleConfig(members, 5.0, "/site-a", SECRET)
+        owner = Registrar(owner_config, "/lodge/nodes", "n-1", registration, seed=1)
         owner.start()
         await until(lambda: owner.state is RegistrationState.REGISTERED)
         for secret in ("", "broker:wrong"):
-            other = Session(
-                EnsembleConfig(members, 5.0, "/site-a", secret), lambda _: None, lambda *_: None, 2
-            )
+            config = EnsembleConfig(members, 5.0, "/site-a", secret)
+            other = Session(config, lambda _: None, lambda *_: None, 2)
             other.start()
-            await until(partial(is_live, other))
-            assert (await other.get("/lodge/nodes/n-1"))[0] == registration.encode()  # all may read
-            for attempt in (other.set("/lodge/nodes/n-1", b"x"), other.delete("/lodge/nodes/n-1")):
+            await until(partial(is_connected, other))
+            data, _ = await other.get("/lodge/nodes/n-1")
+            assert data == registration.encode()
+            for refused in (other.set("/lodge/nodes/n-1", b"x"), other.delete("/lodge/nodes/n-1")):
                 with pytest.raises(ZooKeeperError, match="NO_AUTH"):
-                    await attempt
+                    await refused
             other.stop()
-        assert there(ensemble) and data(ensemble) == registration
+        assert is_registered(ensemble)
+        assert stored_registration(ensemble) == registration
         owner.crash()
-        again = Session(EnsembleConfig(members, 5.0, "/site-a", SECRET), lambda _: None, lambda *_: None, 3)
-        again.start()
-        await until(lambda: again.state is SessionState.CONNECTED)
-        await again.set("/lodge/nodes/n-1", b"mine")  # the same secret is the same owner
-        again.stop()
+        same_secret = Session(owner_config, lambda _: None, lambda *_: None, 3)
+        same_secret.start()
+        await until(partial(is_connected, same_secret))
+        await same_secret.set("/lodge/nodes/n-1", b"mine")
+        same_secret.stop()
         ensemble.stop()
 
     play(scenario())
 
 
-def test_a_refused_write_says_why() -> None:
+def test_a_refused_write_raises_an_error_with_its_code_and_name() -> None:
     async def scenario() -> None:
         ensemble = Ensemble(3)
         await ensemble.start()
-        session = Session(where(ensemble), lambda _: None, lambda *_: None, 1)
+        session = Session(config_of(ensemble), lambda _: None, lambda *_: None, 1)
         session.start()
-        await until(lambda: session.state is SessionState.CONNECTED)
+        await until(partial(is_connected, session))
         await session.create("/once", b"", OPEN_ACL)
         with pytest.raises(ZooKeeperError) as refused:
             await session.create("/once", b"", OPEN_ACL)
-        assert refused.value.code == ErrorCode.NODE_EXISTS and str(refused.value) == "NODE_EXISTS"
+        assert refused.value.code == ErrorCode.NODE_EXISTS
+        assert str(refused.value) == "NODE_EXISTS"
         session.stop()
         ensemble.stop()
 
@@ -179,43 +193,51 @@
 def test_bad_arguments_end_the_command_with_one_line(
     wrong: list[str], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    good = ["--ensemble", "127.0.0.1:1", "--name", "n", "--address", "127.0.0.1:2"]
-    assert registrar_command.main([*good, *wrong]) == 2
+    valid = ["--ensemble", "127.0.0.1:1", "--name", "n", "--address", "127.0.0.1:2"]
+    assert registrar_command.main([*valid, *wrong]) == 2
     assert len(capsys.readouterr().err.strip().splitlines()) == 1
 
 
-# -- Many at once ------------------------------------------------------------------------------------
+# -- Many sources ------------------------------------------------------------------------------------
 
 SOURCES, NODES = 40, 30
 
 
+@dataclass(slots=True)
+class ManySources:
+    """Sources with one ensemble, and the states of the nodes as each has them."""
+
+    ensemble: Ensemble
+    sources: list[ZooKeeperSource]
+    states: list[dict[str, ServerState]]
+
+
 @contextlib.asynccontextmanager
-async def crowd() -> AsyncIterator[tuple[Ensemble, list[ZooKeeperSource], list[dict[str, ServerState]]]]:
-    """Many sources on one ensemble, all of which have its nodes."""
+async def many_sources() -> AsyncIterator[ManySources]:
+    """Sources that have read all nodes."""
     logging.getLogger("topazbank.discovery").setLevel(logging.WARNING)
     ensemble = Ensemble(3)
     await ensemble.start()
-    asker = await asker_of(ensemble)
 
-    def create(draft: object) -> None:
-        draft.create("/nodes", b"", jute.OPEN_ACL, 0)  # type: ignore[attr-defined]
+    def create(builder: TransactionBuilder) -> None:
+        builder.create("/nodes", b"", jute.OPEN_ACL, 0)
         for number in range(NODES):
-            draft.create(f"/nodes/n-{number}", registration(number), jute.OPEN_ACL, 0)  # type: ignore[attr-defined]
+            builder.create(f"/nodes/n-{number}", record(number), jute.OPEN_ACL, 0)
 
-    await ensemble.submit(ensemble.members[0], asker, create)
+    await ensemble.submit(ensemble.members[0], await requester(ensemble), create)
     states: list[dict[str, ServerState]] = [{} for _ in range(SOURCES)]
     sources = []
     for number in range(SOURCES):
 
-        def told(what: EndpointList | None, known: dict[str, ServerState] = states[number]) -> None:
-            assert what is not None
-            known.update({line.server.name: line.server.state for line in what.lines})
+        def on_update(update: EndpointList | None, known: dict[str, ServerState] = states[number]) -> None:
+            assert update is not None
+            known.update({line.server.name: line.server.state for line in update.lines})
 
-        sources.append(ZooKeeperSource(where(ensemble, 5.0), "/nodes", told, number))
+        sources.append(ZooKeeperSource(config_of(ensemble, 5.0), "/nodes", on_update, number))
         sources[-1].follow(True)
-    await until(lambda: all(len(each) == NODES for each in states))
+    await until(lambda: all(len(known) == NODES for known in states))
     try:
-        yield ensemble, sources, states
+        yield ManySources(ensemble, sources, states)
     finally:
         for source in sources:
             source.stop()
@@ -223,51 +245,59 @@
         logging.getLogger("topazbank.discovery").setLevel(logging.NOTSET)
 
 
-def registration(number: int, draining: bool = False) -> bytes:
-    return Registration(
-        ("127.0.0.1", 9000 + number), 1, "m", "a", "http", 1.0, f"l-{number}", 0, draining
-    ).encode()
+def record(number: int, draining: bool = False) -> bytes:
+    address = ("127.0.0.1", 9000 + number)
+    return Registration(address, 1, "m", "a", "http", 1.0, f"l-{number}", 0, draining).encode()
 
 
-async def asker_of(ensemble: Ensemble) -> Requester:
+async def requester(ensemble: Ensemble) -> Requester:
     session = await ensemble.open_session(ensemble.members[0], 60.0)
     return Requester(session.session_id, frozenset({("world", "anyone")}))
 
 
-def test_a_change_that_all_watches_tell_is_read_once_by_each() -> None:
+def test_a_changed_node_is_read_once_by_each_source() -> None:
     async def scenario() -> None:
-        async with crowd() as (ensemble, _, states):
+        async with many_sources() as running:
+            ensemble = running.ensemble
             before = ensemble.requests.copy()
             await ensemble.submit(
                 ensemble.members[0],
-                await asker_of(ensemble),
-                lambda draft: draft.set_data("/nodes/n-3", registration(3, draining=True), -1),
+                await requester(ensemble),
+                lambda builder: builder.set_data("/nodes/n-3", record(3, draining=True), jute.ANY_VERSION),
             )
-            await until(lambda: all(each["n-3"] is ServerState.DRAINING for each in states))
-            asked = ensemble.requests - before
-            assert asked[jute.GET_DATA] == SOURCES and asked[jute.GET_CHILDREN2] == 0
+            await until(lambda: all(known["n-3"] is ServerState.DRAINING for known in running.states))
+            requests = ensemble.requests - before
+            assert requests[jute.GET_DATA] == SOURCES
+            assert requests[jute.GET_CHILDREN2] == 0
 
     play(scenario())
 
 
-def test_after_an_outage_each_client_asks_little_and_no_member_is_overrun() -> None:
-    """All come back to one ensemble: four requests each, since watches are set anew and nothing is read again."""
+def test_after_an_outage_no_source_reads_node_data_again_and_few_requests_are_sent() -> None:
+    """All members stop and come back, and all sources reconnect at about the same time.
+
+    Watches are set again instead of reading every node again, so that the ensemble gets few requests from each client.
+    """
 
     async def scenario() -> None:
-        async with crowd() as (ensemble, sources, _):
+        async with many_sources() as running:
+            ensemble, sources = running.ensemble, running.sources
             ensemble.outage()
-            await until(lambda: all(each.session.state is SessionState.SUSPENDED for each in sources))
-            connections = [each.session.connections for each in sources]
+            await until(lambda: all(one.session.state is SessionState.SUSPENDED for one in sources))
+            connections = [source.session.connections for source in sources]
             await asyncio.sleep(0.5)
             before = ensemble.requests.copy()
             ensemble.restore()
-            await until(lambda: all(each.view.connectivity is Connectivity.CONNECTED for each in sources))
-            asked = ensemble.requests - before
-            assert asked[jute.SYNC] <= 2 * SOURCES and asked[jute.SET_WATCHES] <= 2 * SOURCES
-            assert asked[jute.GET_DATA] == 0
-            again = [
-                each.session.connections - former for each, former in zip(sources, connections, strict=True)
+            connected = Connectivity.CONNECTED
+            await until(lambda: all(source.view.connectivity is connected for source in sources))
+            requests = ensemble.requests - before
+            assert requests[jute.SYNC] <= 2 * SOURCES
+            assert requests[jute.SET_WATCHES] <= 2 * SOURCES
+            assert requests[jute.GET_DATA] == 0
+            reconnections = [
+                source.session.connections - former
+                for source, former in zip(sources, connections, strict=True)
             ]
-            assert max(again) <= 2  # of those that reach a member before there is a leader
+            assert max(reconnections) <= 2  # a member that is reached before there is a leader counts
 
     play(scenario())
--- a/tests/discovery/test_zookeeper_histories.py
+++ b/tests/discovery/test_zookeeper_histories.py
@@ -1,4 +1,4 @@
-"""Seeded histories of nodes, sessions, members and reads: what was told gone is not kept, silence empties nothing.
+"""Seeded histories of nodes, sessions, members and faults: no removed node is kept, no outage removes one.
 
 TOPAZBANK_HISTORIES=1000 runs as many, with other seeds than CI's.
 """
@@ -8,15 +8,16 @@
 import asyncio
 import os
 import random
+from collections.abc import Callable
 
 import pytest
 from loopback import PATIENCE_S, play
 
 from testbed.zookeeper import Ensemble
 from testbed.zookeeper.ensemble import UnavailableError
-from testbed.zookeeper.jute import OPEN_ACL
+from testbed.zookeeper.jute import ANY_VERSION, OPEN_ACL
 from testbed.zookeeper.transactions import Requester, TransactionBuilder
-from testbed.zookeeper.tree import RequestError
+from testbed.zookeeper.tree import RequestError, Tree
 from topazbank.balancing.events import ServerState
 from topazbank.core.endpoint_source import EndpointList
 from topazbank.discovery.registration import Registration
@@ -24,166 +25,182 @@
 from topazbank.discovery.zookeeper import ZooKeeperSource
 
 PATH = "/nodes"
-MANY = os.environ.get("TOPAZBANK_HISTORIES")
-SEEDS = range(1000, 1000 + int(MANY)) if MANY else range(6)
+HISTORIES = os.environ.get("TOPAZBANK_HISTORIES")
+SEEDS = range(1000, 1000 + int(HISTORIES)) if HISTORIES else range(6)
 STEPS = 30
-TOLD_S = 0.5  # the rule: so long after a live quorum's word nothing is ready that it told gone
-LATELY_S = 1.0  # what a client hears late is no older: watches are held for 0.1 s
-MOVES = (
+REMOVAL_S = 0.5  # for so long a node that a quorum does not list any more may still be ready
+DELIVERY_S = 1.0  # an update is not older than this when it arrives: watches are held for WATCH_HOLD_S
+WATCH_HOLD_S = 0.1
+PAUSES_S = [0.0, 0.0, 0.01, 0.05]
+# One is drawn for each step; some are listed more than once.
+ACTIONS = (
     "create create create delete delete leave bad expire cut heal crash restart leader outage restore hold wait wait"
 ).split()
 ANYONE = frozenset({("world", "anyone")})
+UNREADABLE = b"?"
 
 
 class History:
+    """An ensemble, a source that follows it, and the endpoint list of the source's receiver."""
+
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.ensemble = Ensemble(3, seed, election_s=0.03)
         self.states: dict[str, ServerState] = {}
-        self.gone_at: dict[str, float] = {}
-        self.deleted_at: dict[str, float] = {}  # when each name was last deleted, whatever it is now
-        self.live_since: float | None = None
-        self.out = False  # whether the ensemble is in an outage
+        self.unregistered_at: dict[str, float] = {}  # of names in `states`
+        self.deleted_at: dict[str, float] = {}  # by the last `delete`, whether registered again or not
+        self.connected_since: float | None = None
+        self.in_outage = False
 
     async def start(self) -> None:
         await self.ensemble.start()
-        await self.change(lambda draft: draft.create(PATH, b"", OPEN_ACL, 0))
-        members = self.ensemble.addresses
-        self.source = ZooKeeperSource(
-            EnsembleConfig(members, 1.0), PATH, self.told, self.random.randrange(10**6)
-        )
+        await self.commit(lambda builder: builder.create(PATH, b"", OPEN_ACL, 0))
+        config = EnsembleConfig(self.ensemble.addresses, 1.0)
+        self.source = ZooKeeperSource(config, PATH, self.on_update, self.random.randrange(10**6))
         self.source.follow(True)
 
     def stop(self) -> None:
         self.source.stop()
         self.ensemble.stop()
 
-    def told(self, told: EndpointList | None) -> None:
-        assert told is not None
-        if self.out:
-            assert not told.complete or told.lines, "emptied by an outage"
-        if told.complete:
+    def on_update(self, update: EndpointList | None) -> None:
+        assert update is not None
+        if self.in_outage:
+            assert not update.complete or update.lines, "emptied by an outage"
+        if update.complete:
             self.states = {}
-        for line in told.lines:
+        for line in update.lines:
             self.states[line.server.name] = line.server.state
             if line.server.state is ServerState.REMOVED:
                 del self.states[line.server.name]
 
-    async def change(self, build: object) -> None:
-        """Commit a change as some other client would; a refusal or a lost leader is no matter."""
+    async def commit(self, build: Callable[[TransactionBuilder], None]) -> None:
+        """Commit a change of some other client; a refused or unavailable one is left out."""
         ensemble = self.ensemble
         session = None
         try:
-            member = next(each for each in ensemble.members if ensemble.may_write(each))
+            member = next(member for member in ensemble.members if ensemble.may_write(member))
             session = await ensemble.open_session(member, 60.0)
-            await ensemble.submit(member, Requester(session.session_id, ANYONE), build)  # type: ignore[arg-type]
+            await ensemble.submit(member, Requester(session.session_id, ANYONE), build)
         except (StopIteration, UnavailableError, RequestError):
             pass
         finally:
             if session is not None:
-                ensemble.sessions.pop(
-                    session.session_id, None
-                )  # its nodes are plain ones: nothing goes with it
+                ensemble.sessions.pop(session.session_id, None)  # it owns no ephemeral znode
 
     async def step(self) -> None:
-        pick, ensemble = self.random, self.ensemble
-        name = f"n-{pick.randrange(6)}"
-        what = pick.choice(MOVES)
-        port = 1000 + int(name[2:])
-        registration = Registration(
-            ("127.0.0.1", port), 1, "m", "a", "http", 1.0, f"{name}-{pick.random()}", 0
-        )
-        if what == "create":
-            self.gone_at.pop(name, None)
-            await self.change(
-                lambda draft: draft.create(f"{PATH}/{name}", registration.encode(), OPEN_ACL, 0)
-            )
-        elif what == "delete":
+        name = f"n-{self.random.randrange(6)}"
+        action = self.random.choice(ACTIONS)
+        address = ("127.0.0.1", 1000 + int(name[2:]))
+        incarnation = f"{name}-{self.random.random()}"
+        record = Registration(address, 1, "m", "a", "http", 1.0, incarnation, 0).encode()
+        if action in ("create", "delete", "leave", "bad"):
+            await self.change_node(action, name, record)
+        elif action in ("cut", "heal", "crash", "restart"):
+            getattr(self.ensemble, action)(self.random.randrange(3))
+        else:
+            await self.disturb(action)
+        await asyncio.sleep(self.random.choice(PAUSES_S))
+
+    async def change_node(self, action: str, name: str, record: bytes) -> None:
+        path = f"{PATH}/{name}"
+        if action == "create":
+            self.unregistered_at.pop(name, None)
+            await self.commit(lambda builder: builder.create(path, record, OPEN_ACL, 0))
+        elif action == "delete":
             self.deleted_at[name] = asyncio.get_running_loop().time()
-            await self.change(lambda draft: draft.delete(f"{PATH}/{name}", -1))
-        elif what in ("leave", "bad"):
-            data = b"?" if what == "bad" else registration.encode().replace(b"active", b"leaving")
-            await self.change(lambda draft: _set(draft, name, data))
-        elif what == "expire":
+            await self.commit(lambda builder: builder.delete(path, ANY_VERSION))
+        else:
+            data = UNREADABLE if action == "bad" else record.replace(b"active", b"leaving")
+            await self.commit(lambda builder: builder.set_data(path, data, ANY_VERSION))
+
+    async def disturb(self, action: str) -> None:
+        ensemble = self.ensemble
+        if action == "expire":
             ensemble.expire(self.source.session.session_id)
-        elif what in ("cut", "heal", "crash", "restart"):
-            getattr(ensemble, what)(pick.randrange(3))
-        elif what == "leader":
+        elif action == "leader":
             ensemble.lose_leader()
-        elif what == "outage":
-            before = dict(self.states)
-            self.out = True
-            ensemble.outage()
-            await asyncio.sleep(0.05)
-            # What was on its way when it began may still come; nothing goes that no quorum ever told gone.
-            lately = asyncio.get_running_loop().time() - LATELY_S
-            for name in (before.keys() - self.states.keys()) & self.registered():
-                assert self.deleted_at.get(name, 0.0) > lately, f"{name} was lost to an outage"
-        elif what == "restore":
-            self.out = False
+        elif action == "outage":
+            await self.outage()
+        elif action == "restore":
+            self.in_outage = False
             ensemble.restore()
-        elif what == "hold":
+        elif action == "hold":
             connection = ensemble.connection_of(self.source.session.session_id)
             if connection is not None:
                 connection.hold_watches()
-                asyncio.get_running_loop().call_later(0.1, connection.release)
-        await asyncio.sleep(pick.choice([0.0, 0.0, 0.01, 0.05]))
+                asyncio.get_running_loop().call_later(WATCH_HOLD_S, connection.release)
+
+    async def outage(self) -> None:
+        """Stop all members; a node may be removed only by an update from before that."""
+        before = dict(self.states)
+        self.in_outage = True
+        self.ensemble.outage()
+        await asyncio.sleep(0.05)
+        oldest_update = asyncio.get_running_loop().time() - DELIVERY_S
+        for name in (before.keys() - self.states.keys()) & self.registered():
+            assert self.deleted_at.get(name, 0.0) > oldest_update, f"{name} was lost to an outage"
 
     def check(self) -> None:
-        """Nothing is ready that a live quorum has told gone for longer than the rule allows."""
+        """No node is ready that a quorum has not listed for longer than the limit, while the source is connected."""
         now = asyncio.get_running_loop().time()
-        ensemble = self.ensemble
-        live = (
+        connected = (
             self.source.session.state is SessionState.CONNECTED
-            and ensemble.leader is not None
-            and not self.out
+            and self.ensemble.leader is not None
+            and not self.in_outage
         )
-        self.live_since = (self.live_since or now) if live else None
-        there = self.registered()
-        for name in self.states.keys() - there:
-            self.gone_at.setdefault(name, now)
-        for name in there:
-            self.gone_at.pop(name, None)
+        self.connected_since = (self.connected_since or now) if connected else None
+        registered = self.registered()
+        for name in self.states.keys() - registered:
+            self.unregistered_at.setdefault(name, now)
+        for name in registered:
+            self.unregistered_at.pop(name, None)
         for name, state in self.states.items():
-            gone = self.gone_at.get(name)
-            if state is ServerState.READY and gone is not None and self.live_since is not None:
-                assert now - max(gone, self.live_since) < TOLD_S, name
+            unregistered_at = self.unregistered_at.get(name)
+            if state is not ServerState.READY or unregistered_at is None or self.connected_since is None:
+                continue
+            assert now - max(unregistered_at, self.connected_since) < REMOVAL_S, name
+
+    def newest_tree(self) -> Tree:
+        if self.ensemble.leader is not None:
+            return self.ensemble.leader.tree
+        return max(self.ensemble.members, key=lambda member: member.tree.zxid).tree
 
     def registered(self) -> set[str]:
-        leader = self.ensemble.leader
-        tree = (
-            leader.tree
-            if leader is not None
-            else max(self.ensemble.members, key=lambda each: each.tree.zxid).tree
-        )
+        tree = self.newest_tree()
         return set(tree.nodes[PATH].children) if PATH in tree.nodes else set()
 
     def readable(self) -> set[str]:
         leader = self.ensemble.leader
         assert leader is not None
-        return {each for each in self.registered() if leader.tree.nodes[f"{PATH}/{each}"].data != b"?"}
+        return {name for name in self.registered() if leader.tree.nodes[f"{PATH}/{name}"].data != UNREADABLE}
 
     async def settle(self) -> None:
-        """All comes back, and the roster is what the ensemble says."""
-        self.out = False
+        """End all faults, and wait until the endpoint list is what the ensemble has."""
+        self.in_outage = False
         self.ensemble.restore()
         for member in self.ensemble.members:
             self.ensemble.heal(member.number)
-        end = asyncio.get_running_loop().time() + PATIENCE_S
-        while True:
-            known = set(self.states)
-            if self.ensemble.leader is not None and known <= self.registered() and self.readable() <= known:
-                return
-            assert asyncio.get_running_loop().time() < end, (self.states, self.registered())
+        deadline = asyncio.get_running_loop().time() + PATIENCE_S
+        while not self.is_settled():
+            assert asyncio.get_running_loop().time() < deadline, (self.states, self.registered())
             await asyncio.sleep(0.01)
 
-
-def _set(draft: TransactionBuilder, name: str, data: bytes) -> None:
-    draft.set_data(f"{PATH}/{name}", data, -1)
+    def is_settled(self) -> bool:
+        if self.ensemble.leader is None:
+            return False
+        listed = set(self.states)
+        return listed <= self.registered() and self.readable() <= listed
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_history_keeps_the_roster_true(seed: int) -> None:
+def test_a_history_of_faults_keeps_no_removed_node_ready_and_removes_no_registered_one(seed: int) -> None:
+    """Nodes register, drain, disappear and store unreadable data while members and sessions fail at random.
+
+    A removed node must not stay ready for longer than the limit, an outage must remove none, and once all faults have
+    ended the endpoint list must be what the ensemble has.
+    """
+
     async def scenario() -> None:
         history = History(seed)
         await history.start()
