--- a/benchmarks/list_hold.py
+++ b/benchmarks/list_hold.py
@@ -149,52 +149,52 @@
     return median_ms(change, ROUNDS), sorted(holds)[WHOLE_ROUNDS // 2] * 1e3, steps
 
 
-def roster(size: int) -> tuple[float, float]:
-    """One node's new data, and the names read anew, in the ensemble's roster."""
-    kept = RegistrationView()
+def registration_view(size: int) -> tuple[float, float]:
+    """One node's new data, and the names read again, in the view of an ensemble's registrations."""
+    view = RegistrationView()
     names = [f"n-{number:05}" for number in range(size)]
-    kept.names_listed(0.0, names, 1)
+    view.names_listed(0.0, names, 1)
 
-    def data(number: int, leaving: bool) -> bytes:
+    def record(number: int, draining: bool) -> bytes:
         address = (f"127.{number >> 16}.{number >> 8 & 255}.{number & 255}", 80)
-        return Registration(address, 1, "m", "a", "http", 1.0, "i", 0, leaving).encode()
+        return Registration(address, 1, "m", "a", "http", 1.0, "i", 0, draining).encode()
 
     for number, name in enumerate(names):
-        kept.node_read(0.0, name, data(number, False), 1, 1, 0)
+        view.node_read(0.0, name, record(number, False), 1, 1, 0)
     changed = size // 2
 
-    def change(number: int) -> None:
-        kept.node_changed(names[changed])
-        kept.node_read(0.0, names[changed], data(changed, number % 2 == 0), 1, 2 + number, 0)
+    def change_node(number: int) -> None:
+        view.node_changed(names[changed])
+        view.node_read(0.0, names[changed], record(changed, number % 2 == 0), 1, 2 + number, 0)
 
-    def listed(number: int) -> None:
-        kept.names_listed(0.0, names, 2 + number)
+    def list_names(number: int) -> None:
+        view.names_listed(0.0, names, 2 + number)
 
-    return median_ms(change, ROUNDS), median_ms(listed, WHOLE_ROUNDS)
+    return median_ms(change_node, ROUNDS), median_ms(list_names, WHOLE_ROUNDS)
 
 
 def merge(size: int) -> tuple[float, float]:
-    """One change and a turn's part of a whole list, among two sources."""
-    both = SourceMerger(["zookeeper", "registry"])
-    whole = lines(size)
-    some = lines(min(size, STEP), ServerState.DRAINING)
-    both.update("zookeeper", EndpointList(1, True, whole))
-    both.update("registry", EndpointList(1, True, lines(size)))
+    """One change and one step of a snapshot, with two sources."""
+    merger = SourceMerger(["zookeeper", "registry"])
+    ready = lines(size)
+    draining = lines(min(size, STEP), ServerState.DRAINING)
+    merger.update("zookeeper", EndpointList(1, True, ready))
+    merger.update("registry", EndpointList(1, True, lines(size)))
     states = (ServerState.DRAINING, ServerState.READY)
 
-    def change(number: int) -> None:
-        line = whole[size // 2]
+    def change_node(number: int) -> None:
+        line = ready[size // 2]
         server = lines_of_one(line.server, states[number % 2])
-        both.update("zookeeper", EndpointList(2, False, [DiscoveredServer(server, line.address)]))
+        merger.update("zookeeper", EndpointList(2, False, [DiscoveredServer(server, line.address)]))
 
-    def again(number: int) -> None:
-        both.update("zookeeper", EndpointList(2, False, whole[:STEP] if number % 2 else some))
+    def step(number: int) -> None:
+        merger.update("zookeeper", EndpointList(2, False, ready[:STEP] if number % 2 else draining))
 
-    return median_ms(change, ROUNDS), median_ms(again, WHOLE_ROUNDS)
+    return median_ms(change_node, ROUNDS), median_ms(step, WHOLE_ROUNDS)
 
 
 def names_decoded(size: int) -> float:
-    """A turn's part of the names below a path."""
+    """The names below a path that are decoded in one turn of the event loop."""
     data = zkwire.encode_strings([f"n-{number:05}" for number in range(size)])
 
     def decode(number: int) -> None:
@@ -218,7 +218,9 @@
     rows.append(("decision module", [decision_module(balancer, each) for each in arguments.sizes]))
     taken = [asyncio.run(sidecar(each)) for each in arguments.sizes]
     rows.append(("sidecar (longest turn)", [each[:2] for each in taken]))
-    rows.append(("roster (one / names again)", [roster(each) for each in arguments.sizes]))
+    rows.append(
+        ("view (one node / names again)", [registration_view(size) for size in arguments.sizes])
+    )
     rows.append(("merge of two sources (a turn)", [merge(each) for each in arguments.sizes]))
     rows.append(("names decoded (a turn)", [(0.0, names_decoded(each)) for each in arguments.sizes]))
     sizes = "".join(f"{f'{each} nodes':>22}" for each in arguments.sizes)
--- a/testbed/zookeeper/ensemble.py
+++ b/testbed/zookeeper/ensemble.py
@@ -26,7 +26,7 @@
 
 EXPIRY_CHECK_S = 0.05
 PARTITION_DETECTION_S = 0.2  # for so long a partitioned member goes on answering reads (syncLimit)
-_LOG_LENGTH_MAX = 100_000  # transactions; a member that is further behind gets the whole tree
+_LOG_LENGTH_MAX = 100_000  # transactions; a member that is further behind gets a copy of the tree
 _ZXID_EPOCH_BITS = 32  # below the epoch: a counter
 
 
--- a/topazbank/discovery/registration_view.py
+++ b/topazbank/discovery/registration_view.py
@@ -238,7 +238,7 @@
             self._release_address(name, registration, change)
 
     def _remember(self, name: str) -> None:
-        """Bound what is kept of former nodes: beyond the limit, only registered ones are remembered."""
+        """Bound the memory of former nodes: beyond the limit, only registered ones are remembered."""
         if len(self._known_names) >= REMOVED_NAMES_MAX:
             known = self._known_names = set(self.nodes)
             self._flaps.prune(known)
--- a/topazbank/discovery/registry.py
+++ b/topazbank/discovery/registry.py
@@ -216,7 +216,7 @@
         try:
             self._on_update(endpoints)
         except Exception:
-            log.exception("registry: the receiver failed to process a list")
+            log.exception("discovery: the receiver failed to process a list")
 
     async def _call(self, target: str, timeout_s: float) -> _CallResult:
         """Make a call and log its result; failures are results, not exceptions."""
@@ -225,11 +225,11 @@
         try:
             endpoints = await registry_client.call(self._address, target, timeout_s)
         except RegistryError as error:
-            log.warning("registry: %s after %.2f s to %s", error, loop.time() - started_at, target)
+            log.warning("discovery: %s after %.2f s to %s", error, loop.time() - started_at, target)
             return _CallResult(None, timed_out=isinstance(error, RegistryTimeoutError))
         except Exception:
             # Guards against a defect in reading the response: it would end the watch, and no other would begin.
-            log.exception("registry: a response could not be read")
+            log.exception("discovery: a response could not be read")
             return _CallResult(None)
         self._log_result(endpoints, loop.time() - started_at)
         return _CallResult(endpoints)
@@ -246,6 +246,6 @@
         kind = "snapshot" if endpoints.complete else "delta"
         former = "nothing" if self._version is None else str(self._version)
         log.info(
-            "registry: %s, version %s to %d: %s; took %.2f s, %s",
+            "discovery: %s, version %s to %d: %s; took %.2f s, %s",
             kind, former, endpoints.version, counts, took_s, age,
         )  # fmt: skip
