--- a/benchmarks/list_hold.py
+++ b/benchmarks/list_hold.py
@@ -218,9 +218,7 @@
     rows.append(("decision module", [decision_module(balancer, each) for each in arguments.sizes]))
     taken = [asyncio.run(sidecar(each)) for each in arguments.sizes]
     rows.append(("sidecar (longest turn)", [each[:2] for each in taken]))
-    rows.append(
-        ("view (one node / names again)", [registration_view(size) for size in arguments.sizes])
-    )
+    rows.append(("view (one node / names again)", [registration_view(size) for size in arguments.sizes]))
     rows.append(("merge of two sources (a turn)", [merge(each) for each in arguments.sizes]))
     rows.append(("names decoded (a turn)", [(0.0, names_decoded(each)) for each in arguments.sizes]))
     sizes = "".join(f"{f'{each} nodes':>22}" for each in arguments.sizes)
--- a/topazbank/discovery/list_format.py
+++ b/topazbank/discovery/list_format.py
@@ -33,7 +33,7 @@
         raise ValueError("a list of servers is an object with endpoints")
     version = document.get("index")
     if type(version) is not int:
-        raise ValueError("index: an integer is needed")
+        raise ValueError("index: a whole number is needed")
     endpoints = []
     for entry in document["endpoints"]:
         try:
@@ -67,7 +67,7 @@
     if protocol is not None and not _is_encodable_text(protocol):
         raise ValueError("protocol must be a text")
     if not _is_integer(group) or not _is_integer(since_ms) or since_ms < 0:
-        raise ValueError("group and since_ms must be integers")
+        raise ValueError("group and since_ms must be whole numbers")
     if isinstance(weight, bool) or not isinstance(weight, int | float) or not math.isfinite(weight):
         raise ValueError("weight must be a number")
     server = ServerDescription(name, zone, kind, group, state, float(weight), since_ms * 1000 or None)
--- a/topazbank/discovery/registration.py
+++ b/topazbank/discovery/registration.py
@@ -99,7 +99,7 @@
 def _integer(record: Mapping[str, Any], field: str, minimum: int) -> int:
     value = record.get(field, 0)
     if type(value) is not int or not minimum <= value < _INTEGER_LIMIT:
-        raise RegistrationError(f"{field}: an integer from {minimum} is wanted, not {value!r:.40}")
+        raise RegistrationError(f"{field}: a whole number from {minimum} is wanted, not {value!r:.40}")
     return value
 
 
