--- a/topazbank/operations/service.py
+++ b/topazbank/operations/service.py
@@ -11,7 +11,7 @@
 
 from topazbank.core.components import Components, SidecarConfig
 from topazbank.core.sidecar import Sidecar
-from topazbank.discovery.list_format import list_to_json, parse_list
+from topazbank.discovery.list_format import encode_list, parse_list
 from topazbank.operations.admin_api import AdminApi, Calls
 from topazbank.operations.handover import Handover, inherit
 from topazbank.operations.upgrade import parts
@@ -87,7 +87,7 @@
         """What the next process is told."""
         known = self.sidecar.endpoint_list
         clients, nodes = self.sidecar.open_connections
-        told = {"list": list_to_json(known.version, known.entries), "clients": clients, "nodes": nodes}
+        told = {"list": encode_list(known.version, known.entries), "clients": clients, "nodes": nodes}
         return told | ({"tier": self.sidecar.cluster_state} if self.sidecar.cluster_state else {})
 
     def _share(self, shared: bool) -> None:
