--- a/topazbank/quota/report.py
+++ b/topazbank/quota/report.py
@@ -58,13 +58,13 @@
     """A line for each quota, and one for each violation."""
     heading = f"{'quota':<20}{'processes':>10}{'limit':>10}{'held max':>11}{'acquired':>9}{'rejected':>9}"
     lines = [f"{heading}{'ahead max':>12}"]
-    for name, each in audits.items():
-        ahead = f"{each.ahead_max:.1f} of {each.burst}" if each.kind == QuotaKind.RATE else "-"
+    for name, result in audits.items():
+        ahead = f"{result.ahead_max:.1f} of {result.burst}" if result.kind == QuotaKind.RATE else "-"
         lines.append(
-            f"{name:<20}{len(each.processes):>10}{format_amount(each.limit, each.kind):>10}"
-            f"{format_amount(each.held_max, each.kind):>11}{each.acquired:>9}{each.rejected:>9}{ahead:>12}"
+            f"{name:<20}{len(result.processes):>10}{format_amount(result.limit, result.kind):>10}"
+            f"{format_amount(result.held_max, result.kind):>11}{result.acquired:>9}{result.rejected:>9}{ahead:>12}"
         )
-        lines += [f"  LIMIT EXCEEDED {violation}" for violation in each.violations]
+        lines += [f"  LIMIT EXCEEDED {violation}" for violation in result.violations]
     return lines
 
 
@@ -76,12 +76,12 @@
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(len(audits), 1, figsize=(10, 3.5 * len(audits)), squeeze=False)
-    for axis, (name, each) in zip(axes[:, 0], audits.items(), strict=True):
-        started_at = each.held_samples[0].at if each.held_samples else 0
-        seconds = [(sample.at - started_at) / 1e6 for sample in each.held_samples]
-        axis.step(seconds, [sample.amount for sample in each.held_samples], where="post", label="held")
-        axis.axhline(each.shared, color="red", linestyle="--", label="limit, less floors")
-        unit = "milliunits a second" if each.kind == QuotaKind.RATE else "units"
+    for axis, (name, result) in zip(axes[:, 0], audits.items(), strict=True):
+        started_at = result.held_samples[0].at if result.held_samples else 0
+        seconds = [(sample.at - started_at) / 1e6 for sample in result.held_samples]
+        axis.step(seconds, [sample.amount for sample in result.held_samples], where="post", label="held")
+        axis.axhline(result.shared, color="red", linestyle="--", label="limit, less floors")
+        unit = "milliunits a second" if result.kind == QuotaKind.RATE else "units"
         axis.set(title=name, xlabel="s", ylabel=unit)
         axis.legend()
     figure.tight_layout()
--- a/topazbank/quota/service.py
+++ b/topazbank/quota/service.py
@@ -76,9 +76,7 @@
         self.dropped: Counter[DropReason] = Counter()  # datagrams
         self._current_second = self._received_in_second = 0
         self._ledger = Ledger(ledger_folder, name, generation) if ledger_folder else None
-        if self._ledger is not None:
-            for quota in quotas.values():
-                self._ledger.record_start(started_at, quota)
+        self._record_start(started_at)
 
     @property
     def lease_servers(self) -> dict[int, LeaseServer]:
@@ -217,14 +215,14 @@
 
     # -- Sending ---------------------------------------------------------------------------------------
 
-    def _send_to_servers(self, quota_id: int, outgoing: Iterable[OutgoingMessage]) -> None:
-        for each in outgoing:
-            kind = MessageKind.RELEASE if each.is_release else MessageKind.REQUEST
-            message = Message(kind, *self._client_id, quota_id, request=each.request)
-            if each.lease_server == self._name:
+    def _send_to_servers(self, quota_id: int, messages: Iterable[OutgoingMessage]) -> None:
+        for outgoing in messages:
+            kind = MessageKind.RELEASE if outgoing.is_release else MessageKind.REQUEST
+            message = Message(kind, *self._client_id, quota_id, request=outgoing.request)
+            if outgoing.lease_server == self._name:
                 self._handle_own_message(message)
                 continue
-            address = self._address_of(each.lease_server)
+            address = self._address_of(outgoing.lease_server)
             if address is not None:
                 self._send_message(address, message)
 
@@ -233,6 +231,11 @@
             self.sent += 1
             self._send(address, encode(message, self._key))
 
+    def _record_start(self, now: int) -> None:
+        if self._ledger is not None:
+            for client in self.clients.values():
+                self._ledger.record_start(now, client.quota)
+
     def _record_client(self, now: int, quota_id: int) -> None:
         if self._ledger is not None:
             self._ledger.record_client(now, self.clients[quota_id])
--- a/topazbank/quota/wire.py
+++ b/topazbank/quota/wire.py
@@ -13,6 +13,7 @@
 import struct
 from dataclasses import dataclass
 from enum import IntEnum
+from typing import NamedTuple
 
 from topazbank.core.checksum import CHECKSUM_BYTES, with_checksum, without_checksum
 from topazbank.quota.lease import ClientId, LeaseGrant, LeaseRequest
@@ -21,12 +22,30 @@
 MAGIC = 0xD9  # differs from the first bytes of the cluster's and the load gossip's datagrams
 VERSION = 1
 DATAGRAM_BYTES_MAX = 256  # the platform's bound
-_BODY = struct.Struct("!BBBB6s6sIIIQIQI")
+_BODY = struct.Struct("!BBBB6s6sIIIQIQI")  # of _Fields
 _IDENT_BYTES = 6
 _AMOUNT_MAX = (1 << 63) - 1
 _BURST_MAX = (1 << 32) - 1
 
 
+class _Fields(NamedTuple):
+    """The fields of a datagram before the checksum, in order."""
+
+    magic: int
+    version: int
+    kind: int
+    reserved: int
+    sender: bytes
+    generation: bytes
+    quota_id: int
+    number: int
+    held_number: int
+    amount: int
+    burst: int
+    wanted: int
+    lease_ms: int
+
+
 class BadMessage(ValueError):
     """A datagram that is cut, changed, of another version or key, or not a quota message."""
 
@@ -78,22 +97,22 @@
     elif message.grant is not None:
         number, allocation = message.grant.number, message.grant.allocation
         lease_ms = message.grant.lease_us // 1000
-    body = _BODY.pack(
-        MAGIC,
-        VERSION,
-        message.kind,
-        0,
-        message.sender.to_bytes(_IDENT_BYTES, "big"),
-        message.generation.to_bytes(_IDENT_BYTES, "big"),
-        message.quota_id,
-        number,
-        held_number,
-        min(allocation.amount, _AMOUNT_MAX),
-        min(allocation.burst, _BURST_MAX),
-        min(wanted, _AMOUNT_MAX),
-        lease_ms,
+    fields = _Fields(
+        magic=MAGIC,
+        version=VERSION,
+        kind=message.kind,
+        reserved=0,
+        sender=message.sender.to_bytes(_IDENT_BYTES, "big"),
+        generation=message.generation.to_bytes(_IDENT_BYTES, "big"),
+        quota_id=message.quota_id,
+        number=number,
+        held_number=held_number,
+        amount=min(allocation.amount, _AMOUNT_MAX),
+        burst=min(allocation.burst, _BURST_MAX),
+        wanted=min(wanted, _AMOUNT_MAX),
+        lease_ms=lease_ms,
     )
-    return with_checksum(body, key)
+    return with_checksum(_BODY.pack(*fields), key)
 
 
 def decode(data: bytes, key: bytes = b"") -> Message:
@@ -105,31 +124,16 @@
     body = without_checksum(data, key)
     if body is None:
         raise BadMessage("damaged, or of another key")
-    (
-        _,
-        _,
-        kind_value,
-        _,
-        sender,
-        generation,
-        quota_id,
-        number,
-        held_number,
-        amount,
-        burst,
-        wanted,
-        lease_ms,
-    ) = _BODY.unpack_from(body)
+    fields = _Fields(*_BODY.unpack_from(body))
     try:
-        kind = MessageKind(kind_value)
+        kind = MessageKind(fields.kind)
     except ValueError:
-        raise BadMessage(f"kind {kind_value}") from None
-    allocation = Allocation(amount, burst)
+        raise BadMessage(f"kind {fields.kind}") from None
+    allocation = Allocation(fields.amount, fields.burst)
     request = grant = None
     if kind is MessageKind.GRANT:
-        grant = LeaseGrant(number, allocation, lease_ms * 1000)
+        grant = LeaseGrant(fields.number, allocation, fields.lease_ms * 1000)
     else:
-        request = LeaseRequest(number, held_number, allocation, wanted)
-    return Message(
-        kind, int.from_bytes(sender, "big"), int.from_bytes(generation, "big"), quota_id, request, grant
-    )
+        request = LeaseRequest(fields.number, fields.held_number, allocation, fields.wanted)
+    sender, generation = int.from_bytes(fields.sender, "big"), int.from_bytes(fields.generation, "big")
+    return Message(kind, sender, generation, fields.quota_id, request, grant)
