--- a/tests/balancing/test_endpoint_updates.py
+++ b/tests/balancing/test_endpoint_updates.py
@@ -41,9 +41,9 @@
     )
     for state in (ServerState.DRAINING, ServerState.REMOVED):
         stage.drain(server.name, state)
-        assert not stage.balancer.lifecycle._send(request, server)
+        assert not stage.balancer.sender.send(request, server)
     stage.servers([server.name], UpdateKind.DELTA)
-    assert stage.balancer.lifecycle._send(request, stage.balancer.servers.by_name[server.name])
+    assert stage.balancer.sender.send(request, stage.balancer.servers.by_name[server.name])
 
 
 def test_a_removed_server_is_forgotten_once_nothing_is_in_flight_to_it() -> None:
--- a/tests/balancing/test_key_ordering.py
+++ b/tests/balancing/test_key_ordering.py
@@ -99,10 +99,10 @@
     first, second = stage.request("save", key=5), stage.request("mark", key=5)
     waiting = stage.balancer.lifecycle.requests[second]
     server = next(iter(stage.balancer.servers.by_name.values()))
-    assert not stage.balancer.lifecycle._send(waiting, server)
+    assert not stage.balancer.sender.send(waiting, server)
     stage.play(RequestCancelled(first))
-    assert not stage.balancer.lifecycle._send(waiting, server)
+    assert not stage.balancer.sender.send(waiting, server)
     stage.end(first, Outcome.CANCELLED, answered=True)
-    assert not stage.balancer.lifecycle._send(waiting, server)
+    assert not stage.balancer.sender.send(waiting, server)
     stage.balancer._context.now += 100 * MS
-    assert stage.balancer.lifecycle._send(waiting, server)
+    assert stage.balancer.sender.send(waiting, server)
--- a/tests/balancing/test_retry_policy.py
+++ b/tests/balancing/test_retry_policy.py
@@ -135,7 +135,7 @@
         server = next(
             each for each in stage.balancer.servers.by_name.values() if each is not request.attempts[0].server
         )
-        assert stage.balancer.lifecycle._send(request, server) is allowed
+        assert stage.balancer.sender.send(request, server) is allowed
 
 
 def test_where_a_rejection_proves_nothing_a_non_idempotent_request_fails_after_it() -> None:
--- a/topazbank/balancing/balancer.py
+++ b/topazbank/balancing/balancer.py
@@ -1,7 +1,7 @@
 """The decisions of one sidecar load balancer, by best of k with redraw: events in, actions out, no I/O.
 
-`Balancer` puts the parts together and routes each event and each deadline to the part that owns it; it decides
-nothing.  Events, actions and settings are in modules of those names; the reasons for the rules: docs/design.md.
+`Balancer` routes each event and each deadline to the part that owns it; it decides nothing.  `parts.py` puts the parts
+together.  Events, actions and settings are in modules of those names; the reasons for the rules: docs/design.md.
 """
 
 from __future__ import annotations
@@ -10,14 +10,7 @@
 from typing import Any
 
 from topazbank.balancing.actions import Action
-from topazbank.balancing.admission import Admission
-from topazbank.balancing.agenda import Agenda, DeadlineKind
-from topazbank.balancing.attempt_outcomes import AttemptOutcomes
-from topazbank.balancing.concurrency_limit import ConcurrencyLimit
-from topazbank.balancing.context import DecisionContext
-from topazbank.balancing.costs import Costs
-from topazbank.balancing.endpoint_polling import EndpointPolling
-from topazbank.balancing.endpoint_updates import EndpointUpdates
+from topazbank.balancing.agenda import DeadlineKind
 from topazbank.balancing.events import (
     AttemptEnded,
     EndpointsUpdated,
@@ -30,23 +23,11 @@
     TimerFired,
 )
 from topazbank.balancing.fleet import FleetQuota, RoutingPlan
-from topazbank.balancing.gossip_exchange import GossipExchange
-from topazbank.balancing.health_checks import HealthChecks
-from topazbank.balancing.idle_connections import IdleConnections
-from topazbank.balancing.key_ordering import KeyOrdering
-from topazbank.balancing.load import OwnLoad
-from topazbank.balancing.outlier_ejection import OutlierEjection
-from topazbank.balancing.request_lifecycle import RequestLifecycle
-from topazbank.balancing.response_times import ResponseTimes
-from topazbank.balancing.retry_policy import RetryPolicy
-from topazbank.balancing.selection import Selection
-from topazbank.balancing.servers import Server, ServerTable
+from topazbank.balancing.parts import BalancerParts
+from topazbank.balancing.servers import Server
 from topazbank.balancing.settings import Settings
-from topazbank.balancing.slow_start import SlowStart
 from topazbank.balancing.snapshot import BalancerSnapshot, ServerSnapshot
-from topazbank.balancing.sparse_admission import SparseAdmission
 from topazbank.estimation.fleet_size import FleetSize
-from topazbank.estimation.load_estimator import LoadEstimator
 
 _OF_REQUESTS = (DeadlineKind.REQUEST, DeadlineKind.ATTEMPT_OVERDUE, DeadlineKind.HEALTH_CHECKS)
 
@@ -56,66 +37,26 @@
 
     def __init__(self, settings: Settings, seed: int, plan: RoutingPlan | None = None) -> None:
         """`seed` decides every random choice.  `plan`: a planner's advice, followed as far as it goes."""
-        costs = Costs.of(settings)
-        admits = not costs.checks_each_request  # otherwise health checks tell what the servers bear
-        context = DecisionContext(settings, seed)
-        self._context = context
-        self.agenda = agenda = Agenda(context)
-        agenda.is_stale = self._is_stale
-        self.servers = servers = ServerTable(context)
-        self.load = load = OwnLoad(context)
-        self.estimator = estimator = LoadEstimator(
-            context.longest_objective_us, settings.mean_late_value_ratio()
-        )
-        self.slow_start = slow_start = SlowStart(context, servers, load, plan)
-        self.retries = retries = RetryPolicy(context)
-        self.ejection = ejection = OutlierEjection(context, servers, load, slow_start, retries)
-        self.gossip = gossip = GossipExchange(context, servers)
-        self.times = times = ResponseTimes(context, load)
-        self.ordering = ordering = KeyOrdering(context, agenda)
-        self.polling = polling = EndpointPolling(context, agenda, seed)
-        sparse = SparseAdmission(context, load, estimator)
-        self.limit = limit = ConcurrencyLimit(context, servers, load, slow_start, sparse, estimator, admits)
-        self.selection = selection = Selection(
-            context, servers, load, limit, slow_start, ejection, retries, costs, gossip, plan
-        )
-        self.checks = checks = HealthChecks(
-            context, agenda, servers, limit, slow_start, ejection, selection, estimator, costs
-        )
-        connections = IdleConnections(context, agenda, servers, load, checks)
-        self._connections = connections
-        self._updates = EndpointUpdates(context, servers, slow_start, ejection, polling, checks)
-        self.lifecycle = RequestLifecycle(
-            context,
-            agenda,
-            load,
-            times,
-            slow_start,
-            estimator,
-            ejection,
-            retries,
-            ordering,
-            selection,
-            checks,
-            connections,
-            Admission(context, limit, sparse, estimator, admits),
-            AttemptOutcomes(
-                context,
-                agenda,
-                load,
-                times,
-                limit,
-                sparse,
-                estimator,
-                ejection,
-                retries,
-                ordering,
-                checks,
-                connections,
-            ),
-            gossip,
-            costs.own_zone_first,
-        )
+        parts = BalancerParts(settings, seed, plan)
+        self._context = parts.context
+        self._updates = parts.updates
+        self._connections = parts.connections
+        self.agenda = parts.agenda
+        self.servers = parts.servers
+        self.load = parts.load
+        self.estimator = parts.estimator
+        self.slow_start = parts.slow_start
+        self.retries = parts.retries
+        self.ejection = parts.ejection
+        self.limit = parts.limit
+        self.selection = parts.selection
+        self.checks = parts.checks
+        self.gossip = parts.gossip
+        self.ordering = parts.ordering
+        self.polling = parts.polling
+        self.sender = parts.sender
+        self.lifecycle = parts.lifecycle
+        self.agenda.is_stale = self._is_stale
         self._started = False
         self._handlers: dict[type[Any], Callable[[Any], None]] = {
             AttemptEnded: self.lifecycle.attempt_ended,
@@ -125,7 +66,7 @@
             RequestCancelled: self.lifecycle.cancelled,
             ResponseStarted: self.lifecycle.response_started,
             HealthCheckEnded: self._health_check_ended,
-            GossipReceived: gossip.received,
+            GossipReceived: self.gossip.received,
         }
 
     def handle(self, now: int, event: Event) -> list[Action]:
--- a/topazbank/balancing/request_lifecycle.py
+++ b/topazbank/balancing/request_lifecycle.py
@@ -1,17 +1,18 @@
 """A request from its arrival to its final answer.
 
-Every attempt leaves through `_send`, and every final answer that is not a server's through `_answer`: what those two
-demand holds whatever the code around them decides.
+Every attempt leaves through `AttemptSender.send`, and every final answer that is not a server's through `_answer`: what
+those two demand holds whatever the code around them decides.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-from topazbank.balancing.actions import CancelAttempt, Fail, Reject, SendAttempt
+from topazbank.balancing.actions import CancelAttempt, Fail, Reject
 from topazbank.balancing.admission import Admission
 from topazbank.balancing.agenda import Agenda, DeadlineKind
 from topazbank.balancing.attempt_outcomes import AttemptOutcomes
+from topazbank.balancing.attempt_sender import AttemptSender
 from topazbank.balancing.context import DecisionContext
 from topazbank.balancing.events import (
     AttemptEnded,
@@ -19,22 +20,16 @@
     RequestArrived,
     RequestCancelled,
     ResponseStarted,
-    ServerState,
 )
 from topazbank.balancing.gossip_exchange import GossipExchange
 from topazbank.balancing.health_checks import HealthChecks
-from topazbank.balancing.idle_connections import IdleConnections
 from topazbank.balancing.key_ordering import KeyOrdering
 from topazbank.balancing.load import OwnLoad
-from topazbank.balancing.outlier_ejection import OutlierEjection
 from topazbank.balancing.requests import Attempt, Request
 from topazbank.balancing.response_times import ResponseTimes
 from topazbank.balancing.retry_policy import RetryPolicy
 from topazbank.balancing.selection import Selection
-from topazbank.balancing.servers import Server
 from topazbank.balancing.settings import RequestClass
-from topazbank.balancing.slow_start import SlowStart
-from topazbank.estimation.load_estimator import LoadEstimator
 
 ANSWER_TICKS_EARLY: Final = 2  # a final answer leaves this many ticks before the client's time is up
 RETRY_AFTER_OBJECTIVE_RATIO: Final = (
@@ -51,16 +46,13 @@
         agenda: Agenda,
         load: OwnLoad,
         times: ResponseTimes,
-        slow_start: SlowStart,
-        estimator: LoadEstimator,
-        ejection: OutlierEjection,
         retries: RetryPolicy,
         ordering: KeyOrdering,
         selection: Selection,
         checks: HealthChecks,
-        connections: IdleConnections,
         admission: Admission,
         outcomes: AttemptOutcomes,
+        sender: AttemptSender,
         gossip: GossipExchange,
         own_zone_first: bool,
     ) -> None:
@@ -68,16 +60,13 @@
         self._agenda = agenda
         self._load = load
         self._times = times
-        self._slow_start = slow_start
-        self._estimator = estimator
-        self._ejection = ejection
         self._retries = retries
         self._ordering = ordering
         self._selection = selection
         self._checks = checks
-        self._connections = connections
         self._admission = admission
         self._outcomes = outcomes
+        self._sender = sender
         self._gossip = gossip
         self._own_zone_first = own_zone_first
         self._limits = context.settings.limits
@@ -190,7 +179,7 @@
         choice = self._selection.choose(request)
         if choice.tied:
             self._checks.check_tied(request, choice.tied)
-        elif choice.server is None or not self._send(request, choice.server):
+        elif choice.server is None or not self._sender.send(request, choice.server):
             self._answer_if_idle(request)
 
     def _send_checked(self, request: Request) -> None:
@@ -200,48 +189,11 @@
             self._place(request)
         elif request.answered:
             return
-        elif choice.server is None or not self._send(request, choice.server):
+        elif choice.server is None or not self._sender.send(request, choice.server):
             self._answer_if_idle(request)
         else:
             self._checks.note_load(request.attempts[-1])
 
-    def _send(self, request: Request, server: Server) -> bool:
-        """The one way out for an attempt; whether it was allowed and has been sent."""
-        if not self._retries.allows_attempt(request, server) or not self._ordering.has_turn(request):
-            return False
-        if server.state is not ServerState.READY:
-            return False  # draining or removed: at once on the news of it, without use of the grace
-        if not self._slow_start.admits(server, request.cost):
-            return False
-        if not self._retries.fleet_allows_attempt(request):
-            return False
-        write_by = self._retries.write_by(request)
-        self._slow_start.spend(server, request.cost)
-        attempt = self._new_attempt(request, server)
-        overdue_at = self._context.now + self._times.overdue_us(request, server)
-        self._agenda.schedule(overdue_at, DeadlineKind.ATTEMPT_OVERDUE, request.number, attempt.index)
-        self._context.actions.append(SendAttempt(request.number, server.name, request.answer_by, write_by))
-        return True
-
-    def _new_attempt(self, request: Request, server: Server) -> Attempt:
-        now, objective_us = self._context.now, request.request_class.latency_objective_us
-        attempt = Attempt(
-            len(request.attempts),
-            server,
-            server.zone,
-            server.cell,
-            now,
-            self._context.stall.stalled_total_us,
-            self._ejection.responses,
-            self._estimator.start_check(now, objective_us, self._load.chance()),
-        )
-        request.attempts.append(attempt)
-        self._load.attempt_sent(server)
-        self._connections.attempt_sent(server)
-        if server.ejected_until is not None:
-            server.on_probation = attempt.is_probation = True
-        return attempt
-
     def _overdue(self, request: Request, attempt: Attempt) -> None:
         """An attempt takes too long: hedge or cancel it, where its server is silent and the request may run again."""
         is_silent = self._outcomes.overdue(request, attempt)
