--- a/topazbank/balancing/actions.py
+++ b/topazbank/balancing/actions.py
@@ -1,6 +1,6 @@
 """What a balancer decides: the outputs of `Balancer.handle`, to be carried out in order.
 
-Times are whole microseconds.  Actions are plain slotted dataclasses; treat them as values.
+Times are integer microseconds.  Actions are plain slotted dataclasses; treat them as values.
 """
 
 from __future__ import annotations
--- a/topazbank/balancing/concurrency_limit.py
+++ b/topazbank/balancing/concurrency_limit.py
@@ -86,7 +86,7 @@
         return self._estimator.late_share >= LATE_RATIO_ALLOWED or self.utilisation() > FREE_RATIO
 
     def begin_at(self, limit: float) -> None:
-        """Begin with a limit, where a first look at the servers has told that they are full."""
+        """Begin with a limit, where a first look at the servers has shown that they are full."""
         self.limit = limit
         self._sized_at = self._size_from = self._context.now
         self._estimator.assume_at_capacity(self._context.now)
--- a/topazbank/balancing/events.py
+++ b/topazbank/balancing/events.py
@@ -1,6 +1,6 @@
 """What happens to a balancer: the inputs of `Balancer.handle`.
 
-Times are whole microseconds.  Events are plain slotted dataclasses; treat them as values.
+Times are integer microseconds.  Events are plain slotted dataclasses; treat them as values.
 """
 
 from __future__ import annotations
--- a/topazbank/balancing/fleet.py
+++ b/topazbank/balancing/fleet.py
@@ -1,4 +1,4 @@
-"""What a balancer may consult about the whole fleet: a planner's routing plan, and fleet-wide quotas.
+"""What a balancer may consult about the entire fleet: a planner's routing plan, and fleet-wide quotas.
 
 Both can only tighten what the balancer would do by itself.
 """
@@ -15,7 +15,7 @@
 
 
 class RoutingPlan(Protocol):
-    """What a planner that sees the whole fleet advises; the implementation decides how far it is followed.
+    """What a planner that sees the entire fleet advises; the implementation decides how far it is followed.
 
     Servers it names are used only where the balancer's own endpoint list, ejections, slow start and rules allow
     it; where it names none the balancer selects by itself.
@@ -35,7 +35,7 @@
 
 
 class FleetQuota(Protocol):
-    """This process's part in quotas of the whole fleet."""
+    """This process's part in quotas of the entire fleet."""
 
     def acquire(self, resource: str, tenant: str | None, now: int) -> bool:
         """Take one unit of a resource at clock time `now`; False where there is none left.
--- a/topazbank/balancing/health_checks.py
+++ b/topazbank/balancing/health_checks.py
@@ -1,7 +1,7 @@
 """Health checks that tell how many requests servers hold: to settle ties between candidates, and at a start.
 
-With many balancers of few requests nearly all own counts are zero, and the choice between candidates that tie is the
-whole choice.  Where health checks are cheap, the tied candidates are checked for each request, which waits for the
+With many balancers of few requests nearly all own counts are zero, and the choice between candidates that tie is all
+the choice there is.  Where health checks are cheap, the tied candidates are checked for each request, which waits for the
 answers; a server that does not answer in the usual time is passed over.  Where they are dear, a few at the start tell
 whether the fleet is full already.
 """
--- a/topazbank/balancing/outlier_ejection.py
+++ b/topazbank/balancing/outlier_ejection.py
@@ -126,7 +126,7 @@
     def _failures_allowed(self, attempt: Attempt) -> int:
         """Failures in a row that eject a server: one failed connection, where another server is unreachable just now.
 
-        Zones are lost as a whole.  But not a server that answers others meanwhile: that one is full.
+        A zone is lost with all its servers.  But not a server that answers others meanwhile: that one is full.
         """
         another = self._context.now - self._unreachable_at <= self._context.longest_objective_us
         lost = attempt.server.connect_failures_in_row > 0 and self.is_silent(attempt)
--- a/topazbank/balancing/retry_policy.py
+++ b/topazbank/balancing/retry_policy.py
@@ -32,7 +32,7 @@
         self._limits = context.settings.limits
         self._budget_max = RETRIES_PER_REQUEST * RETRY_BUDGET_REQUESTS
         self.budget = self._budget_max / 2  # retries that may be made now
-        self.fleet_quota: FleetQuota | None = None  # what the whole fleet has left; None: no such limit
+        self.fleet_quota: FleetQuota | None = None  # what the entire fleet has left; None: no such limit
         rejected_proves = () if context.settings.rules.rejects_after_start else (Outcome.REJECTED,)
         self._never_ran = (Outcome.CONNECT_FAILED, Outcome.UNSENT, *rejected_proves)
 
--- a/topazbank/balancing/settings.py
+++ b/topazbank/balancing/settings.py
@@ -1,6 +1,6 @@
 """What a balancer is configured with.  The platform's own names are translated in `platform_names.py`.
 
-Times are whole microseconds.  The defaults are the cautious ends.
+Times are integer microseconds.  The defaults are the cautious ends.
 """
 
 from __future__ import annotations
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant and its share of the whole fleet."""
+    """One tenant and its share of the entire fleet."""
 
     name: str
     share: float = 1.0
@@ -177,7 +177,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The whole configuration of a balancer."""
+    """The complete configuration of a balancer."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
--- a/topazbank/balancing/settings_reader.py
+++ b/topazbank/balancing/settings_reader.py
@@ -7,7 +7,7 @@
 from typing import Any, TypeVar
 
 _Choice = TypeVar("_Choice", bound=Enum)
-_INTEGER_MAX = 2**53  # every whole number up to here survives a double
+_INTEGER_MAX = 2**53  # every integer up to here survives a double
 
 
 class SettingsError(ValueError):
@@ -21,7 +21,7 @@
     """
 
     def __init__(self, given: object, path: str = "") -> None:
-        """`path`: where the mapping stands in the whole settings; empty at the top."""
+        """`path`: where the mapping stands among all settings; empty at the top."""
         if not isinstance(given, Mapping):
             raise SettingsError(f"{path or 'settings'}: a mapping is needed")
         self._given = given
@@ -80,7 +80,7 @@
         return float(value)
 
     def integer(self, key: str, default: int | None, low: int = 0) -> int:
-        """A whole number of at least `low`; required where the default is None."""
+        """An integer of at least `low`; required where the default is None."""
         value = self._value(key)
         if value is None and default is not None:
             return default
