--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -83,7 +83,7 @@
         for _ in range(20_000):
             timers.call_at(later, print).cancel()
             most = max(most, len(timers))
-        assert most <= len(lasting) + made._CANCELLED_LEAST + 1
+        assert most <= len(lasting) + made._CANCELLED_MIN + 1
         assert not any(each.cancelled() for each in lasting)
         for each in lasting:
             each.cancel()
--- a/topazbank/core/__init__.py
+++ b/topazbank/core/__init__.py
@@ -1,1 +1,1 @@
-"""What every protocol shares: calls, attempts, the listener, the nodes' table and the driver round the decisions."""
+"""What all protocols share: calls, attempts, endpoints, client connections, and the driver around the balancer."""
--- a/topazbank/core/call.py
+++ b/topazbank/core/call.py
@@ -10,6 +10,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
 from enum import Enum, auto, unique
+from typing import Final
 
 from topazbank.balancing.events import Outcome
 from topazbank.balancing.settings import RequestClass
@@ -17,7 +18,9 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-BUFFERED_BODY_BYTES_MAX = 64 * 1024  # of a body that is held in memory; MessagePack-RPC allows no larger one
+BUFFERED_BODY_BYTES_MAX: Final = (
+    64 * 1024
+)  # of a body that is held in memory; MessagePack-RPC allows no larger one
 
 
 @unique
@@ -107,4 +110,4 @@
     status_page: Callable[[], bytes] | None = (
         None  # the endpoint list and counters as JSON; None: not offered
     )
-    spool: Spool = field(default_factory=lambda: Spool(None))  # where large bodies are kept
+    spool: Spool = field(default_factory=lambda: Spool(None))  # where large bodies are stored
--- a/topazbank/core/client_connection.py
+++ b/topazbank/core/client_connection.py
@@ -5,15 +5,15 @@
 import asyncio
 import socket
 from collections.abc import Callable
+from typing import Final
 
 from topazbank.core.connection_states import ConnectionState, PartialRequest
 from topazbank.core.connection_table import CLOSABLE_STATES, ConnectionTable
 from topazbank.core.counters import Violation
 from topazbank.core.net import SharedBufferProtocol, has_nothing_unread, peer_has_closed
 
-_MSGPACK_ARRAY_MIN = (
-    0x80  # the first byte of a MessagePack-RPC message is at least this; of an HTTP request, a letter
-)
+# The first byte of a MessagePack-RPC message, an array, is at least this; that of an HTTP request is a letter.
+_MSGPACK_ARRAY_MIN: Final = 0x80
 
 
 class ClientConnection(SharedBufferProtocol):
--- a/topazbank/core/endpoint_list.py
+++ b/topazbank/core/endpoint_list.py
@@ -1,105 +1,107 @@
-"""What sources told of the list, taken in steps; no I/O, time is an argument (seconds, monotonic).
+"""Updates of the endpoint list that are applied in batches; no I/O, time is an argument (seconds, monotonic).
 
-A whole list of thousands would hold the event loop while requests wait for it.  It is compared with what was taken
-before and given out in steps of bounded size, what takes nodes away first: nothing new may go there.  A later word on a
-node replaces one that still waits, so what waits is never more than one line a node.
+A snapshot of thousands of entries would hold the event loop while requests wait for it.  It is compared with what was
+applied before and given out in batches of bounded size.  Servers that accept nothing new come first: no further request
+may go there.  A later update of a server replaces one that is pending, so at most one entry a server is pending.
 """
 
 from __future__ import annotations
 
+from typing import Final
+
 from topazbank.balancing.events import ServerState
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, as_removed
 
-BATCH_SIZE = 100  # lines a step: about a millisecond
+BATCH_SIZE: Final = 100  # entries: about a millisecond
 
 
 class PendingUpdates:
-    """The list as it was taken so far, and what still waits."""
+    """The endpoint list as applied so far, and the entries that are pending."""
 
     def __init__(self) -> None:
-        self.version = 0  # the newest that was told
-        self.applied_version = 0  # the newest of which nothing waits any more
-        self._taken: dict[str, DiscoveredServer] = {}
-        self._leaving: dict[
-            str, DiscoveredServer
-        ] = {}  # wait: nodes that take nothing new; at most one line a node
-        self._others: dict[str, DiscoveredServer] = {}  # wait: the rest, likewise
-        self._told_at: dict[str, float] = {}  # when each node that is listed was last told of
-        self._displaced: set[str] = set()  # names whose address another has; of those that are told still
-
-    def receive(self, now: float, told: EndpointList) -> None:
-        """Hear a list or changes; they wait until they are taken."""
-        self.version = told.version
-        if told.complete:
-            self._whole(now, told.entries)
+        self.version = 0  # the newest received
+        self.applied_version = 0  # the newest of which nothing is pending
+        self._applied: dict[str, DiscoveredServer] = {}  # by name, as all maps here
+        self._pending_leaving: dict[str, DiscoveredServer] = {}  # of servers that are draining or removed
+        self._pending_ready: dict[str, DiscoveredServer] = {}
+        self._updated_at: dict[str, float] = {}  # when each listed server was last received
+        self._superseded: set[str] = set()  # servers still listed, at an address that another has by now
+
+    def receive(self, now: float, update: EndpointList) -> None:
+        """Add a snapshot or changes to what is pending."""
+        self.version = update.version
+        if update.complete:
+            self._receive_snapshot(now, update.entries)
             return
-        for line in told.entries:
-            name = line.server.name
-            self._wait(name, line)
-            if line.server.state is ServerState.REMOVED:
-                self._told_at.pop(name, None)
+        for entry in update.entries:
+            name = entry.server.name
+            self._add_pending(name, entry)
+            if entry.server.state is ServerState.REMOVED:
+                self._updated_at.pop(name, None)
             else:
-                self._told_at[name] = now
-
-    def _whole(self, now: float, lines: list[DiscoveredServer]) -> None:
-        self._leaving.clear()
-        self._others.clear()
-        listed = {line.server.name: line for line in lines}
-        # Gone first.  The displaced come last: until their address is looked at anew they would count as there.
-        for name in self._taken.keys() - listed.keys():
-            self._leaving[name] = as_removed(self._taken[name])
-        for name in self._displaced & listed.keys():
+                self._updated_at[name] = now
+
+    def _receive_snapshot(self, now: float, entries: list[DiscoveredServer]) -> None:
+        self._pending_leaving.clear()
+        self._pending_ready.clear()
+        listed = {entry.server.name: entry for entry in entries}
+        for name in self._applied.keys() - listed.keys():
+            self._pending_leaving[name] = as_removed(self._applied[name])
+        # Superseded servers come last: until their address is resolved anew they would count as present.
+        for name in self._superseded & listed.keys():
             listed[name] = listed.pop(name)
-        self._displaced &= listed.keys()
-        for name, line in listed.items():
-            if line.server.state is ServerState.READY:
-                self._others[name] = line
-            else:
-                self._leaving[name] = line
-        self._told_at = dict.fromkeys(listed, now)
+        self._superseded &= listed.keys()
+        for name, entry in listed.items():
+            self._pending_for(entry)[name] = entry
+        self._updated_at = dict.fromkeys(listed, now)
+
+    def _add_pending(self, name: str, entry: DiscoveredServer) -> None:
+        self._pending_leaving.pop(name, None)
+        self._pending_ready.pop(name, None)
+        self._pending_for(entry)[name] = entry
 
-    def _wait(self, name: str, line: DiscoveredServer) -> None:
-        self._leaving.pop(name, None)
-        self._others.pop(name, None)
-        ready = line.server.state is ServerState.READY
-        (self._others if ready else self._leaving)[name] = line
+    def _pending_for(self, entry: DiscoveredServer) -> dict[str, DiscoveredServer]:
+        ready = entry.server.state is ServerState.READY
+        return self._pending_ready if ready else self._pending_leaving
 
     def applied(self) -> list[DiscoveredServer]:
-        """The list as it was taken so far."""
-        return list(self._taken.values())
+        """The entries of the list as applied so far."""
+        return list(self._applied.values())
 
     def has_pending(self) -> bool:
-        return bool(self._leaving or self._others)
+        """Whether any entry is pending."""
+        return bool(self._pending_leaving or self._pending_ready)
 
     def is_pending(self, name: str) -> bool:
-        """Whether a word on this node still waits."""
-        return name in self._leaving or name in self._others
-
-    def take_batch(self, most: int = BATCH_SIZE) -> list[DiscoveredServer]:
-        """The next lines that say something new, at most so many are looked at."""
-        lines = []
-        for _ in range(most):
-            waiting = self._leaving or self._others
-            if not waiting:
+        """Whether an entry of this server is pending."""
+        return name in self._pending_leaving or name in self._pending_ready
+
+    def take_batch(self, size: int = BATCH_SIZE) -> list[DiscoveredServer]:
+        """Apply at most `size` pending entries; return those that change something."""
+        changed = []
+        for _ in range(size):
+            pending = self._pending_leaving or self._pending_ready
+            if not pending:
                 break
-            name = next(iter(waiting))
-            line = waiting.pop(name)
-            if self._taken.get(name) == line:
+            name = next(iter(pending))
+            entry = pending.pop(name)
+            if self._applied.get(name) == entry:
                 continue
-            self._displaced.discard(name)
-            if line.server.state is ServerState.REMOVED:
-                self._taken.pop(name, None)
+            self._superseded.discard(name)
+            if entry.server.state is ServerState.REMOVED:
+                self._applied.pop(name, None)
             else:
-                self._taken[name] = line
-            lines.append(line)
+                self._applied[name] = entry
+            changed.append(entry)
         if not self.has_pending():
             self.applied_version = self.version
-        return lines
+        return changed
 
     def mark_superseded(self, name: str) -> None:
-        """Another node has this one's address: it is taken anew when it is next told."""
-        self._taken.pop(name, None)
-        self._displaced.add(name)
+        """Note that another server has this one's address: its next entry is applied even if it is unchanged."""
+        self._applied.pop(name, None)
+        self._superseded.add(name)
 
     def updated_at(self, name: str, default: float) -> float:
-        return self._told_at.get(name, default)
+        """When a listed server was last received; `default` where it is not listed."""
+        return self._updated_at.get(name, default)
--- a/topazbank/core/endpoint_source.py
+++ b/topazbank/core/endpoint_source.py
@@ -1,4 +1,4 @@
-"""What a membership source tells the driver, and what it must offer."""
+"""The endpoint list as sources give it, and what a source must offer."""
 
 from __future__ import annotations
 
@@ -13,69 +13,71 @@
 
 @dataclass(slots=True)
 class DiscoveredServer:
-    """A line of the list, with the address that the node has for this sidecar."""
+    """An entry of the endpoint list, with the address at which this sidecar reaches the server."""
 
     server: ServerDescription
     address: Address | None
-    protocol: str | None = None  # what it speaks; None where the entry does not say
+    protocol: str | None = None  # None where the entry does not say
 
 
-def as_removed(line: DiscoveredServer) -> DiscoveredServer:
-    """The same node, told to have gone."""
-    server = line.server
-    gone = ServerDescription(
+def as_removed(entry: DiscoveredServer) -> DiscoveredServer:
+    """The entry of the same server, removed."""
+    server = entry.server
+    removed = ServerDescription(
         server.name, server.zone, server.kind, server.cell, ServerState.REMOVED, server.nominal_capacity
     )
-    return DiscoveredServer(gone, line.address, line.protocol)
+    return DiscoveredServer(removed, entry.address, entry.protocol)
 
 
 @dataclass(slots=True)
 class EndpointList:
-    """What a source answered."""
+    """A snapshot of the endpoint list, or changes of it."""
 
     version: int
-    complete: bool
+    complete: bool  # whether it is a snapshot: a server that is missing has been removed
     entries: list[DiscoveredServer]
 
 
 @dataclass(frozen=True, slots=True)
 class SourceStatus:
-    """What a source can say of itself."""
+    """How well a source knows the endpoint list."""
 
     source: str
-    is_connected: bool  # whether it is in touch with whoever knows
-    last_contact_at: float | None  # when it last was, on the event loop's clock; None: never
+    is_connected: bool  # whether it is in contact with whoever has the list
+    last_contact_at: float | None  # seconds on the event loop's clock; None: never
 
 
 class EndpointSource(Protocol):
-    """A membership source; it tells each list, or None for a call that failed, to whoever made it."""
+    """A source of the endpoint list; it passes each list, or None for a failed call, to whoever made it."""
 
     def watch(self, wanted: bool) -> None:
-        """Begin to tell changes, or end that; what is under way goes on."""
+        """Begin to watch for changes, or end that; calls in progress go on."""
 
     def fetch(self) -> None:
-        """Ask once for the whole list."""
+        """Ask once for a snapshot."""
 
     def move(self, address: Address) -> None:
-        """Go on at another place, with a whole list first."""
+        """Go on at another address, with a snapshot first."""
 
-    def stop(self) -> None: ...
+    def stop(self) -> None:
+        """End all calls."""
 
     def status(self) -> tuple[SourceStatus, ...]:
-        """Whether it can know, and how old its word is; several, where it is made of several."""
+        """The status of each source that it is made of."""
 
     def source_of(self, name: str) -> str:
-        """By whose word a node stands as it does."""
+        """The name of the source that a server's entry is from."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProtocolDefaults:
-    """Which protocol a node speaks: its entry's word, else its pod's, else the installation's default."""
+    """The protocol of a server: that of its entry, else its cell's, else the default."""
 
     default: str = HTTP
     by_cell: Mapping[int, str] = field(default_factory=dict)
 
-    def protocol_of(self, line: DiscoveredServer) -> str:
-        if line.protocol is not None:
-            return line.protocol
-        return self.by_cell.get(line.server.cell, self.default)
+    def protocol_of(self, entry: DiscoveredServer) -> str:
+        """The protocol of an entry's server."""
+        if entry.protocol is not None:
+            return entry.protocol
+        return self.by_cell.get(entry.server.cell, self.default)
--- a/topazbank/core/gossip_transport.py
+++ b/topazbank/core/gossip_transport.py
@@ -1,4 +1,4 @@
-"""Short messages between the sidecars of a tier: UDP datagrams, late or never, where the platform gives an address."""
+"""Datagrams between the sidecars of a cluster over UDP: late or lost, where the platform gives an address for them."""
 
 from __future__ import annotations
 
@@ -7,119 +7,126 @@
 import socket
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import cast
+from typing import Final, cast
 
 from topazbank.core.net import Address
 from topazbank.estimation.load_gossip import MESSAGE_MOST, VERSION
 
 log = logging.getLogger(__name__)
 
+_LOAD_GOSSIP_MARK: Final = bytes([VERSION])  # the first byte of its messages
+
 
 @dataclass(frozen=True, slots=True)
 class GossipAddresses:
-    """Where the sidecars of a tier hear one another."""
+    """Where the sidecars of a cluster exchange datagrams."""
 
-    listen: Address  # where this one's messages come in, and from where its own leave
-    members: tuple[Address, ...] = ()  # by number, the own one among them
+    listen: Address  # of this one
+    members: tuple[Address, ...] = ()  # by number, this one among them
     broadcast: Address | None = None  # one address that reaches every other
 
 
 class GossipTransport(asyncio.DatagramProtocol):
-    """Sends and hears messages; what can't be sent is lost, as any datagram may be."""
+    """Sends and receives datagrams; what can't be sent is lost, as any datagram may be."""
 
     def __init__(
         self,
-        tier: GossipAddresses,
-        heard: Callable[[int, bytes], None],
+        addresses: GossipAddresses,
+        on_gossip: Callable[[int, bytes], None],
         sock: socket.socket | None = None,
-        member: Callable[[bytes, Address], None] | None = None,
+        on_other_datagram: Callable[[bytes, Address], None] | None = None,
     ) -> None:
-        """`heard` takes the sender's number and the message; `sock`: one that was handed over, bound already.
+        """`on_gossip` receives a member's number and its load gossip, `on_other_datagram` all others, from anyone.
 
-        `member` takes what is no such message, from whomever: this tier's own, or a stranger's.
+        `sock`: bound already, handed over by the process that this one replaces.
         """
-        self._member = member
-        self._resting: socket.socket | None = None  # a copy of the socket while another process hears by it
+        self._addresses = addresses
+        self._numbers = {address: number for number, address in enumerate(addresses.members)}
+        self._on_gossip = on_gossip
+        self._on_other_datagram = on_other_datagram
         self._sock = sock
-        self._tier = tier
-        self._numbers = {address: number for number, address in enumerate(tier.members)}
-        self._heard = heard
+        self._paused_socket: socket.socket | None = None  # a copy, while another process receives from it
         self._transport: asyncio.DatagramTransport | None = None
 
     async def start(self) -> None:
-        """Listen; without the address messages are not carried, and one line says so."""
+        """Listen; where the address can't be had one log line says so, and nothing is sent or received."""
         loop = asyncio.get_running_loop()
         try:
             if self._sock is not None:
                 await loop.create_datagram_endpoint(lambda: self, sock=self._sock)
             else:
-                # Beside a process of this sidecar that hangs: what it does not read is lost, as any may be.
-                shared = self._member is not None
+                # Beside a process of this sidecar that hangs: what that one does not read is lost.
+                shared = self._on_other_datagram is not None
                 await loop.create_datagram_endpoint(
-                    lambda: self, local_addr=self._tier.listen, reuse_port=shared or None
+                    lambda: self, local_addr=self._addresses.listen, reuse_port=shared or None
                 )
-        except OSError as fault:
-            log.error("no messages between sidecars: %s:%d: %s", *self._tier.listen, fault)
+        except OSError as error:
+            log.error("no messages between sidecars: %s:%d: %s", *self._addresses.listen, error)
 
     @property
-    def socket(self) -> socket.socket | None:
-        """What it hears by, for the process that comes after this one."""
-        return self._transport.get_extra_info("socket") if self._transport is not None else self._resting
+    def sock(self) -> socket.socket | None:
+        """The socket that it receives from, for the process that replaces this one."""
+        if self._transport is None:
+            return self._paused_socket
+        return cast(socket.socket, self._transport.get_extra_info("socket"))
 
     def pause(self) -> None:
-        """Leave what comes in to another process that has the same socket."""
+        """Leave what comes to another process that has the same socket."""
         if self._transport is not None:
-            self._resting = self._transport.get_extra_info("socket").dup()
+            self._paused_socket = self._transport.get_extra_info("socket").dup()
             self._transport.close()
             self._transport = None
 
     async def resume(self) -> None:
-        """Hear again: the other process has ended."""
-        if self._resting is not None:
-            self._sock, self._resting = self._resting, None
+        """Receive again: the other process has ended."""
+        if self._paused_socket is not None:
+            self._sock, self._paused_socket = self._paused_socket, None
             await self.start()
 
     def stop(self) -> None:
-        if self._resting is not None:
-            self._resting.close()
-            self._resting = None
+        """Close the socket."""
+        if self._paused_socket is not None:
+            self._paused_socket.close()
+            self._paused_socket = None
         if self._transport is not None:
             self._transport.close()
             self._transport = None
 
     def send_gossip(self, receiver: int | None, payload: bytes) -> None:
-        """Send to the sidecar of this number, or to all others (None)."""
+        """Send load gossip to the member of this number, or to all others (None)."""
         if self._transport is None or len(payload) > MESSAGE_MOST:
             return
-        addresses: tuple[Address, ...]
-        if receiver is not None:
-            known = 0 <= receiver < len(self._tier.members)
-            addresses = (self._tier.members[receiver],) if known else ()
-        elif self._tier.broadcast is not None:
-            addresses = (self._tier.broadcast,)
-        else:
-            addresses = tuple(each for each in self._tier.members if each != self._tier.listen)
-        for address in addresses:
+        for address in self._receivers(receiver):
             self._transport.sendto(payload, address)
 
+    def _receivers(self, receiver: int | None) -> tuple[Address, ...]:
+        members = self._addresses.members
+        if receiver is not None:
+            return (members[receiver],) if 0 <= receiver < len(members) else ()
+        if self._addresses.broadcast is not None:
+            return (self._addresses.broadcast,)
+        return tuple(address for address in members if address != self._addresses.listen)
+
     def send(self, address: Address, payload: bytes) -> None:
-        """Send to whatever address; lost while nobody listens here."""
+        """Send any datagram to an address."""
         if self._transport is not None:
             self._transport.sendto(payload, address)
 
-    # -- What asyncio calls ---------------------------------------------------------------------------
+    # -- Called by asyncio ----------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The socket is open."""
         # Its class is no subclass of DatagramTransport before Python 3.12.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        if self._member is not None and data[:1] != bytes([VERSION]):
-            self._member(data, (addr[0], addr[1]))
+        """Pass a datagram on by its first byte; load gossip from who is no member is dropped."""
+        if self._on_other_datagram is not None and data[:1] != _LOAD_GOSSIP_MARK:
+            self._on_other_datagram(data, (addr[0], addr[1]))
             return
         number = self._numbers.get((addr[0], addr[1]))
-        if number is not None and len(data) <= MESSAGE_MOST:  # what strangers send is not heard
-            self._heard(number, data)
+        if number is not None and len(data) <= MESSAGE_MOST:
+            self._on_gossip(number, data)
 
     def error_received(self, exc: Exception) -> None:
-        """A peer is down: its datagrams come back, and that is no matter."""
+        """Ignore that a member is down and its datagrams come back."""
--- a/topazbank/core/net.py
+++ b/topazbank/core/net.py
@@ -1,14 +1,15 @@
-"""Addresses, sockets and the one read buffer."""
+"""Addresses, the state of sockets, and the one read buffer."""
 
 from __future__ import annotations
 
 import asyncio
 import select
 import socket
+from typing import Final
 
 Address = tuple[str, int]
 
-_ESTABLISHED = 1  # the first byte of tcp_info (Linux, tcp.h): an end that has come makes it another
+_TCP_ESTABLISHED: Final = 1  # the first byte of tcp_info (Linux, tcp.h) while neither side has closed
 
 
 def parse_address(text: str) -> Address:
@@ -20,7 +21,7 @@
 
 
 def has_nothing_unread(sock: socket.socket) -> bool:
-    """Whether a connection holds nothing unread: no byte, no end, no error."""
+    """Whether a connection is open and holds no unread byte."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except (BlockingIOError, InterruptedError):
@@ -31,7 +32,7 @@
 
 
 def is_connected(sock: socket.socket) -> bool:
-    """Whether a dialled connection has come up."""
+    """Whether connecting a socket has succeeded."""
     try:
         sock.getpeername()
     except OSError:
@@ -40,31 +41,35 @@
 
 
 def peer_has_closed(sock: socket.socket) -> bool:
-    """Whether the other side has closed a connection, though what it sent before may be unread."""
+    """Whether the other side has closed a connection, even if what it sent before is unread."""
     try:
-        return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] != _ESTABLISHED
+        return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] != _TCP_ESTABLISHED
     except OSError:  # no TCP
-        look = select.poll()
-        look.register(sock, select.POLLRDHUP)
-        return bool(look.poll(0))
+        poll = select.poll()
+        poll.register(sock, select.POLLRDHUP)
+        return bool(poll.poll(0))
 
 
 def new_socket(address: Address) -> socket.socket:
+    """A TCP socket of an address's family."""
     return socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
 
 
-# What any connection reads goes through here, and is copied out at once.
-_READ = memoryview(bytearray(64 * 1024))
+# All connections of the process read into it, and copy what came at once.
+_READ_BUFFER = memoryview(bytearray(64 * 1024))
 
 
 class SharedBufferProtocol(asyncio.BufferedProtocol):
-    """Reads through one buffer: by default each read takes 256 KiB anew, which scatters the heap."""
+    """A connection that reads through one buffer: by default each read allocates 256 KiB, which fragments the heap."""
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return _READ
+        """The buffer to read into (called by asyncio)."""
+        return _READ_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.data_received(bytes(_READ[:nbytes]))
+        """Bytes were read (called by asyncio)."""
+        self.data_received(bytes(_READ_BUFFER[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
+        """Handle what came."""
         raise NotImplementedError
--- a/topazbank/core/sidecar.py
+++ b/topazbank/core/sidecar.py
@@ -257,7 +257,7 @@
     @property
     def listening_sockets(self) -> list[socket.socket]:
         """The sockets for the process that replaces this one: for clients, and for gossip if there is any."""
-        gossip = self._gossip.socket if self._gossip is not None else None
+        gossip = self._gossip.sock if self._gossip is not None else None
         return [self.listener.sock, *([gossip] if gossip is not None else [])]
 
     @property
--- a/topazbank/core/timers.py
+++ b/topazbank/core/timers.py
@@ -1,7 +1,7 @@
-"""Many timers on one of the event loop's.
+"""Many timers on one timer of the event loop.
 
-Every request needs a few, and nearly all are cancelled.  These are a tuple on a heap each; the loop is asked for
-one timer, for the earliest.
+Every request needs a few, and nearly all are cancelled.  Each is a tuple on a heap here; the event loop has one timer,
+for the earliest.
 """
 
 from __future__ import annotations
@@ -11,17 +11,15 @@
 import logging
 import math
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Final
 
 log = logging.getLogger(__name__)
 
-_CANCELLED_LEAST = (
-    256  # cancelled ones that may wait on the heap at any rate; beyond it no more than half may be
-)
+_CANCELLED_MIN: Final = 256  # cancelled timers that may stay on the heap anyway; of more, half the heap
 
 
 class Timer:
-    """One call to be made; as asyncio.TimerHandle as far as it is used here."""
+    """One call to be made, like asyncio.TimerHandle."""
 
     __slots__ = ("_argument", "_callback", "_timers", "_when")
 
@@ -32,7 +30,7 @@
         self._argument = argument
 
     def when(self) -> float:
-        """On the event loop's clock."""
+        """When it is due, seconds on the event loop's clock."""
         return self._when
 
     def cancelled(self) -> bool:
@@ -40,11 +38,13 @@
         return self._callback is None
 
     def cancel(self) -> None:
+        """Make no call."""
         if self._callback is not None:
             self._callback = self._argument = None
-            self._timers.one_cancelled()
+            self._timers.timer_cancelled()
 
     def fire(self) -> None:
+        """Make the call, unless it was cancelled or made before."""
         callback, argument = self._callback, self._argument
         self._callback = self._argument = None
         if callback is not None:
@@ -52,49 +52,50 @@
 
 
 class Timers:
-    """The timers of one event loop; made before it runs, used while it does."""
+    """The timers of one event loop; may be made before it runs, used while it does."""
 
     def __init__(self) -> None:
-        # The live ones and at most as many cancelled ones, or _CANCELLED_LEAST; by time, then as they were made.
+        # Time, order of creation, timer: the live ones, and as many cancelled ones or _CANCELLED_MIN.
         self._heap: list[tuple[float, int, Timer]] = []
-        self._made = 0
+        self._created = 0
         self._cancelled = 0  # of those on the heap
-        self._due = math.inf  # when the loop's own timer falls due
-        self._armed: asyncio.TimerHandle | None = None
+        self._loop_timer_at = math.inf
+        self._loop_timer: asyncio.TimerHandle | None = None
 
     def __len__(self) -> int:
-        """How many are kept, cancelled ones too."""
+        """How many are on the heap, cancelled ones too."""
         return len(self._heap)
 
     def call_at(self, when: float, callback: Callable[[Any], object], argument: Any = None) -> Timer:
-        """Call `callback(argument)` at this time of the running loop's clock."""
+        """Call `callback(argument)` at a time of the running loop's clock, seconds."""
         timer = Timer(self, when, callback, argument)
-        self._made += 1
-        heapq.heappush(self._heap, (when, self._made, timer))
-        if when < self._due:
-            self._arm(when)
+        self._created += 1
+        heapq.heappush(self._heap, (when, self._created, timer))
+        if when < self._loop_timer_at:
+            self._set_loop_timer(when)
         return timer
 
     def call_after(self, seconds: float, callback: Callable[[Any], object], argument: Any = None) -> Timer:
+        """Call `callback(argument)` after a time."""
         return self.call_at(asyncio.get_running_loop().time() + seconds, callback, argument)
 
-    def _arm(self, when: float) -> None:
-        if self._armed is not None:
-            self._armed.cancel()
-        self._due = when
-        self._armed = asyncio.get_running_loop().call_at(when, self._fire)
-
-    def one_cancelled(self) -> None:
-        """A timer tells that it was cancelled; it is dropped later."""
+    def timer_cancelled(self) -> None:
+        """Note that a timer was cancelled (called by it); it is dropped later."""
         self._cancelled += 1
-        if self._cancelled > _CANCELLED_LEAST and 2 * self._cancelled > len(self._heap):
-            self._heap = [each for each in self._heap if not each[2].cancelled()]
+        if self._cancelled > _CANCELLED_MIN and 2 * self._cancelled > len(self._heap):
+            self._heap = [entry for entry in self._heap if not entry[2].cancelled()]
             heapq.heapify(self._heap)
             self._cancelled = 0
 
+    def _set_loop_timer(self, when: float) -> None:
+        if self._loop_timer is not None:
+            self._loop_timer.cancel()
+        self._loop_timer_at = when
+        self._loop_timer = asyncio.get_running_loop().call_at(when, self._fire)
+
     def _fire(self) -> None:
         """Make all calls that are due; one that fails keeps no other from being made."""
-        self._armed, self._due = None, math.inf
+        self._loop_timer, self._loop_timer_at = None, math.inf
         now = asyncio.get_running_loop().time()
         while self._heap and (self._heap[0][0] <= now or self._heap[0][2].cancelled()):
             timer = heapq.heappop(self._heap)[2]
@@ -105,5 +106,5 @@
                 timer.fire()
             except Exception:
                 log.exception("a timer's call failed")
-        if self._heap and self._heap[0][0] < self._due:
-            self._arm(self._heap[0][0])
+        if self._heap and self._heap[0][0] < self._loop_timer_at:
+            self._set_loop_timer(self._heap[0][0])
--- a/topazbank/core/trace.py
+++ b/topazbank/core/trace.py
@@ -1,9 +1,8 @@
-"""What a sidecar decided, event by event, for accounts made afterwards: one line of JSON each, beside the log.
+"""A trace of what a sidecar decided, event by event, for later analysis: one line of JSON each, beside the log.
 
-Off unless the operator file asks for it (`[trace]`).  No request's content, id or key is in a line; requests go by the
-sidecar's own numbers.  A line is a list whose first entry says what it is, and whose second is the clock time in
-microseconds; `FIELDS` names the rest.  The lines of one second are bounded: beyond that they are counted, and the count
-is the next line's business.
+Off unless the operator file asks for it (`[trace]`).  No line holds a request's content, id or key; requests go by the
+sidecar's own numbers.  A line is a list: its kind, the clock time in microseconds, and the fields in `FIELDS`.
+The lines of one second are bounded; how many were dropped beyond that stands before the next second's lines.
 """
 
 from __future__ import annotations
@@ -11,7 +10,7 @@
 import json
 import sys
 from collections.abc import Callable, Sequence
-from typing import Any
+from typing import Any, Final
 
 from topazbank.balancing.actions import (
     Action,
@@ -32,17 +31,18 @@
     RequestArrived,
     RequestCancelled,
     ServerState,
-    UpdateKind,
 )
 
-MARK = "@"  # begins each line, so that they are told from the log's
-VERSION = 1
-FIELDS = {
-    "start": ("version", "classes", "group"),  # classes: name, worth, aim in microseconds
+MARK: Final = "@"  # begins each line, and no line of the log
+VERSION: Final = 1
+# By the kind of a line; these names are the trace's own format.
+FIELDS: Final = {
+    # Of each class its name, priority weight and latency objective (microseconds); the group is the fleet's sidecars.
+    "start": ("version", "classes", "group"),
     "arrived": ("request", "class", "tenant", "again", "remaining_us"),
     "gone": ("request",),
     "ended": ("request", "attempt", "server", "outcome", "elapsed_us", "answered"),
-    "send": ("request", "server", "cold", "busy"),  # as `standing` gives them, the attempt counted
+    "send": ("request", "server", "cold", "busy"),  # as `standing` returns them, this attempt included
     "refuse": ("request", "view"),
     "fail": ("request", "view"),
     "probe": ("server",),
@@ -51,12 +51,12 @@
     "follow": (),
     "listed": ("kind", "lines", "ready"),
     "close": ("server",),
-    "dropped": ("lines",),  # of the second before: more than the bound
+    "dropped": ("lines",),  # in the second before, beyond the bound
 }
 
 
 def view(balancer: Balancer) -> dict[str, float | None]:
-    """The decision module's beliefs of now.  It reads what is private there: the module needs no code for it."""
+    """The balancer's estimates now."""
     strain = balancer._strain
     found = {
         "window": balancer._window if balancer._window < 1e9 else None,
@@ -76,34 +76,40 @@
 
 
 def standing(balancer: Balancer, name: str) -> tuple[bool, int]:
-    """Of a server: whether it is cold, and the own requests that it holds, one just sent among them."""
+    """Whether a server is warming up, and how many of this sidecar's requests are in flight there."""
     server = balancer._servers.get(name)
     return (False, 0) if server is None else (balancer._is_cold(server), balancer._busy(server))
 
 
 def to_stderr(text: str) -> None:
-    """Beside the log, and at once: a sidecar may be killed."""
+    """Write beside the log, unbuffered: a sidecar may be killed."""
     sys.stderr.write(text)
     sys.stderr.flush()
 
 
 class Trace:
-    """Writes what happened; `lines_per_second` bounds it."""
+    """Writes the trace, at most `lines_per_second` lines a second."""
 
     def __init__(
         self, balancer: Balancer, lines_per_second: int, write: Callable[[str], None] = to_stderr
     ) -> None:
         self._balancer = balancer
-        self._most = lines_per_second
+        self._lines_per_second = lines_per_second
         self._write = write
         self._second = 0
-        self._lines = 0
+        self._lines = 0  # in this second
 
-    def record_start(self, now: int, classes: Sequence[tuple[str, float, int]], group: int) -> None:
-        self._line("start", now, VERSION, [list(each) for each in classes], group)
+    def record_start(self, now: int, classes: Sequence[tuple[str, float, int]], fleet_size: int) -> None:
+        """Write the first line; `classes`: name, priority weight and latency objective (microseconds) of each."""
+        self._line("start", now, VERSION, [list(each) for each in classes], fleet_size)
 
     def record(self, now: int, event: Event, actions: Sequence[Action]) -> None:
-        """Note an event and what was decided on it."""
+        """Write an event and what was decided on it; `now`: microseconds."""
+        self._record_event(now, event)
+        for action in actions:
+            self._record_action(now, action)
+
+    def _record_event(self, now: int, event: Event) -> None:
         if isinstance(event, RequestArrived):
             self._line(
                 "arrived",
@@ -130,18 +136,16 @@
         elif isinstance(event, HealthCheckEnded):
             self._line("probed", now, event.server, event.outcome.value, event.elapsed_us, event.report)
         elif isinstance(event, EndpointsUpdated):
-            ready = sum(each.state is ServerState.READY for each in event.servers)
-            kind = "failed" if event.kind is UpdateKind.FAILED else event.kind.value
-            self._line("listed", now, kind, len(event.servers), ready)
-        for action in actions:
-            self._decided(now, action)
+            ready = sum(server.state is ServerState.READY for server in event.servers)
+            self._line("listed", now, event.kind.value, len(event.servers), ready)
 
-    def _decided(self, now: int, action: Action) -> None:
+    def _record_action(self, now: int, action: Action) -> None:
         if isinstance(action, SendAttempt):
             self._line("send", now, action.request, action.server, *standing(self._balancer, action.server))
-        elif isinstance(action, Reject | Fail):
-            what = "refuse" if isinstance(action, Reject) else "fail"
-            self._line(what, now, action.request, view(self._balancer))
+        elif isinstance(action, Reject):
+            self._line("refuse", now, action.request, view(self._balancer))
+        elif isinstance(action, Fail):
+            self._line("fail", now, action.request, view(self._balancer))
         elif isinstance(action, CheckHealth):
             self._line("probe", now, action.server)
         elif isinstance(action, SendGossip):
@@ -151,13 +155,13 @@
         elif isinstance(action, CloseIdleConnections):
             self._line("close", now, action.server)
 
-    def _line(self, what: str, now: int, *fields: Any) -> None:
+    def _line(self, kind: str, now: int, *fields: Any) -> None:
         second = now // 1_000_000
         if second != self._second:
-            over = self._lines - self._most
+            dropped = self._lines - self._lines_per_second
             self._second, self._lines = second, 0
-            if over > 0:
-                self._write(MARK + json.dumps(["dropped", now, over]) + "\n")
+            if dropped > 0:
+                self._write(MARK + json.dumps(["dropped", now, dropped]) + "\n")
         self._lines += 1
-        if self._lines <= self._most:
-            self._write(MARK + json.dumps([what, now, *fields], separators=(",", ":")) + "\n")
+        if self._lines <= self._lines_per_second:
+            self._write(MARK + json.dumps([kind, now, *fields], separators=(",", ":")) + "\n")
