--- a/tests/msgpackrpc/test_front.py
+++ b/tests/msgpackrpc/test_front.py
@@ -227,7 +227,7 @@
 @pytest.mark.parametrize(
     "said", [b"", b"\x94", b"\x94\x00\x07\xa4lo"], ids=["silent", "a byte", "half a message"]
 )
-def test_a_connection_that_says_no_more_is_ended(said: bytes) -> None:
+def test_a_connection_that_falls_silent_is_closed(said: bytes) -> None:
     async def scene() -> None:
         async with world(served) as w:
             one = await client(w.sidecar.listener.address)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts over loopback: what goes out, what comes back, and what each end proves."""
+"""Attempts over loopback: what is sent, what comes back, and what each outcome proves."""
 
 from __future__ import annotations
 
@@ -53,13 +53,13 @@
     return b""
 
 
-def full(*_: object) -> bytes:
+def reject(*_: object) -> bytes:
     return answer(503, b"", X_Rejected="1")
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() -> None:
-    async def scene() -> None:
+def test_request_and_response_are_forwarded_unchanged() -> None:
+    async def scenario() -> None:
         body = bytes(range(256)) * 16
         async with world(lambda *_: answer(200, body, Content_Type="x/y")) as w:
             sent = request("amend", "/api/7f3a?q=1", b"\0body\xff", X_Caller="acme")
@@ -70,10 +70,10 @@
             assert given["x-call-id"] == "9b1f03aa5c7e2d41" and given["idempotency-key"] == "5c0f6e1a"
             assert 0.0 < float(given["x-budget"]) < 5.0
 
-    play(scene())
+    play(scenario())
 
 
-# Guards rule 2: of an unsafe request only these ends prove that it never ran.
+# Guards rule 2: of a non-idempotent request only these outcomes prove that it was not executed.
 @pytest.mark.parametrize(
     ("reply", "status", "attempts"),
     [
@@ -87,10 +87,10 @@
     ],
 )
 @pytest.mark.usefixtures("each_pair")
-def test_an_unsafe_request_is_sent_again_only_where_it_never_ran(
+def test_a_non_idempotent_request_is_retried_only_where_it_was_not_executed(
     reply: bytes, status: int, attempts: int
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         replies = [reply]
 
         def first_so(*_: object) -> bytes:
@@ -101,21 +101,21 @@
             assert got == status and (body == b"served") == (status == 200)
             assert len(w.sent()) == attempts
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_a_refused_connection_lets_even_an_unsafe_request_go_elsewhere() -> None:
-    async def scene() -> None:
+def test_a_refused_connection_lets_even_a_non_idempotent_request_be_retried() -> None:
+    async def scenario() -> None:
         async with world(served, served) as w:
             w.servers[0].stop()
             for _ in range(3):
                 assert (await w.ask(kind="pay", body=b"x"))[0] == 200
 
-    play(scene())
+    play(scenario())
 
 
-# Guards rule 1: an answer that ends with its connection may have been cut short, so it is never passed on.
+# Guards rule 1: a response that ends with its connection may have been cut short, so it is never forwarded.
 @pytest.mark.parametrize(
     "cut",
     [
@@ -125,8 +125,8 @@
     ],
 )
 @pytest.mark.usefixtures("each_client")
-def test_a_body_that_may_not_be_whole_is_not_passed_on(cut: bytes) -> None:
-    async def scene() -> None:
+def test_a_response_that_may_be_cut_short_is_not_forwarded(cut: bytes) -> None:
+    async def scenario() -> None:
         async with world(lambda *_: cut) as w:
             asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
             await until(w.sent)
@@ -136,10 +136,10 @@
             server.writers[0].close()
             assert (await asking)[0] == 500
 
-    play(scene())
+    play(scenario())
 
 
-SPOILT = [
+MALFORMED = [
     b"nonsense\r\n\r\n",
     b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nand more",
     b"HTTP/1.1 200 X\r\nContent-Length: -5\r\n\r\nabcde",
@@ -151,46 +151,46 @@
 ]
 
 
-@pytest.mark.parametrize("spoilt", SPOILT, ids=range(len(SPOILT)))
+@pytest.mark.parametrize("malformed", MALFORMED, ids=range(len(MALFORMED)))
 @pytest.mark.usefixtures("each_client")
 @pytest.mark.interpreted
-def test_a_spoilt_answer_is_an_error_at_once_and_its_connection_is_not_used_again(
-    spoilt: bytes, monkeypatch: pytest.MonkeyPatch
+def test_a_malformed_response_is_an_error_at_once_and_its_connection_is_not_reused(
+    malformed: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The server keeps the connection open: nothing but the answer itself tells.
-    async def scene() -> None:
-        async with world(lambda *_: spoilt) as w:
-            real, heard = w.sidecar._balancer.handle, []
+    # The server keeps the connection open: only the response itself shows it.
+    async def scenario() -> None:
+        async with world(lambda *_: malformed) as w:
+            real, events = w.sidecar._balancer.handle, []
 
             def handle(now: int, event: Event) -> list[Action]:
-                heard.append(event)
+                events.append(event)
                 return real(now, event)
 
             monkeypatch.setattr(w.sidecar._balancer, "handle", handle)
-            assert (await w.ask(kind="pay", body=b"x"))[0] == 500  # it may have run
-            assert [each.outcome for each in heard if isinstance(each, AttemptEnded)] == [Outcome.ERROR]
+            assert (await w.ask(kind="pay", body=b"x"))[0] == 500  # it may have been executed
+            assert [each.outcome for each in events if isinstance(each, AttemptEnded)] == [Outcome.ERROR]
             await until(lambda: w.servers[0].closed == 1)
             w.servers[0].script = served
             assert (await w.ask())[0] == 200 and len(w.servers[0].writers) == 2
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize("more", [answer(200, b"a second copy"), b"noise"])
 @pytest.mark.usefixtures("each_client")
-def test_more_than_belongs_to_an_answer_costs_its_connection_and_nothing_else(more: bytes) -> None:
-    async def scene() -> None:
+def test_bytes_behind_a_response_cost_its_connection_and_nothing_else(more: bytes) -> None:
+    async def scenario() -> None:
         async with world(lambda *_: b"HTTP/1.1 103 X\r\n\r\n" + answer(200, b"done") + more) as w:
             for number in range(3):
                 assert (await w.ask(X_Call_Id=f"{number}"))[2] == b"done"
             assert len(w.servers[0].writers) == 3
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_a_hung_server_leaves_time_for_an_answer_and_its_connection_is_closed() -> None:
-    async def scene() -> None:
+def test_a_request_at_a_hung_server_fails_in_time_and_its_connection_is_closed() -> None:
+    async def scenario() -> None:
         async with world(hung) as w:
             loop = asyncio.get_running_loop()
             began = loop.time()
@@ -199,29 +199,29 @@
             await until(lambda: w.servers[0].closed == 1)
             assert len(w.sent()) == 1
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_a_client_that_leaves_ends_its_attempt() -> None:
-    async def scene() -> None:
+def test_a_client_that_disconnects_cancels_its_attempt() -> None:
+    async def scenario() -> None:
         async with world(hung) as w:
             leaving = await client(w.sidecar.listener.address)
             leaving.send(request("pay", body=b"x"))
             await until(w.sent)
             leaving.close()
             await until(lambda: w.servers[0].closed == 1)
-            assert not w.sidecar._requests.live  # the late outcome reached the module, and nothing is kept
+            assert not w.sidecar._requests.live  # the balancer got the late outcome, and nothing is left
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_node")
-def test_nothing_is_sent_for_a_client_that_left_before_its_request_was_read() -> None:
-    async def scene() -> None:
+def test_nothing_is_sent_for_a_client_that_disconnected_before_its_request_was_read() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             assert (await w.ask(path="/api/1"))[0] == 200
-            await asyncio.sleep(0.05)  # its connection has rested: what comes next is written at once
+            await asyncio.sleep(0.05)  # its connection may be reused: the next request is written at once
             accepted, fresh = [socket.create_connection(w.sidecar.listener.address) for _ in range(2)]
             await until(lambda: len(w.sidecar.listener.connections) >= 2)
             for each in (accepted, fresh, socket.create_connection(w.sidecar.listener.address)):
@@ -230,40 +230,39 @@
             assert (await w.ask(path="/api/3", X_Call_Id="next"))[0] == 200
             assert [first.split(" ")[1] for first, _, _ in w.sent()] == ["/api/1", "/api/3"]
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_connections_are_used_again() -> None:
-    async def scene() -> None:
+def test_connections_are_reused() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             for _ in range(5):
                 assert (await w.ask())[0] == 200
-                await asyncio.sleep(0.05)  # longer than it has to rest
+                await asyncio.sleep(0.05)  # longer than a connection is not reused
             assert len(w.servers[0].writers) == 1
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_client")
-def test_a_connection_rests_before_it_is_used_again_and_makes_room_where_there_is_none() -> None:
-    # Guards against an end or a second copy that is under way behind the answer.
-    async def scene() -> None:
+def test_a_connection_is_not_reused_at_once_and_is_closed_where_connections_lack() -> None:
+    # Guards against a close or a duplicate that follows the response.
+    async def scenario() -> None:
         limits = LIMITS | {"connect_timeout_us": 600 * S}
         async with world(served, sockets=56, limits=limits) as w:
             for _ in range(9):
                 assert (await w.ask())[0] == 200
             assert len(w.servers[0].writers) == 9
             await until(lambda: w.servers[0].closed == 5)
-            assert (
-                w.sidecar._endpoint_table.connection_limit.open_count == 4
-            )  # all that the descriptors allow
+            # All that the descriptors allow.
+            assert w.sidecar._endpoint_table.connection_limit.open_count == 4
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_late_second_answer_never_answers_the_next_request_though_there_is_no_room() -> None:
-    async def scene() -> None:
+def test_a_late_duplicate_response_never_answers_the_next_request_though_connections_lack() -> None:
+    async def scenario() -> None:
         def first_only(_: str, head: dict[str, str], body: bytes) -> bytes | None:
             return answer(200, b"first") if head["x-call-id"] == "first" else None
 
@@ -280,14 +279,14 @@
             assert (await one.answer())[2] == b"second"
             one.close()
 
-    play(scene())
+    play(scenario())
 
 
-# Guards against a request that is written to a connection which its server has already ended.
+# Guards against writing a request to a connection that its server has closed already.
 @pytest.mark.parametrize("how", ["end", "stray"])
 @pytest.mark.usefixtures("each_client")
-def test_a_connection_with_an_end_or_stray_bytes_is_not_used_again(how: str) -> None:
-    async def scene() -> None:
+def test_a_connection_that_was_closed_or_has_stray_bytes_is_not_reused(how: str) -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             assert (await w.ask(kind="pay", body=b"x"))[0] == 200
             connection = w.sidecar._endpoint_table.endpoints["s-0"].pool.idle[0][0]
@@ -297,7 +296,7 @@
                 raw.shutdown(socket.SHUT_WR)
             else:
                 writer.write(b"HTTP/1.1 200 X\r\n")
-            # Blocks until the kernel has it, so that the event loop can't have seen it: the peek must.
+            # Blocks until the kernel has it; the event loop has had no turn, so only the peek can notice it.
             connection.sock.setblocking(True)
             assert connection.sock.recv(1, socket.MSG_PEEK) is not None
             connection.sock.setblocking(False)
@@ -305,12 +304,12 @@
             assert (await w.ask(kind="pay", body=b"x"))[0] == 200
             assert len(w.servers[0].writers) == 2
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_client")
-def test_an_idle_connection_is_closed_before_its_server_would() -> None:
-    async def scene() -> None:
+def test_an_idle_connection_is_closed_before_its_server_closes_it() -> None:
+    async def scenario() -> None:
         limits = {"max_attempts": 3, "cancellation": True, "idle_timeout_us": 1 * S}
         async with world(served, limits=limits) as w:
             assert (await w.ask())[0] == 200
@@ -319,11 +318,11 @@
             assert timer.when() - loop.time() < 0.95
             await until(lambda: w.servers[0].closed == 1)
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_junk_load_reports_are_skipped() -> None:
+def test_malformed_load_reports_are_skipped() -> None:
     columns = ("util", "qps")
     assert parse_report("TEXT util=0.5, qps=7, other=1", columns) == {"util": 0.5, "qps": 7.0}
     for junk in ("TEXT util=nan", "TEXT util", "BIN xyz", "", "TEXT "):
@@ -331,53 +330,53 @@
     assert parse_report("TEXT util=inf, qps=3", columns) == {"qps": 3.0}
     assert parse_report("TEXT util=0.5", ()) is None
 
-    async def scene() -> None:
+    async def scenario() -> None:
         report = {"source": "responses", "columns": ["util"]}
         async with world(lambda *_: answer(200, b"x", X_Load_Report="TEXT util=;;="), report=report) as w:
             assert (await w.ask())[0] == 200
 
-    play(scene())
+    play(scenario())
 
 
-# -- The connections themselves
+# -- Upstream connections
 
 
-def nodes_of(dial_limit_s: float, most: int = 10) -> EndpointTable:
-    nodes = EndpointTable(ConnectionLimit(most), 4.0)
-    nodes.add_client(HTTP, HttpUpstreamClient(dial_limit_s, 60.0, nodes.connection_limit))
-    nodes.add_client(MSGPACK_RPC, RpcUpstreamClient(dial_limit_s, 60.0, nodes.connection_limit))
-    return nodes
+def new_table(connect_timeout_s: float, max_open: int = 10) -> EndpointTable:
+    table = EndpointTable(ConnectionLimit(max_open), 4.0)
+    table.add_client(HTTP, HttpUpstreamClient(connect_timeout_s, 60.0, table.connection_limit))
+    table.add_client(MSGPACK_RPC, RpcUpstreamClient(connect_timeout_s, 60.0, table.connection_limit))
+    return table
 
 
-def note(
-    nodes: EndpointTable, address: Address, started_at: int | None, state: ServerState, name: str = "s"
+def update(
+    table: EndpointTable, address: Address, started_at: int | None, state: ServerState, name: str = "s"
 ) -> None:
-    nodes.update(name, address, started_at, state, pair().nodes)
+    table.update(name, address, started_at, state, pair().nodes)
 
 
-async def outcome_of(nodes: EndpointTable, seconds: float = 5.0, body: bytes = b"") -> Outcome:
+async def outcome_of(table: EndpointTable, seconds: float = 5.0, body: bytes = b"") -> Outcome:
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[Outcome] = loop.create_future()
 
     def end(outcome: Outcome, _: Response | None) -> None:
-        ended.set_result(outcome)  # a second outcome would raise here
+        ended.set_result(outcome)  # a second outcome would raise
 
-    nodes.send("s", a_call(body), AttemptDeadlines(loop.time() + seconds), end)
+    table.send("s", new_call(body), AttemptDeadlines(loop.time() + seconds), end)
     return await asyncio.wait_for(ended, PATIENCE_S)
 
 
-def a_call(body: bytes = b"") -> Call:
+def new_call(body: bytes = b"") -> Call:
     kind = RequestClasses(settings()).request_class("pay")
     return Call("1", kind, b"/api/1", body, None, None, 5 * S, None, False, None, lambda _: None)
 
 
 def data(body: bytes = b"") -> bytes:
-    return write_request(a_call(body), 5.0)
+    return write_request(new_call(body), 5.0)
 
 
-def test_a_break_before_the_last_byte_was_written_proves_that_it_never_ran() -> None:
-    async def scene() -> None:
-        body = bytes(32 * 1024 * 1024)  # more than the kernel takes: the rest waits in the transport
+def test_a_connection_lost_before_the_last_byte_was_written_proves_no_execution() -> None:
+    async def scenario() -> None:
+        body = bytes(32 * 1024 * 1024)  # more than the kernel buffers: the rest waits in the transport
         listener = socket.create_server(("127.0.0.1", 0))
         connection = await connect(listener.getsockname()[:2], 1024)
         other, _ = listener.accept()
@@ -389,11 +388,11 @@
         assert judge(None, connection.written, connection.spoilt) is Outcome.CONNECT_FAILED
         listener.close()
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_request_counts_as_written_once_the_transport_has_passed_all_of_it_on() -> None:
-    async def scene() -> None:
+def test_a_request_counts_as_written_once_the_kernel_has_all_of_it() -> None:
+    async def scenario() -> None:
         body = bytes(32 * 1024 * 1024)
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
@@ -410,84 +409,84 @@
         assert judge(None, connection.written, connection.spoilt) is Outcome.CONNECTION_LOST
         listener.close()
 
-    play(scene())
+    play(scenario())
 
 
-@pytest.mark.parametrize(("dial_limit", "seconds"), [(0.1, 30.0), (30.0, 0.1)])
+@pytest.mark.parametrize(("connect_timeout", "seconds"), [(0.1, 30.0), (30.0, 0.1)])
 @pytest.mark.usefixtures("each_node")
-def test_a_dial_ends_at_its_own_limit_and_at_the_end_of_the_attempt(
-    dial_limit: float, seconds: float
+def test_connecting_ends_at_its_timeout_and_at_the_attempt_s_deadline(
+    connect_timeout: float, seconds: float
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         with deaf() as address:
-            nodes = nodes_of(dial_limit, 10)
-            note(nodes, address, None, ServerState.READY)
-            assert await outcome_of(nodes, seconds) is Outcome.CONNECT_FAILED
-            await until(lambda: nodes.connection_limit.open_count == 0)
+            table = new_table(connect_timeout, 10)
+            update(table, address, None, ServerState.READY)
+            assert await outcome_of(table, seconds) is Outcome.CONNECT_FAILED
+            await until(lambda: table.connection_limit.open_count == 0)
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_node")
-def test_a_connection_that_came_up_while_the_program_lagged_is_no_failed_dial() -> None:
-    async def scene() -> None:
+def test_a_connection_that_came_up_while_the_event_loop_lagged_is_no_failure() -> None:
+    async def scenario() -> None:
         server = FakeServer("s", served)
         await server.start()
-        nodes = nodes_of(0.1, 10)
-        note(nodes, server.address, None, ServerState.READY)
-        outcome = asyncio.create_task(outcome_of(nodes))
-        while not nodes.connection_limit.open_count:
+        table = new_table(0.1, 10)
+        update(table, server.address, None, ServerState.READY)
+        outcome = asyncio.create_task(outcome_of(table))
+        while not table.connection_limit.open_count:
             await asyncio.sleep(0)
-        await asyncio.sleep(0)  # now it is dialled
+        await asyncio.sleep(0)  # now it is connecting
         time.sleep(0.5)
         assert await outcome is Outcome.DELIVERED
         server.stop()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.REMOVED])
 @pytest.mark.usefixtures("each_node")
-def test_a_dial_under_way_to_a_server_that_leaves_is_ended(state: ServerState) -> None:
-    # Guards rule 3: a slow dial would write its request after the grace.
-    async def scene() -> None:
+def test_connecting_to_a_server_that_drains_is_ended(state: ServerState) -> None:
+    # Guards rule 3: a slow connection would carry its request after the drain grace.
+    async def scenario() -> None:
         with deaf() as address:
-            nodes = nodes_of(30.0, 10)
-            note(nodes, address, None, ServerState.READY)
-            sending = asyncio.create_task(outcome_of(nodes))
-            await until(lambda: nodes.connection_limit.open_count == 1)
-            note(nodes, address, None, state)
+            table = new_table(30.0, 10)
+            update(table, address, None, ServerState.READY)
+            sending = asyncio.create_task(outcome_of(table))
+            await until(lambda: table.connection_limit.open_count == 1)
+            update(table, address, None, state)
             assert await sending is Outcome.CONNECT_FAILED
-            await until(lambda: nodes.connection_limit.open_count == 0)
+            await until(lambda: table.connection_limit.open_count == 0)
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_node")
-def test_a_dial_under_way_to_a_server_that_moves_or_restarts_is_ended() -> None:
-    # Guards rules 2 and 3: who listens there by now may be another, even one that drains.
-    async def scene() -> None:
+def test_connecting_to_a_server_that_moves_or_restarts_is_ended() -> None:
+    # Guards rules 2 and 3: another server may listen there by now, even one that drains.
+    async def scenario() -> None:
         with full_listener() as (listener, fillers):
             server = FakeServer("s", served)
             await server.start()
             for place, started_at in ((server.address, None), (listener.getsockname(), 5)):
-                nodes = nodes_of(30.0, 10)
-                note(nodes, listener.getsockname(), None, ServerState.READY)
-                sending = asyncio.create_task(outcome_of(nodes))
-                await until(lambda nodes=nodes: nodes.connection_limit.open_count == 1)  # type: ignore[misc]
-                note(nodes, place, started_at, ServerState.READY)
-                assert await sending is Outcome.UNSENT  # it says nothing of the server
-                await until(lambda nodes=nodes: nodes.connection_limit.open_count == 0)  # type: ignore[misc]
+                table = new_table(30.0, 10)
+                update(table, listener.getsockname(), None, ServerState.READY)
+                sending = asyncio.create_task(outcome_of(table))
+                await until(lambda table=table: table.connection_limit.open_count == 1)  # type: ignore[misc]
+                update(table, place, started_at, ServerState.READY)
+                assert await sending is Outcome.UNSENT  # it proves nothing about the server
+                await until(lambda table=table: table.connection_limit.open_count == 0)  # type: ignore[misc]
             assert not await heard_at(listener, fillers, 1.5)
             server.stop()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_a_keyed_request_that_may_have_run_is_not_written_once_servers_forget() -> None:
-    # Guards rule 2: the second attempt left in time, and its dial came up when its repeat was no longer dropped.
-    async def scene() -> None:
+def test_a_keyed_retry_is_not_written_after_servers_have_forgotten_its_key() -> None:
+    # Guards rule 2: the retry was decided in time, and its connection came up after servers had forgotten the key.
+    async def scenario() -> None:
         keyed = KEYED | {"deadline_us": 600 * S, "idempotency_window_us": S}
         limits = LIMITS | {"connect_timeout_us": 60 * S}
         with full_listener() as (listener, fillers):
@@ -504,107 +503,107 @@
                 await until(lambda: live.attempts_sent == 2)
                 await asyncio.sleep(forgotten - loop.time() + 0.1)
                 assert not await heard_at(listener, fillers)
-                assert asking.done() and (await asking)[0] == 500  # at once, not as its time is up
+                assert asking.done() and (await asking)[0] == 500  # at once, not at its deadline
                 assert len(w.sent()) == 1
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize("budget", ["0", "0.000001", "0.005", "0.01", "0.02", "0.05"])
 @pytest.mark.usefixtures("each_pair")
-def test_a_budget_of_next_to_nothing_is_answered_as_it_ends_and_nothing_is_sent_after(budget: str) -> None:
-    async def scene() -> None:
+def test_a_tiny_timeout_is_answered_as_it_ends_and_nothing_is_sent_after(budget: str) -> None:
+    async def scenario() -> None:
         async with world(hung) as w:
             status, _, _ = await w.ask(kind="pay", body=b"x", budget=budget)
             await until(lambda: not w.sidecar._requests.live)
-            await asyncio.sleep(0.1)  # what left is at the node by then
-            seen = len(w.sent())
-            assert status == (500 if seen else 503)  # a refusal is right where nothing left
+            await asyncio.sleep(0.1)  # what was sent has come to the server by then
+            sent = len(w.sent())
+            assert status == (500 if sent else 503)  # a rejection is right where nothing was sent
             await asyncio.sleep(0.1)
-            assert len(w.sent()) == seen <= 1
+            assert len(w.sent()) == sent <= 1
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_node")
-def test_an_attempt_whose_time_is_up_is_never_sent() -> None:
-    async def scene() -> None:
-        nodes = nodes_of(1.0, 10)
-        note(nodes, ("127.0.0.1", 1), None, ServerState.READY)
-        assert await outcome_of(nodes, -1.0) is Outcome.UNSENT
+def test_an_attempt_past_its_deadline_is_never_sent() -> None:
+    async def scenario() -> None:
+        table = new_table(1.0, 10)
+        update(table, ("127.0.0.1", 1), None, ServerState.READY)
+        assert await outcome_of(table, -1.0) is Outcome.UNSENT
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_node")
 def test_a_cancelled_attempt_has_one_outcome_and_its_connection_is_closed() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         server = FakeServer("s", hung)
         await server.start()
-        nodes = nodes_of(1.0, 10)
-        note(nodes, server.address, None, ServerState.READY)
+        table = new_table(1.0, 10)
+        update(table, server.address, None, ServerState.READY)
         outcomes: list[Outcome] = []
         loop = asyncio.get_running_loop()
-        exchange = nodes.send(
-            "s", a_call(), AttemptDeadlines(loop.time() + 30), lambda o, _: outcomes.append(o)
+        exchange = table.send(
+            "s", new_call(), AttemptDeadlines(loop.time() + 30), lambda o, _: outcomes.append(o)
         )
         await until(lambda: server.requests)
         exchange.cancel(final=False)
         exchange.cancel(final=False)
         await until(lambda: server.closed == 1)
-        assert outcomes == [Outcome.CANCELLED] and nodes.connection_limit.open_count == 0
+        assert outcomes == [Outcome.CANCELLED] and table.connection_limit.open_count == 0
         server.stop()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_node")
-def test_a_restarted_or_moved_server_loses_its_old_connections() -> None:
-    async def scene() -> None:
+def test_connections_to_a_restarted_or_moved_server_are_not_reused() -> None:
+    async def scenario() -> None:
         server = FakeServer("s", served)
         await server.start()
-        nodes = nodes_of(1.0, 10)
-        note(nodes, server.address, None, ServerState.READY)
-        assert await outcome_of(nodes) is Outcome.DELIVERED
-        note(nodes, server.address, 5, ServerState.READY)
+        table = new_table(1.0, 10)
+        update(table, server.address, None, ServerState.READY)
+        assert await outcome_of(table) is Outcome.DELIVERED
+        update(table, server.address, 5, ServerState.READY)
         await until(lambda: server.closed == 1)
-        assert await outcome_of(nodes) is Outcome.DELIVERED
+        assert await outcome_of(table) is Outcome.DELIVERED
         assert len(server.writers) == 2
         other = FakeServer("s", served)
         await other.start()
-        note(nodes, other.address, 5, ServerState.READY)
-        assert await outcome_of(nodes) is Outcome.DELIVERED
+        update(table, other.address, 5, ServerState.READY)
+        assert await outcome_of(table) is Outcome.DELIVERED
         assert len(other.requests) == 1
         server.stop()
         other.stop()
 
-    play(scene())
+    play(scenario())
 
 
 def test_connections_stay_within_their_bound() -> None:
-    # Guards the descriptors: an idle connection elsewhere makes room, one in use does not.
-    async def scene() -> None:
+    # Guards the descriptors: an idle connection elsewhere is closed for a new one, one in use is not.
+    async def scenario() -> None:
         servers = [FakeServer("a", served), FakeServer("s", hung)]
-        nodes = nodes_of(1.0, 1)
+        table = new_table(1.0, 1)
         for each in servers:
             await each.start()
-            note(nodes, each.address, None, ServerState.READY, each.name)
+            update(table, each.address, None, ServerState.READY, each.name)
         loop = asyncio.get_running_loop()
         ended: list[Outcome] = []
-        nodes.send("a", a_call(), AttemptDeadlines(loop.time() + 30), lambda o, _: ended.append(o))
+        table.send("a", new_call(), AttemptDeadlines(loop.time() + 30), lambda o, _: ended.append(o))
         await until(lambda: ended)
-        nodes.send("s", a_call(), AttemptDeadlines(loop.time() + 30), lambda o, _: ended.append(o))
+        table.send("s", new_call(), AttemptDeadlines(loop.time() + 30), lambda o, _: ended.append(o))
         await until(lambda: servers[1].requests)
-        assert await outcome_of(nodes) is Outcome.UNSENT
+        assert await outcome_of(table) is Outcome.UNSENT
         for each in servers:
             each.stop()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_node")
-def test_a_client_that_reads_nothing_neither_holds_up_others_nor_stays() -> None:
-    async def scene() -> None:
+def test_a_client_that_reads_nothing_neither_delays_others_nor_stays_connected() -> None:
+    async def scenario() -> None:
         async with world(lambda *_: answer(200, bytes(60_000))) as w:
             slow = socket.socket()
             slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
@@ -615,16 +614,16 @@
             writer.write(data)  # and it reads nothing
             await until(w.sent)
             assert len((await w.ask())[2]) == 60_000
-            await until(lambda: not w.sidecar.listener.connections)  # and its place is free again
+            await until(lambda: not w.sidecar.listener.connections)  # and another may connect
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_nothing_is_sent_for_a_request_that_is_over_even_where_nothing_may_be_cancelled() -> None:
-    # Guards rule 1: a dial that came up after the final answer would still write the request.
-    async def scene() -> None:
+def test_nothing_is_sent_for_a_request_that_is_over_even_without_cancellation() -> None:
+    # Guards rule 1: a connection that came up after the final answer would still carry the request.
+    async def scenario() -> None:
         limits = {"max_attempts": 3, "cancellation": False, "connect_timeout_us": 600 * S}
         with deaf() as address:
             async with world(served, limits=limits) as w:
@@ -640,4 +639,4 @@
                     )
                 )
 
-    play(scene())
+    play(scenario())
--- a/tests/test_connection_states.py
+++ b/tests/test_connection_states.py
@@ -18,20 +18,20 @@
 NOW, RATE, HELD_UP_S = 50.0, 64_000, 0.15
 
 
-def test_every_state_but_that_of_a_held_request_has_one_limit() -> None:
+def test_every_state_but_that_of_a_request_in_progress_has_one_limit() -> None:
     limited = [*STATE_LIMITS_S, *PARTIAL_STATES]
     assert sorted(each.name for each in limited) == sorted(
         each.name for each in ConnectionState if each is not ConnectionState.AWAITING_ANSWER
     )
 
 
-def test_the_limits_leave_room_for_a_look_and_a_hold_up() -> None:
+def test_the_limits_leave_time_for_a_sweep_and_a_scheduling_delay() -> None:
     assert max(STALL_LIMIT_S, HEAD_LIMIT_S) + SWEEP_INTERVAL_S + HELD_UP_S <= STALL_ANSWER_S
 
 
 @pytest.mark.parametrize("in_body", [False, True])
 @pytest.mark.parametrize("went_on_s", [0.0, 0.4, 1.9])
-def test_whoever_stops_is_overdue_within_what_is_owed(in_body: bool, went_on_s: float) -> None:
+def test_a_stalled_client_is_overdue_in_time_for_its_answer(in_body: bool, went_on_s: float) -> None:
     partial = PartialRequest(NOW)
     if in_body:
         partial.head_completed(NOW)
@@ -44,7 +44,7 @@
     )
 
 
-def test_a_head_in_two_seconds_and_a_body_at_the_least_pace_are_never_overdue() -> None:
+def test_a_head_in_two_seconds_and_a_body_at_the_allowed_pace_are_never_overdue() -> None:
     partial = PartialRequest(NOW)
     for step in range(1, 21):
         partial.received(NOW + step * 0.1, 10)
@@ -56,7 +56,7 @@
         partial.received(now, RATE)
 
 
-def test_a_body_that_drips_is_overdue_soon_though_it_never_stops() -> None:
+def test_a_dripping_body_is_overdue_soon_though_it_never_stalls() -> None:
     partial = PartialRequest(NOW, has_head=False)
     now = NOW
     while not partial.is_overdue(now):
@@ -65,7 +65,7 @@
     assert now <= NOW + STALL_ANSWER_S
 
 
-def test_the_time_stands_still_while_this_process_reads_no_further() -> None:
+def test_the_clock_of_a_request_stands_still_while_this_process_does_not_read() -> None:
     partial = PartialRequest(NOW)
     partial.received(NOW + 1.0, 10)
     partial.pause(NOW + 1.0)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery over loopback, and how its news reach the balancer and the connections."""
+"""Discovery over loopback, and how its updates reach the balancer and the connections."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 def entry(name: Any = "s-1", **changes: Any) -> dict[str, Any]:
-    given = {"name": name, "address": "127.0.0.1:9", "zone": "a", "type": "m", "group": 1}
-    return given | {"status": "active", "weight": 1.0, "since_ms": 0} | changes
+    fields = {"name": name, "address": "127.0.0.1:9", "zone": "a", "type": "m", "group": 1}
+    return fields | {"status": "active", "weight": 1.0, "since_ms": 0} | changes
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_the_watch_goes_on_from_the_known_list_and_again_at_once() -> None:
-    async def scene() -> None:
+def test_the_watch_begins_at_the_cached_version_and_goes_on_without_a_pause() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             for index in (42, 43, 44):
                 w.discovery.say(index, [])
@@ -39,12 +39,12 @@
             assert paths == [f"/registry/instances?after={index}" for index in (41, 42, 43, 44)]
             assert _IDLE_S < 0.2  # the only pause there is; later it would be a new watch
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_changes_and_whole_lists_reach_the_balancer() -> None:
-    async def scene() -> None:
+def test_changes_and_snapshots_reach_the_balancer() -> None:
+    async def scenario() -> None:
         async with world(served, served) as w:
             states = w.sidecar._balancer._servers
             first, second = w.servers
@@ -53,7 +53,7 @@
             for _ in range(10):
                 assert (await w.ask())[0] == 200
             assert not first.requests
-            w.discovery.say(43, [first.entry()], snapshot=True)  # who is missing is gone
+            w.discovery.say(43, [first.entry()], snapshot=True)  # a server that is missing has been removed
             await until(lambda: "s-1" not in states)
             assert set(w.sidecar._endpoint_table.endpoints) == {"s-0"}
             seen = len(second.requests)
@@ -61,12 +61,12 @@
                 assert (await w.ask())[0] == 200
             assert len(second.requests) == seen
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_a_server_that_restarted_is_cold_from_then_on() -> None:
-    async def scene() -> None:
+def test_a_restarted_server_is_warming_up() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             server = w.sidecar._balancer._servers["s-0"]
             since_ms = w.sidecar._clock.now() // 1000
@@ -74,7 +74,7 @@
             await until(lambda: server.started_at == since_ms * 1000)
             assert w.sidecar._balancer._is_cold(server)
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
@@ -88,41 +88,41 @@
     ],
 )
 @pytest.mark.usefixtures("each_pair")
-def test_a_failed_call_is_told_and_the_module_asks_again(bad: bytes) -> None:
-    async def scene() -> None:
+def test_after_a_failed_poll_the_balancer_polls_again(bad: bytes) -> None:
+    async def scenario() -> None:
         async with world(served, rules={"poll_within_us": 1 * S}) as w:
             w.discovery.answers.put_nowait(bad)
             await until(lambda: len(w.discovery.targets) == 2)
             assert w.sidecar._balancer._failed_calls == 1
             assert (await w.ask())[0] == 200
 
-    play(scene())
+    play(scenario())
 
 
-def test_discovery_that_is_down_is_a_failed_call() -> None:
-    async def scene() -> None:
-        heard: list[EndpointList | None] = []
+def test_a_refused_connection_to_discovery_is_a_failed_call() -> None:
+    async def scenario() -> None:
+        received: list[EndpointList | None] = []
         down = FakeDiscovery()
         await down.start()
         down.stop()
-        discovery = RegistrySource(down.address, 1, heard.append)
+        discovery = RegistrySource(down.address, 1, received.append)
         discovery.watch(True)
-        await until(lambda: heard == [None])
+        await until(lambda: received == [None])
         assert discovery._watch is None and not discovery._polls
         discovery.watch(True)  # and a new watch may begin
-        await until(lambda: heard == [None, None])
+        await until(lambda: received == [None, None])
 
-    play(scene())
+    play(scenario())
 
 
-def test_what_the_former_place_answers_after_a_move_is_not_taken() -> None:
-    # A lower version may be right there, so the order of news is kept by asking one place at a time.
-    async def scene() -> None:
+def test_an_answer_of_the_former_address_after_a_move_is_ignored() -> None:
+    # A lower version may be right there, so updates are ordered by calling one address at a time.
+    async def scenario() -> None:
         old, new = FakeDiscovery(), FakeDiscovery()
         await old.start()
         await new.start()
-        heard: list[EndpointList | None] = []
-        discovery = RegistrySource(old.address, 41, heard.append)
+        received: list[EndpointList | None] = []
+        discovery = RegistrySource(old.address, 41, received.append)
         discovery.watch(True)
         discovery.fetch()
         await until(lambda: old.called(2))
@@ -132,10 +132,10 @@
         await until(lambda: new.called(1))
         discovery.move(new.address)  # a second one during the first
         await until(lambda: new.called(2))
-        for _ in range(2):  # one of them goes to a call that was given up
+        for _ in range(2):  # one of them goes to a cancelled call
             new.say(7, [entry(status="leaving")], snapshot=True)
-        await until(lambda: any(heard))
-        assert [told.version for told in heard if told is not None] == [7]
+        await until(lambda: any(received))
+        assert [update.version for update in received if update is not None] == [7]
         discovery.stop()
         discovery.watch(True)
         discovery.move(old.address)
@@ -143,31 +143,31 @@
         old.stop()
         new.stop()
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_connection_to_discovery_that_does_not_come_up_is_a_failed_call(
+def test_a_connect_timeout_to_discovery_is_a_failed_call(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(registry, "_DIAL_S", 0.1)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         with deaf() as address:
-            heard: list[EndpointList | None] = []
-            discovery = RegistrySource(address, 1, heard.append)
+            received: list[EndpointList | None] = []
+            discovery = RegistrySource(address, 1, received.append)
             discovery.watch(True)
-            await until(lambda: heard == [None])
+            await until(lambda: received == [None])
             assert discovery._watch is None and not discovery._polls
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_watch_under_way_is_not_doubled_and_can_be_ended() -> None:
-    async def scene() -> None:
+def test_a_watch_is_not_begun_twice_and_can_be_ended() -> None:
+    async def scenario() -> None:
         service = FakeDiscovery()
         await service.start()
-        heard: list[EndpointList | None] = []
-        discovery = RegistrySource(service.address, 1, heard.append)
+        received: list[EndpointList | None] = []
+        discovery = RegistrySource(service.address, 1, received.append)
         for _ in range(3):
             discovery.watch(True)
         await until(lambda: service.targets)
@@ -175,42 +175,42 @@
         await until(lambda: len(service.targets) == 2)
         assert service.targets[1] == "/registry/instances"
         service.say(7, [entry()], snapshot=True)
-        await until(lambda: heard)
+        await until(lambda: received)
         discovery.watch(False)
         assert discovery._watch is None
         service.stop()
 
-    play(scene())
+    play(scenario())
 
 
-def test_in_a_large_fleet_a_watch_waits_longer_and_no_two_alike() -> None:
-    async def scene() -> None:
+def test_in_a_large_fleet_watches_wait_longer_and_differ() -> None:
+    async def scenario() -> None:
         service = FakeDiscovery()
         await service.start()
         waits = []
         for seed in range(8):
-            discovery = RegistrySource(service.address, 1, lambda told: None, FleetSize(5000), seed)
+            discovery = RegistrySource(service.address, 1, lambda update: None, FleetSize(5000), seed)
             discovery.watch(True)
             service.say(2, [])
             await until(lambda: len(service.targets) == 2 * (seed + 1))  # noqa: B023
             waits.append(int(service.targets[-1].rpartition("=")[2]))
             discovery.stop()
-            service.answers.put_nowait(b"")  # goes to the watch that was given up
+            service.answers.put_nowait(b"")  # goes to the cancelled watch
         assert len(set(waits)) == 8 and 45_000 <= min(waits) and max(waits) <= 60_000
         service.stop()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
 @pytest.mark.parametrize("times", [1, 3])
-def test_a_silent_watch_is_opened_anew_while_there_is_time_for_its_answer(
+def test_a_silent_watch_is_replaced_while_there_is_time_for_an_answer(
     mode: str, times: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # What it kept back counts as told 2 s after its wait, and the new call may have to wait its turn for one of them.
+    # What it held back counts as received 2 s after its wait, and the new call may have to wait for one of them.
     monkeypatch.setattr(poll_schedule, "WATCH_LEAST_S", 0.2)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         async with world(served, discovery=mode) as w:
             w.discovery.say(41, [])
@@ -220,21 +220,21 @@
                 await until(lambda: w.discovery.called(calls + 2))  # noqa: B023
                 assert loop.time() - silent_at < within_s
                 assert w.discovery.targets[-1].endswith("?after=41&wait_ms=0")
-            w.discovery.answers.put_nowait(b"")  # goes to a call that was given up
+            w.discovery.answers.put_nowait(b"")  # goes to a cancelled call
             for _ in range(times):
                 w.discovery.say(42, [w.servers[0].entry(status="leaving")])
             await until(lambda: w.sidecar._balancer._servers["s-0"].state is ServerState.DRAINING)
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize("discovery", ["pushed", "on_request"])
-def test_a_watch_that_falls_silent_in_the_middle_of_its_answer_is_silent(
+def test_a_watch_that_stalls_in_the_middle_of_its_answer_is_silent(
     discovery: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(poll_schedule, "WATCH_LEAST_S", 0.3)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, discovery=discovery) as w:
             w.discovery.say(41, [])
             await until(lambda: w.discovery.called(2))
@@ -244,124 +244,126 @@
             writer = w.discovery.writers[1]
             writer.write(half)  # and no more: it stays open
             await until(lambda: w.discovery.called(3))
-            # What it held back counts as told then.
+            # What it held back counts as received then.
             assert asyncio.get_running_loop().time() - began < 0.3 + 2.0
-            assert w.sidecar._balancer._servers["s-0"].state is ServerState.READY  # of half a list nothing
+            assert (
+                w.sidecar._balancer._servers["s-0"].state is ServerState.READY
+            )  # nothing of half a list is applied
             writer.write(answer(200, leaving)[-40:])  # late: nobody reads it
-            w.discovery.answers.put_nowait(b"")  # goes to the call that was given up
+            w.discovery.answers.put_nowait(b"")  # goes to the cancelled call
             for _ in range(3):  # the machine may be slow, and more calls in vain
                 w.discovery.say(43, [w.servers[0].entry(status="leaving")])
             await until(lambda: w.sidecar._balancer._servers["s-0"].state is ServerState.DRAINING)
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize("sidecars", [6, 200, 5000])
-def test_the_call_after_a_silent_watch_does_not_wait_however_large_the_fleet(
+def test_the_poll_after_a_silent_watch_does_not_wait_whatever_the_fleet_size(
     sidecars: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(poll_schedule, "watch_wait_s", lambda sidecars, chance: 0.2)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         service = FakeDiscovery()
         await service.start()
-        heard: list[EndpointList | None] = []
-        discovery = RegistrySource(service.address, 1, heard.append, FleetSize(sidecars))
+        received: list[EndpointList | None] = []
+        discovery = RegistrySource(service.address, 1, received.append, FleetSize(sidecars))
         discovery.watch(True)
         service.say(2, [entry()])
         await until(lambda: service.called(3))
         assert [each.rpartition("?")[2] for each in service.targets] == [
             "after=1&wait_ms=0", "after=2&wait_ms=200", "after=2&wait_ms=0",
         ]  # fmt: skip
-        assert heard[1:] == [None]
+        assert received[1:] == [None]
         discovery.stop()
         service.stop()
 
-    play(scene())
+    play(scenario())
 
 
-def test_polls_that_are_lost_keep_none_from_being_answered_and_few_are_out_at_a_time(
+def test_lost_polls_keep_none_from_being_answered_and_few_are_in_flight(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(registry, "_POLL_AGAIN_S", 0.0)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         service = FakeDiscovery()
         await service.start()
-        heard: list[EndpointList | None] = []
-        discovery = RegistrySource(service.address, 1, heard.append)
+        received: list[EndpointList | None] = []
+        discovery = RegistrySource(service.address, 1, received.append)
         for calls in range(1, 8):
             discovery.watch(True)
             await until(lambda: service.called(calls))  # noqa: B023
             assert len(discovery._polls) == min(calls, registry._POLLS_MOST)
         for _ in range(7):
             service.say(9, [entry()], snapshot=True)
-        await until(lambda: heard)
-        assert [told and told.version for told in heard] == [9]
+        await until(lambda: received)
+        assert [update and update.version for update in received] == [9]
         assert not discovery._polls and discovery._watch is not None
         discovery.stop()
         service.stop()
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_place_named_again_and_again_has_its_time_to_answer() -> None:
-    async def scene() -> None:
+def test_repeated_moves_to_one_address_do_not_cancel_its_polls() -> None:
+    async def scenario() -> None:
         service = FakeDiscovery()
         await service.start()
-        heard: list[EndpointList | None] = []
-        discovery = RegistrySource(service.address, 1, heard.append)
+        received: list[EndpointList | None] = []
+        discovery = RegistrySource(service.address, 1, received.append)
         discovery.move(service.address)
         await until(lambda: service.called(1))
         discovery.move(service.address)
         await until(lambda: service.called(2))
         service.say(9, [entry()], snapshot=True)  # goes to the first call
-        await until(lambda: heard[-1] is not None)
+        await until(lambda: received[-1] is not None)
         assert service.targets[:2] == ["/registry/instances"] * 2
-        assert heard[:2] == [None, None]  # by which more calls are asked for
+        assert received[:2] == [None, None]  # on which the balancer polls again
         discovery.stop()
         service.stop()
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_defect_while_a_list_is_taken_does_not_end_the_watch(caplog: pytest.LogCaptureFixture) -> None:
-    async def scene() -> None:
+def test_a_defect_while_a_list_is_applied_does_not_end_the_watch(caplog: pytest.LogCaptureFixture) -> None:
+    async def scenario() -> None:
         service = FakeDiscovery()
         await service.start()
-        heard: list[int] = []
+        received: list[int] = []
 
-        def told(what: EndpointList | None) -> None:
-            assert what is not None
-            heard.append(what.version)
+        def failing(update: EndpointList | None) -> None:
+            assert update is not None
+            received.append(update.version)
             raise RuntimeError("a defect")
 
-        discovery = RegistrySource(service.address, 1, told)
+        discovery = RegistrySource(service.address, 1, failing)
         discovery.watch(True)
         for version in (2, 3, 4):
             service.say(version, [])
-        await until(lambda: heard == [2, 3, 4])
+        await until(lambda: received == [2, 3, 4])
         await until(lambda: service.called(4))
         assert caplog.text.count("a list could not be taken") == 3
         discovery.stop()
         service.stop()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_pushed_lists_are_read_without_being_asked_for() -> None:
-    async def scene() -> None:
+def test_pushed_lists_are_read_without_the_balancer_s_polls() -> None:
+    async def scenario() -> None:
         async with world(served, discovery="pushed") as w:
             w.discovery.answers.put_nowait(answer(503, b""))
             w.discovery.say(42, [w.servers[0].entry(status="leaving")])
             await until(lambda: w.sidecar._balancer._servers["s-0"].state is ServerState.DRAINING)
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_list_holds_what_makes_sense_and_junk_is_skipped() -> None:
-    junk: list[Any] = [
+def test_malformed_entries_of_a_list_are_skipped() -> None:
+    malformed: list[Any] = [
         7,
         None,
         [],
@@ -382,11 +384,11 @@
         entry(name="\ud800"),
         entry(zone="\ud800"),
     ]
-    told = parse_list({"index": 5, "snapshot": True, "endpoints": [*junk, entry(since_ms=2, group=3)]})
-    assert [each.server.name for each in told.entries] == ["s-1"]
-    line = told.entries[0]
-    assert (told.version, told.complete, line.address) == (5, True, ("127.0.0.1", 9))
-    assert (line.server.started_at, line.server.cell, line.server.zone) == (2000, 3, "a")
+    update = parse_list({"index": 5, "snapshot": True, "endpoints": [*malformed, entry(since_ms=2, group=3)]})
+    assert [each.server.name for each in update.entries] == ["s-1"]
+    first = update.entries[0]
+    assert (update.version, update.complete, first.address) == (5, True, ("127.0.0.1", 9))
+    assert (first.server.started_at, first.server.cell, first.server.zone) == (2000, 3, "a")
     assert parse_list({"index": 5, "endpoints": [entry()]}).entries[0].server.started_at is None
 
 
@@ -399,13 +401,13 @@
         ("resting", ServerState.DRAINING),
     ],
 )
-def test_a_status_that_is_not_known_takes_nothing_new(status: str, state: ServerState) -> None:
-    told = parse_list({"index": 5, "snapshot": False, "endpoints": [entry(status=status)]})
-    assert told.entries[0].server.state is state
+def test_a_server_of_unknown_status_is_draining(status: str, state: ServerState) -> None:
+    update = parse_list({"index": 5, "snapshot": False, "endpoints": [entry(status=status)]})
+    assert update.entries[0].server.state is state
 
 
 @pytest.mark.parametrize(
-    "junk",
+    "malformed",
     [
         {"weight": 10**400},
         {"weight": None},
@@ -417,12 +419,12 @@
     ],
 )
 @pytest.mark.parametrize("status", ["leaving", "left"])
-def test_that_a_server_leaves_is_heard_whatever_else_is_junk_in_its_entry(
-    status: str, junk: dict[str, Any]
+def test_a_leaving_server_is_draining_whatever_else_is_malformed_in_its_entry(
+    status: str, malformed: dict[str, Any]
 ) -> None:
     # Guards rule 3, as above.
-    (line,) = parse_list({"index": 5, "endpoints": [entry(status=status, **junk)]}).entries
-    assert line.server.name == "s-1" and line.server.state is not ServerState.READY
+    (parsed,) = parse_list({"index": 5, "endpoints": [entry(status=status, **malformed)]}).entries
+    assert parsed.server.name == "s-1" and parsed.server.state is not ServerState.READY
 
 
 @pytest.mark.parametrize(
@@ -435,22 +437,22 @@
         b'{"index": 42, "endpoints": "\xff"}',
     ],
 )
-def test_a_list_that_can_t_be_read_is_a_failed_call_and_the_next_is_taken(bad: bytes) -> None:
-    # Guards against a watch that ends without a word: where lists are pushed nothing would begin another.
-    async def scene() -> None:
+def test_an_unreadable_list_is_a_failed_call_and_the_next_is_applied(bad: bytes) -> None:
+    # Guards against a watch that ends unnoticed: where lists are pushed nothing would begin another.
+    async def scenario() -> None:
         async with world(served, discovery="pushed") as w:
             w.discovery.answers.put_nowait(answer(200, bad))
             w.discovery.say(42, [w.servers[0].entry(status="leaving")])
             await until(lambda: w.sidecar._balancer._servers["s-0"].state is ServerState.DRAINING)
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_a_new_server_at_a_former_one_s_address_takes_its_place() -> None:
-    # The list may name the former one for seconds yet: what is sent to it would go to the new process, which
-    # is cold, over connections that no process holds any more.
-    async def scene() -> None:
+def test_a_new_server_at_a_former_one_s_address_replaces_it() -> None:
+    # The list may name the former one for seconds yet: requests to it would go to the new process, which is
+    # warming up, over connections that no process has any more.
+    async def scenario() -> None:
         async with world(served) as w:
             assert (await w.ask())[0] == 200
             old = w.servers[0]
@@ -465,14 +467,14 @@
             )
             assert (await w.ask())[0] == 200 and len(old.writers) == 2
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize("status", ["leaving", "left"])
 @pytest.mark.usefixtures("each_pair")
-def test_a_server_that_leaves_is_told_of_even_without_its_address(status: str) -> None:
-    # Guards rule 3: skipped as junk, the entry would leave the server in use.
-    async def scene() -> None:
+def test_a_leaving_server_without_an_address_is_draining(status: str) -> None:
+    # Guards rule 3: skipped as malformed, the entry would leave the server in use.
+    async def scenario() -> None:
         async with world(served) as w:
             w.discovery.say(42, [w.servers[0].entry(status=status, address=None)])
             servers = w.sidecar._balancer._servers
@@ -480,15 +482,15 @@
             assert (await w.ask())[0] == 503
             assert not w.sent()
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_service_that_does_not_wait_is_not_called_without_a_pause() -> None:
-    async def scene() -> None:
+def test_a_discovery_service_that_does_not_wait_is_called_with_a_pause() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             for _ in range(4):
                 w.discovery.say(41, [])
             await until(lambda: len(w.discovery.called_after_s) == 4)
             assert min(w.discovery.called_after_s) >= 0.09
 
-    play(scene())
+    play(scenario())
--- a/tests/test_gossip_transport.py
+++ b/tests/test_gossip_transport.py
@@ -1,4 +1,4 @@
-"""Messages between sidecars over loopback datagrams, and what the decision module makes of them."""
+"""Datagrams between sidecars over loopback, and what the balancer does with load gossip."""
 
 from __future__ import annotations
 
@@ -25,102 +25,102 @@
 
     @functools.wraps(test)
     def run() -> None:
-        async def whole() -> None:
+        async def awaited() -> None:
             await test()
 
-        asyncio.run(whole())
+        asyncio.run(awaited())
 
     return run
 
 
 def _addresses(count: int) -> list[Address]:
-    """Addresses that the kernel says are free for datagrams."""
+    """Addresses at which the kernel has no UDP socket."""
     socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
     for sock in socks:
         sock.bind(("127.0.0.1", 0))
-    found = [sock.getsockname() for sock in socks]
+    addresses = [sock.getsockname() for sock in socks]
     for sock in socks:
         sock.close()
-    return found
+    return addresses
 
 
-async def _until(heard: list[tuple[int, bytes]], count: int) -> None:
+async def _until(received: list[tuple[int, bytes]], count: int) -> None:
     async with asyncio.timeout(WAIT_S):
-        while len(heard) < count:
+        while len(received) < count:
             await asyncio.sleep(0.005)
 
 
 async def _three() -> tuple[list[GossipTransport], list[list[tuple[int, bytes]]], list[Address]]:
     addresses = _addresses(3)
-    heard: list[list[tuple[int, bytes]]] = [[], [], []]
+    received: list[list[tuple[int, bytes]]] = [[], [], []]
 
-    def hears(number: int) -> GossipTransport:
-        def take(sender: int, payload: bytes) -> None:
-            heard[number].append((sender, payload))
+    def new_transport(number: int) -> GossipTransport:
+        def receive(sender: int, payload: bytes) -> None:
+            received[number].append((sender, payload))
 
-        return GossipTransport(GossipAddresses(addresses[number], tuple(addresses)), take)
+        return GossipTransport(GossipAddresses(addresses[number], tuple(addresses)), receive)
 
-    peers = [hears(number) for number in range(3)]
-    for each in peers:
-        await each.start()
-    return peers, heard, addresses
+    transports = [new_transport(number) for number in range(3)]
+    for transport in transports:
+        await transport.start()
+    return transports, received, addresses
 
 
 @in_loop
-async def test_a_message_reaches_all_others_and_names_its_sender() -> None:
-    peers, heard, _ = await _three()
-    peers[1].send_gossip(None, b"to all")
-    peers[2].send_gossip(0, b"to one")
-    await _until(heard[0], 2)
-    await _until(heard[2], 1)
-    assert sorted(heard[0]) == [(1, b"to all"), (2, b"to one")] and heard[2] == [(1, b"to all")]
-    assert heard[1] == []
-    for each in peers:
-        each.stop()
+async def test_a_datagram_reaches_all_other_members_with_its_sender_s_number() -> None:
+    transports, received, _ = await _three()
+    transports[1].send_gossip(None, b"to all")
+    transports[2].send_gossip(0, b"to one")
+    await _until(received[0], 2)
+    await _until(received[2], 1)
+    assert sorted(received[0]) == [(1, b"to all"), (2, b"to one")] and received[2] == [(1, b"to all")]
+    assert received[1] == []
+    for transport in transports:
+        transport.stop()
 
 
 @in_loop
-async def test_a_dead_peer_and_a_stranger_change_nothing() -> None:
-    peers, heard, addresses = await _three()
-    peers[2].stop()
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-        stranger.sendto(b"from nobody", addresses[0])
+async def test_a_dead_member_and_an_unknown_sender_change_nothing() -> None:
+    transports, received, addresses = await _three()
+    transports[2].stop()
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_sender:
+        unknown_sender.sendto(b"from nobody", addresses[0])
         for _ in range(5):
-            peers[1].send_gossip(None, b"still here")
+            transports[1].send_gossip(None, b"still here")
             await asyncio.sleep(0.01)
-    await _until(heard[0], 5)
-    assert set(heard[0]) == {(1, b"still here")}
-    for each in peers:
-        each.stop()
+    await _until(received[0], 5)
+    assert set(received[0]) == {(1, b"still here")}
+    for transport in transports:
+        transport.stop()
 
 
 @in_loop
-async def test_a_message_over_the_platforms_limit_never_leaves() -> None:
-    peers, heard, _ = await _three()
-    peers[1].send_gossip(None, bytes(MESSAGE_MOST + 1))
-    peers[1].send_gossip(None, bytes(MESSAGE_MOST))
-    await _until(heard[0], 1)
-    assert [len(payload) for _, payload in heard[0]] == [MESSAGE_MOST]
-    for each in peers:
-        each.stop()
+async def test_a_datagram_over_the_platform_s_limit_is_not_sent() -> None:
+    transports, received, _ = await _three()
+    transports[1].send_gossip(None, bytes(MESSAGE_MOST + 1))
+    transports[1].send_gossip(None, bytes(MESSAGE_MOST))
+    await _until(received[0], 1)
+    assert [len(payload) for _, payload in received[0]] == [MESSAGE_MOST]
+    for transport in transports:
+        transport.stop()
 
 
-def test_a_taken_address_leaves_the_sidecar_without_messages_and_alive(
+def test_an_address_in_use_leaves_the_sidecar_alive_without_gossip(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def run(address: Address) -> None:
-        peers = GossipTransport(GossipAddresses(address), lambda *_: None)
-        await peers.start()
-        peers.send_gossip(None, b"lost")
+        transport = GossipTransport(GossipAddresses(address), lambda *_: None)
+        await transport.start()
+        transport.send_gossip(None, b"lost")
 
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
-        taken.bind(("127.0.0.1", 0))
-        asyncio.run(run(taken.getsockname()))
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as bound:
+        bound.bind(("127.0.0.1", 0))
+        asyncio.run(run(bound.getsockname()))
     assert "no messages between sidecars" in caplog.text
 
 
 @pytest.mark.parametrize(
-    ("given", "named"),
+    ("fields", "named"),
     [
         ('"peer_listen": 7', "peer_listen"),
         ('"peer_listen": "127.0.0.1:1", "peers": "x"', "peers"),
@@ -129,27 +129,28 @@
         ('"peer_listen": "127.0.0.1:1", "peers_all": 4', "peers_all"),
     ],
 )
-def test_bad_addresses_of_the_tier_are_named(
-    tmp_path_factory: pytest.TempPathFactory, given: str, named: str
+def test_invalid_gossip_addresses_are_named(
+    tmp_path_factory: pytest.TempPathFactory, fields: str, named: str
 ) -> None:
     path = tmp_path_factory.mktemp("config") / "config.json"
-    rest = '"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": {"lanes": [{"name": "a", "giveUpUs": 1}]}'
-    path.write_text(f"{{{rest}, {given}}}", encoding="utf-8")
-    with pytest.raises(ValueError) as bad:
+    lanes = '"settings": {"lanes": [{"name": "a", "giveUpUs": 1}]}'
+    required = f'"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", {lanes}'
+    path.write_text(f"{{{required}, {fields}}}", encoding="utf-8")
+    with pytest.raises(ValueError) as raised:
         read_config({"RELAY_CONFIG": str(path)})
-    assert named in str(bad.value)
+    assert named in str(raised.value)
 
 
-# -- What the decision module makes of them ---------------------------------------------------------------
+# -- What the balancer does with it ----------------------------------------------------------------------
 
 
-def _talking() -> Stage:
+def _gossiping() -> Stage:
     stage = Stage(settings(limits={"gossip": True}, fleet_size=4, me=0))
     stage.servers(names(8))
     return stage
 
 
-def test_ties_go_to_the_server_where_others_have_least() -> None:
+def test_ties_go_to_the_server_with_the_least_load_from_others() -> None:
     # Guards against a balancer that sees zeros on all its counters: its choice is chance.
     crowded = {name for name in names(8) if name != names(8)[5]}
     picked = []
@@ -165,7 +166,7 @@
     assert picked.count(names(8)[5]) >= 0.7 * drawn * len(picked)
 
 
-def test_own_requests_in_flight_go_before_what_others_say() -> None:
+def test_own_requests_in_flight_count_before_others_load() -> None:
     stage = Stage(settings(limits={"gossip": True}, fleet_size=4))
     stage.servers(names(2))
     first = stage.target(stage.request("pay"))
@@ -174,8 +175,8 @@
     assert stage.target(stage.request("pay")) == other
 
 
-def test_a_balancer_tells_what_it_has_in_flight_and_when_that_is_over() -> None:
-    stage = _talking()
+def test_a_balancer_gossips_its_load_and_when_it_is_over() -> None:
+    stage = _gossiping()
     requests = []
     for _ in range(12):
         stage.wait(20 * MS)
@@ -190,7 +191,7 @@
     assert any(len(each.payload) > 1 for each in told)
 
 
-def test_a_balancer_that_may_not_send_messages_sends_none_and_hears_none() -> None:
+def test_without_gossip_a_balancer_neither_sends_nor_uses_messages() -> None:
     stage = Stage(settings(fleet_size=4))
     stage.servers(names(4))
     stage.play(GossipReceived(1, bytes([VERSION, 1, 0, 9])))
@@ -198,8 +199,8 @@
     assert stage.said(SendGossip) == []
 
 
-def test_its_own_message_that_comes_back_is_not_counted() -> None:
-    stage = _talking()
+def test_its_own_message_that_comes_back_is_ignored() -> None:
+    stage = _gossiping()
     tag = tag_of(names(8)[0])
     stage.play(GossipReceived(0, bytes([VERSION]) + tag.to_bytes(2, "little") + b"\x09"))
     assert stage.balancer._hearsay is not None and stage.balancer._hearsay.held(tag) == 0
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Clients that leave while their request waits: nothing of it is sent on, by the nodes' own logs."""
+"""Clients that disconnect while their request waits: nothing of it is sent, by the servers' own logs."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from topazbank.core.call import BUFFERED_BODY_BYTES_MAX
 from topazbank.msgpackrpc import server as rpc_server
 
-Leave = Callable[[Client], None]
-AFTER_S = 0.4  # what arrives so long after the client left was sent for nobody
+Disconnect = Callable[[Client], None]
+AFTER_S = 0.4  # a request that arrives so long after its client disconnected was sent for nobody
 FULL = answer(503, b"", X_Rejected="1")
 
 
-def closes(one: Client) -> None:
+def close(one: Client) -> None:
     one.writer.close()
 
 
-def resets(one: Client) -> None:
+def reset_connection(one: Client) -> None:
     reset(one.writer)
 
 
-@pytest.fixture(params=[closes, resets])
-def leave(request: pytest.FixtureRequest) -> Leave:
+@pytest.fixture(params=[close, reset_connection])
+def disconnect(request: pytest.FixtureRequest) -> Disconnect:
     return request.param  # type: ignore[no-any-return]
 
 
@@ -36,15 +36,15 @@
     return None
 
 
-async def none_more(w: World, seen: int) -> None:
-    """Whether the nodes' logs hold this many requests for good."""
+async def assert_no_more_than(w: World, count: int) -> None:
+    """Check that the servers have logged `count` requests, and log no more."""
     await asyncio.sleep(AFTER_S)
-    assert len(w.sent()) == seen
+    assert len(w.sent()) == count
     await until(lambda: not w.sidecar._requests.live)
 
 
-async def held_unread(w: World, one: Client) -> None:
-    """Its request is at a node, and so much has come behind it that its connection is read no further."""
+async def send_and_fill(w: World, one: Client) -> None:
+    """Send a request that waits at a server, and so much behind it that its connection is not read any further."""
     one.send(request("pay", body=b"x"))
     await until(w.sent)
     if pair().client == HTTP:
@@ -59,76 +59,76 @@
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_a_request_is_not_sent_again_for_a_client_that_left_unseen(
-    leave: Leave, monkeypatch: pytest.MonkeyPatch
+def test_no_retry_is_sent_for_a_client_whose_disconnect_is_unread(
+    disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Its connection is read no further, so its end is not seen; then the node turns the attempt away.
+    # Its connection is not read any further, so its end goes unnoticed; then the server rejects the attempt.
     monkeypatch.setattr(rpc_server, "CALLS_MOST", 1)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(silent, silent) as w:
             one = await client(w.sidecar.listener.address)
-            await held_unread(w, one)
-            leave(one)
+            await send_and_fill(w, one)
+            disconnect(one)
             await asyncio.sleep(0.05)
             for server in w.servers:
                 server.answer_held(FULL)
-            await none_more(w, 1)
+            await assert_no_more_than(w, 1)
             await until(lambda: not w.sidecar.listener.connections)
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
 @pytest.mark.parametrize("unseen", [False, True])
-def test_a_request_behind_another_is_not_sent_for_a_client_that_left(
-    unseen: bool, leave: Leave, monkeypatch: pytest.MonkeyPatch
+def test_a_pipelined_request_is_not_sent_for_a_client_that_disconnected(
+    unseen: bool, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(rpc_server, "CALLS_MOST", 1)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(silent) as w:
             one = await client(w.sidecar.listener.address)
             if unseen:
-                await held_unread(w, one)
+                await send_and_fill(w, one)
             else:
                 one.send(request("pay", body=b"x"))
                 await until(w.sent)
-                if pair().client == HTTP:  # over the other protocol it would not be read further
+                if pair().client == HTTP:  # MessagePack-RPC would not be read any further
                     one.send(request("pay", body=b"y", X_Call_Id="behind"))
-            leave(one)
+            disconnect(one)
             await asyncio.sleep(0.05)
             w.servers[0].answer_held(answer(200, b"done"))
-            await none_more(w, 1)
+            await assert_no_more_than(w, 1)
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
 @pytest.mark.parametrize("kind", ["look", "amend", "pay"])
-def test_no_further_attempt_is_made_for_a_client_that_left(kind: str, leave: Leave) -> None:
-    async def scene() -> None:
+def test_no_retry_is_sent_for_a_client_that_disconnected(kind: str, disconnect: Disconnect) -> None:
+    async def scenario() -> None:
         async with world(silent, silent) as w:
             one = await client(w.sidecar.listener.address)
             one.send(request(kind, body=b"" if kind == "look" else b"x"))
             await until(w.sent)
-            leave(one)
+            disconnect(one)
             for server in w.servers:
                 server.answer_held(FULL)  # it may come before the client's end, or after
-            seen = len(w.sent())
+            count = len(w.sent())
             await until(lambda: not w.sidecar._requests.live)
-            seen = max(seen, min(len(w.sent()), 2))  # sent again before the end came is no fault
-            await none_more(w, seen)
+            count = max(count, min(len(w.sent()), 2))  # a retry before the disconnect came is no fault
+            await assert_no_more_than(w, count)
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
 @pytest.mark.parametrize("unread", [False, True])
-def test_nothing_is_written_at_the_end_of_a_slow_dial_for_a_client_that_left(
-    leave: Leave, unread: bool
+def test_nothing_is_written_on_a_slow_connection_for_a_client_that_disconnected(
+    disconnect: Disconnect, unread: bool
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         limits = {"max_attempts": 3, "cancellation": True, "connect_timeout_us": 60 * S}
         with full() as (listener, fillers):
             async with world(silent, limits=limits) as w:
@@ -141,24 +141,26 @@
                     connection = next(iter(w.sidecar.listener.connections))
                     assert connection._transport is not None
                     connection._transport.pause_reading()
-                leave(one)
+                disconnect(one)
                 await asyncio.sleep(0.05)
                 assert not await heard_at(listener, fillers)
                 await until(lambda: not w.sidecar._requests.live)
-                # A connection that others may share is kept.
+                # A connection that other requests may share stays open.
                 assert not w.sent() and w.sidecar._endpoint_table.connection_limit.open_count <= (
                     pair().nodes != HTTP
                 )
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_a_held_request_of_an_ordered_key_is_not_sent_for_a_client_that_left(leave: Leave) -> None:
-    # It waits in the decision module for the one before it, and its connection is read no further.
+def test_a_queued_request_of_an_ordered_key_is_not_sent_for_a_client_that_disconnected(
+    disconnect: Disconnect,
+) -> None:
+    # It waits in the balancer for the one before it, and its connection is not read any further.
     ordered = [each | {"deadline_us": 600 * S, "ordered_by_key": True} for each in (SAFE, UNSAFE, KEYED)]
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(silent, classes=ordered) as w:
             first, second = [await client(w.sidecar.listener.address) for _ in range(2)]
             first.send(request("pay", body=b"x", X_Call_Id="first"))
@@ -168,9 +170,9 @@
             for each in w.sidecar.listener.connections:
                 if each._transport is not None:
                     each._transport.pause_reading()
-            leave(second)
+            disconnect(second)
             await asyncio.sleep(0.05)
             w.servers[0].answer_held(answer(200, b"done"))
-            await none_more(w, 1)
+            await assert_no_more_than(w, 1)
 
-    play(scene())
+    play(scenario())
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -90,18 +90,18 @@
         config(limits={"sockets": "many"}),
     ],
 )
-def test_a_bad_configuration_ends_the_start_with_one_line(given: object, tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_an_invalid_configuration_ends_the_start_with_one_line(given: object, tmp_path: Path) -> None:
+    async def scenario() -> None:
         process = await launch(tmp_path / "config.json", given)
         _, err = await asyncio.wait_for(process.communicate(), PATIENCE_S)
         assert process.returncode == 2
         assert len(err.decode().strip().splitlines()) == 1 and err.startswith(b"bad configuration: ")
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_part_that_is_on_without_its_library_ends_the_start_with_one_line(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_a_component_without_its_library_ends_the_start_with_one_line(tmp_path: Path) -> None:
+    async def scenario() -> None:
         (tmp_path / "msgpack.py").write_text("raise ImportError('no msgpack here')", encoding="utf-8")
         path = tmp_path / "config.json"
         path.write_text(json.dumps(config()), encoding="utf-8")
@@ -118,10 +118,10 @@
         _, err = await asyncio.wait_for(process.communicate(), PATIENCE_S)
         assert process.returncode == 2 and err == b"bad configuration: no msgpack here\n"
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_flood_of_log_lines_is_cut() -> None:
+def test_a_flood_of_log_lines_is_limited() -> None:
     flood = Flood(3)
     lines = [logging.makeLogRecord({"created": at}) for at in (7.0, 7.1, 7.2, 7.3, 7.9, 8.0)]
     assert [flood.filter(each) for each in lines] == [True, True, True, False, False, True]
@@ -164,56 +164,56 @@
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_on_sigterm_all_that_is_held_is_answered_and_the_program_ends(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_on_sigterm_all_requests_in_progress_are_answered_and_the_program_ends(tmp_path: Path) -> None:
+    async def scenario() -> None:
         server = FakeServer("s-0", lambda first, *_: None if "held" in first else answer(200, b"served"))
         async with program(tmp_path, server) as (process, listen):
-            resting = await client(listen)
-            resting.send(request())
-            status, headers, _ = await resting.answer()
+            idle = await client(listen)
+            idle.send(request())
+            status, headers, _ = await idle.answer()
             assert status == 200 and "connection" not in headers
-            holding = await client(listen)
-            holding.send(request("pay", path="/api/held", body=b"x", X_Call_Id="held"))
+            in_progress = await client(listen)
+            in_progress.send(request("pay", path="/api/held", body=b"x", X_Call_Id="held"))
             await until(lambda: len(server.requests) == 2)
 
             process.send_signal(signal.SIGTERM)
-            assert await resting.is_closed()
+            assert await idle.is_closed()
             server.answer_held(answer(200, b"held"))
-            status, headers, body = await holding.answer()
+            status, headers, body = await in_progress.answer()
             assert (status, body) == (200, b"held") and says_close(headers)
             assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
-            for each in (resting, holding):
+            for each in (idle, in_progress):
                 each.close()
 
-    play(scene())
+    play(scenario())
 
 
-def test_signals_that_come_again_or_while_it_ends_change_nothing(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_repeated_signals_and_signals_during_the_end_change_nothing(tmp_path: Path) -> None:
+    async def scenario() -> None:
         server = FakeServer("s-0", lambda *_: None)
         async with program(tmp_path, server) as (process, listen):
-            holding = await client(listen)
-            holding.send(request("pay", body=b"x"))
+            in_progress = await client(listen)
+            in_progress.send(request("pay", body=b"x"))
             await until(lambda: server.requests)
             for each in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
                 process.send_signal(each)
                 await asyncio.sleep(0.02)
             server.answer_held(answer(200, b"held"))
-            assert (await holding.answer())[::2] == (200, b"held")
+            assert (await in_progress.answer())[::2] == (200, b"held")
             assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
             assert len(server.requests) == 1
-            holding.close()
+            in_progress.close()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_what_waits_in_the_kernel_for_room_is_served_when_listening_ends() -> None:
+def test_connections_queued_in_the_kernel_are_served_when_listening_ends() -> None:
     # Guards against closing a listener over connections that were accepted by the kernel alone: they would be reset.
-    async def scene() -> None:
-        async with world(lambda *_: None, sockets=50) as w:  # one connection of a client
-            holding = await client(w.sidecar.listener.address)
-            holding.send(request("pay", body=b"x"))
+    async def scenario() -> None:
+        async with world(lambda *_: None, sockets=50) as w:  # one of them for clients
+            in_progress = await client(w.sidecar.listener.address)
+            in_progress.send(request("pay", body=b"x"))
             await until(w.sent)
             waiting = await client(w.sidecar.listener.address)
             waiting.send(request("pay", body=b"y", X_Call_Id="waiting"))
@@ -222,50 +222,50 @@
             await asyncio.sleep(0.05)  # a few steps of the drain
             w.servers[0].script = lambda *_: answer(200, b"served")
             w.servers[0].answer_held(answer(200, b"held"))
-            assert (await holding.answer())[2] == b"held"
-            holding.close()
-            # Over the other protocol calls that come so late are refused: their clients keep their connections.
+            assert (await in_progress.answer())[2] == b"held"
+            in_progress.close()
+            # Over MessagePack-RPC calls that come so late are rejected: their clients keep their connections.
             assert (await waiting.answer())[0] == (200 if pair().client == HTTP else 503)
             waiting.close()
             await asyncio.wait_for(w.sidecar._drained.wait(), PATIENCE_S)
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_after_sigterm_a_request_that_never_ends_is_failed_in_time(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_after_sigterm_a_request_at_a_hung_server_is_failed_in_time(tmp_path: Path) -> None:
+    async def scenario() -> None:
         server = FakeServer("s-0", lambda *_: None)
         async with program(tmp_path, server) as (process, listen):
-            holding = await client(listen)
-            holding.send(request("pay", body=b"x", budget="500"))
+            in_progress = await client(listen)
+            in_progress.send(request("pay", body=b"x", budget="500"))
             await until(lambda: server.requests)
             process.send_signal(signal.SIGTERM)
-            assert (await holding.answer())[0] == 500
+            assert (await in_progress.answer())[0] == 500
             assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
-            holding.close()
+            in_progress.close()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_a_drain_still_takes_connections_and_serves_those_just_opened(
+def test_a_drain_still_accepts_connections_and_serves_those_just_opened(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards the 0.4 s in which connections still come; made long, so that a slow machine can't miss them.
+    # Guards the 0.4 s in which connections still come; longer here, so that a slow machine does not miss them.
     monkeypatch.setattr(drain, "ACCEPT_S", 600.0)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(lambda *_: answer(200, b"served")) as w:
             listen = w.sidecar.listener.address
-            rested = await client(listen)
-            rested.send(request())
-            assert (await rested.answer())[0] == 200
+            idle = await client(listen)
+            idle.send(request())
+            assert (await idle.answer())[0] == 200
             opened = await client(listen)
             await until(lambda: len(w.sidecar.listener.connections) == 2)
             w.stop.set()
-            # What is at rest is closed while a request that crosses it can still come again.
-            assert await rested.is_closed()
+            # Idle connections are closed while a request that crosses the close can still come again.
+            assert await idle.is_closed()
             assert (await ask(listen, request(path="/health/ready")))[0] == 503
             # What was just opened keeps its request, and so does what is opened now.
             for each in (opened, await client(listen)):
@@ -274,13 +274,13 @@
                 assert (status, body) == (200, b"served") and says_close(headers)
                 assert await each.is_closed()
                 each.close()
-            rested.close()
+            idle.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_sighup_while_the_configuration_is_read_is_not_lost(tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         old, new = FakeDiscovery(), FakeDiscovery()
         await old.start()
         await new.start()
@@ -307,12 +307,12 @@
         old.stop()
         new.stop()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_on_sighup_discovery_is_asked_at_its_new_place_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_on_sighup_discovery_moves_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
+    async def scenario() -> None:
         old, first, second = FakeDiscovery(), FakeDiscovery(), FakeDiscovery()
         await first.start()
         await second.start()
@@ -334,7 +334,7 @@
             for number, now in enumerate((first, second), start=1):
                 path.write_text(replaced(now), encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
-                # The whole list is asked for: what was heard elsewhere may be behind, or ahead.
+                # A snapshot is asked for: what came from elsewhere may be behind, or ahead.
                 await until(partial(now.called, 1))
                 assert now.targets == ["/registry/instances"]
                 now.say(number, [server.entry()], snapshot=True)
@@ -348,4 +348,4 @@
         first.stop()
         second.stop()
 
-    play(scene())
+    play(scenario())
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""The application's side over loopback: bad input, reuse, defects, bounds."""
+"""Clients' connections over loopback: invalid input, reuse, defects, bounds."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 BIG = bytes(64 * 1024 + 1)
 
 
-# Guards servers against what this sidecar could not account for: none of these may be sent on.
+# Guards servers against requests that this sidecar could not answer for: none of these may be forwarded.
 @pytest.mark.parametrize(
     ("data", "status"),
     [
@@ -82,8 +82,8 @@
     ],
 )
 @pytest.mark.usefixtures("each_node")
-def test_bad_input_is_answered_and_never_sent_on(data: bytes, status: int) -> None:
-    async def scene() -> None:
+def test_invalid_requests_are_rejected_and_never_forwarded(data: bytes, status: int) -> None:
+    async def scenario() -> None:
         async with world(served, tenants=[{"name": "acme"}]) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(data)
@@ -94,12 +94,12 @@
             assert (await w.ask())[0] == 200  # and the sidecar goes on
             assert len(w.sent()) == 1
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_node")
-def test_requests_on_one_connection_are_answered_in_order_even_if_sent_ahead() -> None:
-    async def scene() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
+    async def scenario() -> None:
         async with world(lambda first, *_: answer(200, first.encode())) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(
@@ -109,12 +109,12 @@
                 assert f"/api/{number} " in (await read_answer(reader))[2].decode()
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_node")
-def test_a_body_of_the_largest_size_in_pieces_is_taken() -> None:
-    async def scene() -> None:
+def test_a_body_of_the_largest_buffered_size_in_pieces_is_accepted() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             data = request("pay", body=BIG[:-1], Expect="100-continue")
@@ -126,12 +126,12 @@
             assert w.sent()[0][2] == BIG[:-1]
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_no_server_means_a_refusal_at_once_and_readiness_tells_of_the_process_alone() -> None:
-    async def scene() -> None:
+def test_without_servers_requests_are_rejected_at_once_and_the_process_is_ready() -> None:
+    async def scenario() -> None:
         async with world() as w:
             loop = asyncio.get_running_loop()
             began = loop.time()
@@ -139,13 +139,13 @@
             assert loop.time() - began < 15.0
             assert (await ask(w.sidecar.listener.address, request(path="/health/ready")))[0] == 200
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_client")
-def test_a_connection_goes_on_after_a_refusal_at_once(caplog: pytest.LogCaptureFixture) -> None:
-    # Guards against taking what is answered by the time it has been taken for a defect, which ended its connection.
-    async def scene() -> None:
+def test_a_connection_goes_on_after_an_immediate_rejection(caplog: pytest.LogCaptureFixture) -> None:
+    # Guards against mistaking a request that is answered while it is accepted for a defect, which ended its connection.
+    async def scenario() -> None:
         async with world() as w:
             one = await client(w.sidecar.listener.address)
             for number in range(3):
@@ -153,14 +153,14 @@
                 assert (await one.answer())[0] == 503
             one.close()
 
-    play(scene())
+    play(scenario())
     assert "could not be handled" not in caplog.text
 
 
 @pytest.mark.usefixtures("each_pair")
 @pytest.mark.interpreted
-def test_a_refusal_says_when_to_come_back() -> None:
-    async def scene() -> None:
+def test_a_rejection_carries_retry_after() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             w.sidecar._balancer.handle = lambda now, event: (  # type: ignore[method-assign]
                 [Reject(event.request, 250_000)] if isinstance(event, RequestArrived) else []
@@ -168,14 +168,14 @@
             status, headers, _ = await w.ask()
             assert status == 503 and float(headers["retry-after"]) == 0.25
 
-    play(scene())
+    play(scenario())
 
 
-# Guards against a defect that would kill the process or leave its request without an answer.
+# Guards against a defect that would end the process or leave its request unanswered.
 @pytest.mark.usefixtures("each_pair")
 @pytest.mark.interpreted
 def test_a_defect_fails_its_request_and_nothing_else(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             real = w.sidecar._balancer.handle
 
@@ -189,13 +189,13 @@
             assert (await w.ask())[0] == 200
             assert not w.sidecar._requests.live
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
 @pytest.mark.interpreted
-def test_a_defect_in_carrying_out_fails_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene() -> None:
+def test_a_defect_in_carrying_out_an_action_fails_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             monkeypatch.setattr(w.sidecar._endpoint_table, "send", None)
             assert (await w.ask(kind="pay", body=b"x"))[0] == 500
@@ -203,33 +203,33 @@
             assert (await w.ask())[0] == 200
             assert not w.sidecar._requests.live
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
 @pytest.mark.interpreted
-def test_a_module_that_forgets_a_request_leaves_it_no_longer_than_its_time() -> None:
-    async def scene() -> None:
+def test_a_request_that_the_balancer_forgets_is_failed_at_its_deadline() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             w.sidecar._balancer.handle = lambda now, event: []  # type: ignore[method-assign]
             assert (await w.ask(budget="0.2"))[0] == 500
 
-    play(scene())
+    play(scenario())
 
 
-def test_every_action_that_the_module_knows_is_carried_out() -> None:
-    async def scene() -> None:
+def test_every_action_of_the_balancer_is_carried_out() -> None:
+    async def scenario() -> None:
         async with world() as w:
             emitted = {kind for kind in get_args(Action) if kind.__name__ in vars(balancer)}
             assert len(emitted) > 5 and emitted <= set(w.sidecar._driver._carry_out)
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_clients_beyond_the_bound_take_the_place_of_those_at_rest() -> None:
-    # Guards the descriptors: 50 sockets leave one for clients.
-    async def scene() -> None:
+def test_clients_beyond_the_bound_replace_idle_ones() -> None:
+    # Guards the descriptors: 50 of them leave one for clients.
+    async def scenario() -> None:
         async with world(served, sockets=50) as w:
             first = await client(w.sidecar.listener.address)
             first.send(request())
@@ -239,11 +239,11 @@
             assert await first.is_closed()
             first.close()
 
-    play(scene())
+    play(scenario())
 
 
-async def taking_slowly(w: World) -> tuple[socket.socket, bytes]:
-    """A client whose answer is written by now as far as small buffers let it, and what it has read of it."""
+async def slow_reader(w: World) -> tuple[socket.socket, bytes]:
+    """A client that has read one byte of an answer, of which small buffers take little, and that byte."""
     w.sidecar.listener.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     slow = socket.socket()
     slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -254,7 +254,7 @@
     return slow, await loop.sock_recv(slow, 1)
 
 
-async def the_rest(slow: socket.socket) -> bytes:
+async def read_rest(slow: socket.socket) -> bytes:
     data = b""
     with contextlib.suppress(ConnectionError):
         while more := await asyncio.get_running_loop().sock_recv(slow, 65536):
@@ -264,49 +264,49 @@
     return data
 
 
-def test_an_answer_that_is_not_all_written_makes_no_room_for_others() -> None:
-    # Guards rule 1: a client that takes its answer slowly gets the rest of it, however many others come.
-    async def scene() -> None:
+def test_a_connection_whose_answer_is_not_all_written_is_not_evicted() -> None:
+    # Guards rule 1: a client that reads its answer slowly gets the rest of it, however many others come.
+    async def scenario() -> None:
         whole = bytes(60_000) + b"end"
-        async with world(lambda *_: answer(200, whole), sockets=50) as w:  # one connection of a client
-            slow, first = await taking_slowly(w)
+        async with world(lambda *_: answer(200, whole), sockets=50) as w:  # one of them for clients
+            slow, first = await slow_reader(w)
             asking = asyncio.create_task(w.ask(X_Call_Id="other"))
-            await asyncio.sleep(0.2)  # the other's connection is in the kernel's queue by far
-            assert (first + await the_rest(slow)).endswith(whole)
+            await asyncio.sleep(0.2)  # by now the other's connection is in the kernel's queue
+            assert (first + await read_rest(slow)).endswith(whole)
             assert (await asking)[0] == 200  # and then there is room
             slow.close()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.interpreted
-def test_a_request_sent_ahead_is_not_closed_under_by_others_that_need_room(
+def test_a_connection_with_a_pipelined_request_is_not_evicted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The crossing: its connection rests for one turn of the loop, between the answer before it and its reading.
-    async def scene() -> None:
+    # Its connection is idle for one turn of the event loop, between the answer before it and its reading.
+    async def scenario() -> None:
         async with world(served, sockets=50) as w:
-            room: list[bool] = []
+            evicted: list[bool] = []
             over = HttpConnection._over
 
             def crossed(connection: HttpConnection, *args: Any) -> None:
                 over(connection, *args)
-                room.append(w.sidecar.listener.table.evict())
+                evicted.append(w.sidecar.listener.table.evict())
 
             monkeypatch.setattr(HttpConnection, "_over", crossed)
             one = await client(w.sidecar.listener.address)
             one.send(request() + request(X_Call_Id="ahead"))
             for _ in range(2):
                 assert (await one.answer())[0] == 200
-            assert room[0] is False
+            assert evicted[0] is False
             one.close()
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_lack_of_descriptors_neither_spins_nor_ends_the_listening() -> None:
-    class Lacking:
-        """A listener of which the first accepts fail."""
+def test_a_lack_of_descriptors_neither_spins_nor_ends_the_listener() -> None:
+    class FailingSocket:
+        """A listening socket whose first accepts fail."""
 
         def __init__(self, real: socket.socket) -> None:
             self.real, self.failures = real, 3
@@ -320,7 +320,7 @@
         def fileno(self) -> int:
             return self.real.fileno()
 
-    async def scene() -> None:
+    async def scenario() -> None:
         taken = FinalAnswer(Verdict.SERVED, b"taken")
         callbacks = RequestCallbacks(
             lambda call: call.answer(taken), lambda _: None, lambda _: False, lambda: True
@@ -328,19 +328,19 @@
         rules = RequestClasses(settings(classes=CLASSES))
         listener = Listener(("127.0.0.1", 0), 5, callbacks, rules, HttpConnection)
         real = listener._sock
-        listener._sock = Lacking(real)  # type: ignore[assignment]
+        listener._sock = FailingSocket(real)  # type: ignore[assignment]
         listener.start()
         assert (await ask(listener.address, request()))[2] == b"taken"
         listener._sock = real
         listener.stop()
         await until(lambda: not listener.open_connections)
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_connection_with_an_unread_request_is_not_at_rest() -> None:
-    # Guards against closing a connection under a request that was taken by the kernel, not yet by us.
-    async def scene() -> None:
+def test_a_connection_with_an_unread_request_is_not_idle() -> None:
+    # Guards against closing a connection under a request that the kernel has received and this process has not read.
+    async def scenario() -> None:
         async with world(served) as w:
             _, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             await until(lambda: w.sidecar.listener.connections)
@@ -353,12 +353,12 @@
             peer_fd.close()
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_rejection_arrives_though_the_body_is_still_being_sent() -> None:
     # Guards against closing on unread bytes, which resets the connection and the answer with it.
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(request("unheard-of", Content_Length=str(2 * BODY_BYTES_MAX)) + BIG * 64)
@@ -368,34 +368,34 @@
             assert await is_closed(reader)
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_a_defect_in_taking_a_request_fails_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene() -> None:
+def test_a_defect_in_accepting_a_request_fails_it(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             monkeypatch.setattr(w.sidecar.listener.callbacks, "on_request", None)
             assert (await w.ask())[0] == 500
             monkeypatch.undo()
             assert (await w.ask())[0] == 200
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_node")
-def test_a_client_of_the_old_protocol_without_a_host_is_served() -> None:
-    async def scene() -> None:
+def test_a_client_of_http_1_0_without_a_host_is_served() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             data = request(Host=None).replace(b"HTTP/1.1", b"HTTP/1.0")
             assert (await ask(w.sidecar.listener.address, data))[0] == 200
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_the_id_of_a_request_that_is_still_out_is_turned_away() -> None:
-    async def scene() -> None:
+def test_the_id_of_a_request_in_flight_is_rejected() -> None:
+    async def scenario() -> None:
         async with world(lambda *_: None) as w:
             first = await client(w.sidecar.listener.address)
             first.send(request("pay", body=b"first"))
@@ -408,11 +408,11 @@
             assert (await w.ask(kind="pay"))[0] == 200  # once it is over the id is free
             first.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_head_request_gets_no_body() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(request(path="/elsewhere", method="HEAD"))
@@ -420,52 +420,52 @@
             assert got.startswith(b"HTTP/1.1 404 ") and got.endswith(b"\r\n\r\n")
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
-    ("said", "heard"),
+    ("sent", "received"),
     [
         (b"", b""),
         (request(), b"HTTP/1.1 200 "),
         (request("pay", body=b"whole")[:20], b"HTTP/1.1 408 "),
         (request("pay", body=b"whole")[:-1], b"HTTP/1.1 408 "),
     ],
-    ids=["silent", "at rest", "half a head", "half a body"],
+    ids=["silent", "idle", "half a head", "half a body"],
 )
-def test_a_connection_that_says_no_more_is_ended(said: bytes, heard: bytes) -> None:
-    async def scene() -> None:
+def test_a_connection_that_falls_silent_is_closed(sent: bytes, received: bytes) -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
-            writer.write(said)
-            assert (await asyncio.wait_for(reader.read(), PATIENCE_S)).startswith(heard)
+            writer.write(sent)
+            assert (await asyncio.wait_for(reader.read(), PATIENCE_S)).startswith(received)
             await until(lambda: not w.sidecar.listener.connections)
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize("behind", [b"\x00\x01 junk\r\n\r\n", b"GET /half"], ids=["junk", "half a request"])
-def test_what_can_t_be_read_behind_a_held_request_ends_both(behind: bytes) -> None:
-    async def scene() -> None:
+def test_an_unreadable_request_behind_one_in_progress_ends_both(behind: bytes) -> None:
+    async def scenario() -> None:
         async with world(lambda *_: None) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(request("pay", body=b"held"))
             await until(w.sent)
             writer.write(behind)
-            # What was read is answered, however its client goes on; it may have run, so it is failed.
+            # The request that was read is answered; it may have been executed, so it is failed.
             got = await asyncio.wait_for(reader.read(), PATIENCE_S)
             assert got.startswith(b"HTTP/1.1 500 ") and got.count(b"HTTP/1.1 ") == 1
             await until(lambda: w.servers[0].closed == 1)  # nothing waits for the attempt
             assert (await w.ask(kind="look", path="/health/ready"))[0] == 200
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_clients_that_say_nothing_do_not_keep_others_out() -> None:
-    async def scene() -> None:
+def test_silent_clients_do_not_keep_others_out() -> None:
+    async def scenario() -> None:
         async with world(served, sockets=64) as w:
             address = w.sidecar.listener.address
             silent = [await asyncio.open_connection(*address) for _ in range(200)]
@@ -475,13 +475,13 @@
             for _, writer in silent:
                 writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_clients_that_ask_once_and_stay_leave_room_for_others() -> None:
-    # Guards clients that hold few connections: what they keep without use would be all they have.
-    async def scene() -> None:
+def test_idle_connections_are_bounded_to_a_third() -> None:
+    # Guards clients with few connections: those that others keep without use would be all there are.
+    async def scenario() -> None:
         async with world(served, sockets=72) as w:
             staying = []
             for number in range(8):
@@ -494,12 +494,12 @@
             for one in staying:
                 one.close()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_few_new_connections_end_unread_while_the_program_lags_under_many_and_none_after() -> None:
-    async def scene() -> None:
+def test_few_new_connections_are_shed_while_the_event_loop_lags_and_none_after() -> None:
+    async def scenario() -> None:
         async with world(lambda *_: None) as w:
             address = w.sidecar.listener.address
             held = [await client(address) for _ in range(40)]
@@ -516,7 +516,7 @@
             reader, _ = await asyncio.open_connection(*address)
             assert await is_closed(reader)
             for _ in range(20):  # and no more than one in 200
-                w.sidecar.listener.shedding.busy_max = 0.0  # it is as far behind as before
+                w.sidecar.listener.shedding.busy_max = 0.0  # it lags as before
                 assert (await ask(address, request(path="/health/ready")))[0] == 200
             w.sidecar.listener.shedding.shed_saved = 1.0
             for one in held:
@@ -525,10 +525,10 @@
             await until(lambda: table.count_with_work() < shedding.busy_max)
             assert (await ask(address, request(path="/health/ready")))[0] == 200
 
-    play(scene())
+    play(scenario())
 
 
-def test_of_a_thousand_new_connections_under_overload_no_more_than_four_are_closed_unread() -> None:
+def test_of_a_thousand_new_connections_under_overload_at_most_four_are_shed() -> None:
     callbacks = RequestCallbacks(lambda _: None, lambda _: None, lambda _: False, lambda: True)
     listener = Listener(
         ("127.0.0.1", 0), 5, callbacks, RequestClasses(settings(classes=CLASSES)), HttpConnection
@@ -544,9 +544,9 @@
 
 
 @pytest.mark.usefixtures("each_node")
-def test_a_slow_head_keeps_its_place_before_those_that_asked_once_and_stay() -> None:
-    # Guards honest clients under a crowd: room goes by what a connection has done, not by age alone.
-    async def scene() -> None:
+def test_idle_connections_are_evicted_before_one_with_a_slow_head() -> None:
+    # Guards honest clients under a crowd: eviction goes by what a connection has done, not by age alone.
+    async def scenario() -> None:
         async with world(served, sockets=56) as w:
             slow = await client(w.sidecar.listener.address)
             data = request("pay", body=b"x", X_Call_Id="slow")
@@ -559,11 +559,11 @@
             assert (await slow.answer())[0] == 200
             slow.close()
 
-    play(scene())
+    play(scenario())
 
 
-def test_in_a_drain_a_head_that_goes_no_further_is_not_waited_for() -> None:
-    async def scene() -> None:
+def test_a_drain_does_not_wait_for_a_stalled_head() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(request()[:30])
@@ -577,4 +577,4 @@
             assert (await w.ask())[0] == 200
             writer.close()
 
-    play(scene())
+    play(scenario())
--- a/tests/test_request_rules.py
+++ b/tests/test_request_rules.py
@@ -107,7 +107,7 @@
     assert counters.violations(Violation.SENT_TO_DRAINING) == 1
 
 
-def test_a_server_is_told_no_more_than_the_client_has_left() -> None:
+def test_a_server_is_told_no_longer_timeout_than_the_client_s() -> None:
     rules, counters = new_rules()
     assert rules.remaining_s(new_call(), NOW + 0.4, NOW) == pytest.approx(0.4)
     assert rules.remaining_s(new_call(), NOW + 0.4, NOW + 2.0) == 0.0
@@ -116,7 +116,7 @@
     assert counters.violations(Violation.TIMEOUT_BEYOND_CLIENT) == 1
 
 
-def test_an_answer_after_its_time_is_counted() -> None:
+def test_an_answer_after_its_deadline_is_counted() -> None:
     rules, counters = new_rules()
     rules.check_answer(new_call(), NOW + 1.0 + ANSWER_GRACE_S)
     assert counters.violations(Violation.ANSWERED_LATE) == 0
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -10,7 +10,7 @@
 
 
 def test_timers_fire_in_time_order_and_cancelled_ones_never() -> None:
-    async def scene() -> list[float]:
+    async def scenario() -> list[float]:
         timers, fired = Timers(), list[float]()
         loop, chance = asyncio.get_running_loop(), random.Random(1)
         began = loop.time()
@@ -26,11 +26,11 @@
         assert fired == expected
         return fired
 
-    assert asyncio.run(asyncio.wait_for(scene(), 20.0))
+    assert asyncio.run(asyncio.wait_for(scenario(), 20.0))
 
 
 def test_a_timer_never_fires_before_its_time() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         timers, loop = Timers(), asyncio.get_running_loop()
         early = list[float]()
         done = asyncio.Event()
@@ -41,22 +41,22 @@
         await done.wait()
         assert len(early) == 200 and max(early) <= 0.0
 
-    asyncio.run(asyncio.wait_for(scene(), 20.0))
+    asyncio.run(asyncio.wait_for(scenario(), 20.0))
 
 
-def test_a_call_that_fails_keeps_no_other_from_being_made() -> None:
-    async def scene() -> None:
+def test_a_timer_whose_call_fails_stops_no_other() -> None:
+    async def scenario() -> None:
         timers, done = Timers(), asyncio.Event()
         now = asyncio.get_running_loop().time()
         timers.call_at(now, [].remove, "not there")
         timers.call_at(now, lambda _: done.set())
         await done.wait()
 
-    asyncio.run(asyncio.wait_for(scene(), 20.0))
+    asyncio.run(asyncio.wait_for(scenario(), 20.0))
 
 
-def test_a_call_may_make_and_cancel_timers() -> None:
-    async def scene() -> list[str]:
+def test_a_timer_s_call_may_set_and_cancel_timers() -> None:
+    async def scenario() -> list[str]:
         timers, fired, done = Timers(), list[str](), asyncio.Event()
         now = asyncio.get_running_loop().time()
         never = timers.call_at(now + 0.001, fired.append, "cancelled")
@@ -70,13 +70,13 @@
         await done.wait()
         return fired
 
-    assert asyncio.run(asyncio.wait_for(scene(), 20.0)) == ["due already"]
+    assert asyncio.run(asyncio.wait_for(scenario(), 20.0)) == ["due already"]
 
 
-def test_cancelled_timers_are_not_kept_for_long() -> None:
+def test_cancelled_timers_are_dropped_soon() -> None:
     """A request's deadline is seconds off and cancelled in milliseconds: a heap of the dead would fill the memory."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         timers, most = Timers(), 0
         later = asyncio.get_running_loop().time() + 60.0
         lasting = [timers.call_at(later, print) for _ in range(10)]
@@ -88,4 +88,4 @@
         for each in lasting:
             each.cancel()
 
-    asyncio.run(asyncio.wait_for(scene(), 20.0))
+    asyncio.run(asyncio.wait_for(scenario(), 20.0))
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""The trace of decisions, and the account that is made of many of them."""
+"""The trace of decisions, and its analysis over a fleet."""
 
 from __future__ import annotations
 
@@ -63,11 +63,11 @@
     return account
 
 
-def test_what_came_late_or_failed_is_lost_and_the_rest_is_not(tmp_path: Path) -> None:
+def test_late_and_failed_requests_count_as_lost_and_others_do_not(tmp_path: Path) -> None:
     recorded = Recorded()
     recorded.call(1, 100 * MS)
-    recorded.call(2, 900 * MS)  # the aim is 500 ms
-    recorded.call(3, 10 * MS, Outcome.CONNECTION_LOST)  # may have run, and may not be sent again
+    recorded.call(2, 900 * MS)  # the latency objective is 500 ms
+    recorded.call(3, 10 * MS, Outcome.CONNECTION_LOST)  # may have been executed, so no retry
     recorded.play(RequestArrived(4, "pay", "acme", None, 2 * S))
     recorded.play(RequestCancelled(4))
     account = read(recorded, tmp_path)
@@ -78,7 +78,7 @@
     assert sum(slot.offered - slot.in_time for slot in account.slots.values()) == 30.0
 
 
-def test_a_clients_repeat_asks_for_no_worth_of_its_own_but_its_answer_counts(tmp_path: Path) -> None:
+def test_a_client_retry_adds_no_demand_but_its_answer_counts(tmp_path: Path) -> None:
     recorded = Recorded()
     recorded.call(1, 900 * MS)
     (send,) = recorded.play(RequestArrived(2, "pay", "acme", None, 2 * S, client_retry=True))
@@ -86,7 +86,7 @@
     assert read(recorded, tmp_path).by_kind["pay"] == [10.0, 10.0]
 
 
-def test_a_killed_sidecars_requests_are_told_apart_from_those_of_its_next_life(tmp_path: Path) -> None:
+def test_requests_of_a_killed_sidecar_are_distinct_from_its_successor_s(tmp_path: Path) -> None:
     recorded = Recorded()
     recorded.play(RequestArrived(1, "pay", "acme", None, 2 * S))
     again = Recorded()
@@ -96,7 +96,7 @@
     assert sum(slot.causes["sidecar ended"] for slot in account.slots.values()) == 1
 
 
-def test_lines_beyond_the_bound_of_a_second_are_counted_and_not_written(tmp_path: Path) -> None:
+def test_lines_beyond_the_limit_of_a_second_are_counted_and_not_written(tmp_path: Path) -> None:
     recorded = Recorded(lines_per_second=10)
     for ident in range(1, 30):
         recorded.call(ident, 1)
@@ -108,7 +108,7 @@
     assert account.dropped > 40
 
 
-def test_every_line_is_one_that_the_fields_name_and_holds_no_key() -> None:
+def test_every_line_has_the_documented_fields_and_no_key() -> None:
     recorded = Recorded()
     recorded.play(RequestArrived(1, "amend", "acme", 987654321, 2 * S))
     recorded.call(2, 10 * MS)
@@ -118,14 +118,14 @@
         assert "987654321" not in line
 
 
-def test_other_lines_of_a_log_are_passed_over(tmp_path: Path) -> None:
+def test_other_lines_of_a_log_are_skipped(tmp_path: Path) -> None:
     log = tmp_path / "n0.log"
     log.write_text('12.5 @["gone",7,1]\nejected s-1: silent\n@[broken\n', encoding="utf-8")
     assert list(lines(log)) == [["gone", 7, 1]]
 
 
 @pytest.mark.parametrize("most", [-1, 1_000_000, True, "all"])
-def test_a_bad_bound_is_named(most: object) -> None:
+def test_an_invalid_limit_of_lines_is_named(most: object) -> None:
     from topazbank.operator_config import operator_config_from
 
     with pytest.raises(
--- a/topazbank/core/call.py
+++ b/topazbank/core/call.py
@@ -18,9 +18,8 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-BUFFERED_BODY_BYTES_MAX: Final = (
-    64 * 1024
-)  # of a body that is held in memory; MessagePack-RPC allows no larger one
+# Of a body that is held in memory; MessagePack-RPC allows no larger one.
+BUFFERED_BODY_BYTES_MAX: Final = 64 * 1024
 
 
 @unique
@@ -67,14 +66,10 @@
     answer: Callable[[FinalAnswer], None]
     caller: str | None = None  # the tenant's name as sent
     content_headers: Headers | None = None  # of the body: content-type, content-encoding
-    headers: Headers | None = (
-        None  # from an HTTP client: the end-to-end headers, which are forwarded unchanged
-    )
+    headers: Headers | None = None  # the end-to-end headers of an HTTP client, forwarded unchanged
     spooled_body: SpooledBody | None = None  # a body over BUFFERED_BODY_BYTES_MAX, in place of `body`
     accepts_stream: bool = False  # whether its protocol server can answer before the whole body has come
-    has_disconnected: Callable[[], bool] = (
-        _never_disconnected  # whether its client has left, as far as the kernel knows
-    )
+    has_disconnected: Callable[[], bool] = _never_disconnected  # its client, by the kernel's state
     deadline: float = math.inf  # when its client stops waiting, seconds on the event loop's clock
     is_over: bool = False  # whether it has its answer, or its client has left
     possibly_executed: int = 0  # attempts written to a server and not proved never to have been executed
@@ -107,7 +102,5 @@
     on_disconnect: Callable[[Sequence[Call]], None]  # all unanswered calls of one connection at once
     is_in_flight: Callable[[str], bool]  # whether a request with this id is unanswered, or has a live attempt
     is_ready: Callable[[], bool]
-    status_page: Callable[[], bytes] | None = (
-        None  # the endpoint list and counters as JSON; None: not offered
-    )
+    status_page: Callable[[], bytes] | None = None  # `StatusPage.render`; None: not offered
     spool: Spool = field(default_factory=lambda: Spool(None))  # where large bodies are stored
--- a/topazbank/core/components.py
+++ b/topazbank/core/components.py
@@ -33,9 +33,7 @@
     gossip: GossipAddresses | None = None  # None: sidecars exchange no messages
     admin_address: Address | None = None  # of the admin API; None: there is none
     fleet_size: FleetSize | None = None  # as estimated at run time; None: nobody estimates it
-    handover_folder: str | None = (
-        None  # of the handover socket of an upgrade, and of spooled bodies; None: no handover
-    )
+    handover_folder: str | None = None  # of an upgrade's socket, and of spooled bodies; None: no handover
     inherited: bool = False  # whether `cached_endpoints` comes from the process before, in an upgrade
 
 
@@ -103,6 +101,10 @@
         """What the process that replaces this one needs to go on as this member."""
 
 
+# Makes it of the configuration, the fleet's size that it keeps up to date, and what a former process handed over.
+MembershipFactory = Callable[[SidecarConfig, FleetSize, Mapping[str, Any]], ClusterMembership]
+
+
 @dataclass(frozen=True, slots=True)
 class Components:
     """The components of a sidecar; None: that function is off."""
@@ -115,6 +117,4 @@
     protocol_defaults: ProtocolDefaults = field(default_factory=ProtocolDefaults)
     observer: Callable[[SidecarConfig, Callable[[], int]], RequestObserver] | None = None
     trace: Callable[[Balancer], Trace] | None = None
-    cluster_membership: Callable[[SidecarConfig, FleetSize, Mapping[str, Any]], ClusterMembership] | None = (
-        None
-    )
+    cluster_membership: MembershipFactory | None = None
