--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,7 +1,7 @@
-"""A small world over loopback sockets: scripted servers and discovery, and clients, in any pair of protocols.
+"""A sidecar over loopback sockets with scripted servers, scripted discovery and clients, in any pair of protocols.
 
-Tests say what is asked and answered in HTTP's words; the pair of protocols that the test runs under (conftest.py)
-decides what goes over the sockets.
+Tests give requests and responses in HTTP's terms; the pair of protocols that the test runs under (conftest.py) decides
+what goes over the sockets.
 """
 
 from __future__ import annotations
@@ -25,23 +25,23 @@
 from topazbank.operator_config import Membership, MsgpackRpc, OperatorConfig
 from topazbank.wiring import wire
 
-PATIENCE_S = 20.0  # for what must come; no test takes it as proof of anything
+PATIENCE_S = 20.0  # for what must come; no test proves anything by it
 
 Head = dict[str, str]
 
 
-def play(scene: Coroutine[Any, Any, None]) -> None:
-    """Run an asynchronous test, which may not hang."""
+def play(scenario: Coroutine[Any, Any, None]) -> None:
+    """Run an asynchronous test, for a minute at most."""
 
     async def bounded() -> None:
         async with asyncio.timeout(60.0):
-            await scene
+            await scenario
 
     asyncio.run(bounded())
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Wait for something to become true."""
+    """Wait until a condition holds, PATIENCE_S at most."""
     async with asyncio.timeout(PATIENCE_S):
         while not condition():
             await asyncio.sleep(0.005)
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pair:
-    """What clients speak, and what nodes do."""
+    """The protocols of clients and of servers."""
 
     client: str = HTTP
     nodes: str = HTTP
@@ -59,39 +59,41 @@
 
 
 PAIRS = [Pair(client, nodes) for client in (HTTP, MSGPACK_RPC) for nodes in (HTTP, MSGPACK_RPC)]
-_pair = [Pair()]  # the one that the test runs under
+_pair = [Pair()]  # of the test that is running
 
 
 def use(pair: Pair) -> None:
+    """Set the pair of the test that begins."""
     _pair[0] = pair
 
 
 def pair() -> Pair:
+    """The pair of the running test."""
     return _pair[0]
 
 
-class Scripted(bytes):
-    """A server's answer: HTTP's bytes, and what MessagePack-RPC's are made of."""
+class ScriptedResponse(bytes):
+    """A server's response: its bytes over HTTP, and what those over MessagePack-RPC are made of."""
 
     reply: Reply
 
 
-class Wanted(bytes):
-    """A client's request: HTTP's bytes, and what MessagePack-RPC's are made of."""
+class ScriptedRequest(bytes):
+    """A client's request: its bytes over HTTP, and what those over MessagePack-RPC are made of."""
 
     method: str
     params: list[Any]
 
 
-def answer(status: int = 200, body: bytes = b"done", **headers: str) -> Scripted:
+def answer(status: int = 200, body: bytes = b"done", **headers: str) -> ScriptedResponse:
     reply = Reply(status, body, {name.replace("_", "-"): value for name, value in headers.items()})
-    made = Scripted(reply.http())
-    made.reply = reply
-    return made
+    response = ScriptedResponse(reply.http())
+    response.reply = reply
+    return response
 
 
 class FakeServer(Listening):
-    """A server that answers as `script` says; None is silence, b"" a reset."""
+    """A server that answers with what `script` returns: None is silence, b"" a reset."""
 
     def __init__(self, name: str, script: Callable[[str, Head, bytes], bytes | None]) -> None:
         self.name = name
@@ -99,8 +101,8 @@
         self.protocol = pair().nodes
         self.requests: list[tuple[str, Head, bytes]] = []
         self.writers: list[asyncio.StreamWriter] = []
-        self.closed = 0  # connections that the other side ended
-        self.msgids: list[tuple[asyncio.StreamWriter, int]] = []  # of MessagePack-RPC requests, as they came
+        self.closed = 0  # connections that the other side closed
+        self.msgids: list[tuple[asyncio.StreamWriter, int]] = []  # of MessagePack-RPC requests, in order
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
@@ -108,7 +110,7 @@
         try:
             while True:
                 if self.protocol == HTTP:
-                    if self._one(await read_http(reader), writer):
+                    if self._answer_one(await read_http(reader), writer):
                         return
                     continue
                 data = await reader.read(65536)
@@ -116,7 +118,7 @@
                     raise ConnectionResetError
                 unpacker.feed(data)
                 for message in unpacker:
-                    if self._one(read_rpc(message), writer):
+                    if self._answer_one(read_rpc(message), writer):
                         return
         except (asyncio.IncompleteReadError, ConnectionError):
             self.closed += 1
@@ -125,8 +127,8 @@
         finally:
             writer.close()
 
-    def _one(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
-        """Answer a request; say whether the connection ends with that."""
+    def _answer_one(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
+        """Answer a request; return whether the connection ends with that."""
         self.requests.append((asked.first, asked.headers, asked.body))
         if asked.msgid is not None:
             self.msgids.append((writer, asked.msgid))
@@ -139,7 +141,7 @@
         return False
 
     def answer_held(self, reply: bytes) -> None:
-        """Answer what was met with silence so far, on connections that are still open."""
+        """Answer the requests that were not answered so far, on connections that are still open."""
         if self.protocol == HTTP:
             for writer in self.writers:
                 if not writer.is_closing():
@@ -149,7 +151,7 @@
                 writer.write(encoded(reply, msgid))
 
     def stop(self) -> None:
-        """Die: no new connections, and those that are open break."""
+        """Stop at once: no new connections, and those that are open are reset."""
         super().stop()
         for writer in self.writers:
             reset(writer)
@@ -169,7 +171,7 @@
 
 
 class FakeDiscovery(Listening):
-    """Answers each call with the next of `answers`; without one it lets the call wait."""
+    """Answers each call with the next of `answers`; while there is none the call waits."""
 
     def __init__(self) -> None:
         self.targets: list[str] = []
@@ -192,16 +194,18 @@
         writer.close()
 
     def called(self, times: int) -> bool:
+        """Whether it was called at least so often."""
         return len(self.targets) >= times
 
     def say(self, index: int, entries: list[Any], snapshot: bool = False) -> None:
-        told = {"index": index, "snapshot": snapshot, "endpoints": entries}
-        self.answers.put_nowait(answer(200, json.dumps(told).encode()))
+        """Answer the next call with a list."""
+        update = {"index": index, "snapshot": snapshot, "endpoints": entries}
+        self.answers.put_nowait(answer(200, json.dumps(update).encode()))
 
 
 @contextlib.contextmanager
-def full() -> Iterator[tuple[socket.socket, list[socket.socket]]]:
-    """A listener whose queue is full, and what fills it: a dial comes up only once that is taken."""
+def full_listener() -> Iterator[tuple[socket.socket, list[socket.socket]]]:
+    """A listener whose queue is full, and the sockets that fill it: others connect only once those are accepted."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=0)
     fillers = [socket.socket() for _ in range(8)]
     for each in fillers:
@@ -214,40 +218,40 @@
             each.close()
 
 
-async def heard_at(listener: socket.socket, fillers: list[socket.socket], seconds: float = 3.0) -> bytes:
-    """Let dials to a full listener come up; what they write in this time.
+async def received_at(listener: socket.socket, fillers: list[socket.socket], seconds: float = 3.0) -> bytes:
+    """Let connects to a full listener succeed; return what is written on them in this time.
 
-    The kernel knocks again one second after a dial, and two more after that.
+    The kernel tries to connect again after one second, and after two more.
     """
-    heard = bytearray()
+    received = bytearray()
     listener.settimeout(0.0)
     for filler in fillers:
         filler.close()
     loop = asyncio.get_running_loop()
-    until_s = loop.time() + seconds
-    taken: list[socket.socket] = []
-    while loop.time() < until_s:
+    end_at = loop.time() + seconds
+    accepted: list[socket.socket] = []
+    while loop.time() < end_at:
         with contextlib.suppress(BlockingIOError):
-            taken.append(listener.accept()[0])
-        for each in taken:
-            each.settimeout(0.0)
+            accepted.append(listener.accept()[0])
+        for sock in accepted:
+            sock.settimeout(0.0)
             with contextlib.suppress(OSError):
-                heard += each.recv(65536)
+                received += sock.recv(65536)
         await asyncio.sleep(0.01)
-    for each in taken:
-        each.close()
-    return bytes(heard)
+    for sock in accepted:
+        sock.close()
+    return bytes(received)
 
 
 @contextlib.contextmanager
-def deaf() -> Iterator[Address]:
-    """Where connections never come up."""
-    with full() as (listener, _):
+def unconnectable() -> Iterator[Address]:
+    """An address at which connections never succeed."""
+    with full_listener() as (listener, _):
         yield listener.getsockname()[:2]
 
 
 class World:
-    """A sidecar in this process, with its servers and discovery."""
+    """A sidecar in this process, with scripted servers and discovery."""
 
     def __init__(self, sidecar: Sidecar, servers: list[FakeServer], discovery: FakeDiscovery) -> None:
         self.sidecar = sidecar
@@ -256,14 +260,15 @@
         self.stop = asyncio.Event()
 
     def sent(self) -> list[tuple[str, Head, bytes]]:
-        """All requests that reached servers, by server."""
+        """All requests that came to servers, by server."""
         return [request for server in self.servers for request in server.requests]
 
     async def ask(self, **changes: Any) -> tuple[int, Head, bytes]:
+        """Send a request on a connection of its own; return status, headers and body of the answer."""
         return await ask(self.sidecar.listener.address, request(**changes))
 
 
-# As the stage has them, with time enough for a slow machine.
+# Those of the balancer's tests, with deadlines for a slow machine.
 CLASSES = [each | {"deadline_us": 600 * S} for each in (SAFE, UNSAFE, KEYED)]
 LIMITS = {"max_attempts": 3, "hedging": False, "cancellation": True}
 
@@ -275,28 +280,30 @@
     membership: Membership | None = None,
     **changes: Any,
 ) -> AsyncIterator[World]:
-    """A world with one server for each script; with other membership than the registry none is known at first."""
+    """A sidecar with one server for each script; by another discovery than the registry none is known at first."""
     servers = [FakeServer(f"s-{number}", script) for number, script in enumerate(scripts)]
     discovery = FakeDiscovery()
     for server in servers:
         await server.start()
     await discovery.start()
-    given = settings(**{"classes": CLASSES, "limits": LIMITS, **changes})
+    sidecar_settings = settings(**{"classes": CLASSES, "limits": LIMITS, **changes})
     entries = [each.entry() for each in servers] if membership is None else []
     known = parse_list({"index": 41, "snapshot": True, "endpoints": entries})
-    config = SidecarConfig(("127.0.0.1", 0), discovery.address, 7, sockets, given, known)
+    config = SidecarConfig(("127.0.0.1", 0), discovery.address, 7, sockets, sidecar_settings, known)
     operator = OperatorConfig(
         MsgpackRpc(clients=True, nodes=True), membership=membership or Membership(), show_roster=True
     )
-    made = World(Sidecar(config, wire(operator)), servers, discovery)
-    running = asyncio.create_task(made.sidecar.run(made.stop))
-    await until(lambda: made.sidecar._balancer._begun)
+    running_world = World(Sidecar(config, wire(operator)), servers, discovery)
+    running = asyncio.create_task(running_world.sidecar.run(running_world.stop))
+    await until(lambda: running_world.sidecar._balancer._begun)
     try:
-        yield made
+        yield running_world
         broken = {
-            name: count for name, count in made.sidecar.counters.as_mapping()["violations"].items() if count
+            name: count
+            for name, count in running_world.sidecar.counters.as_mapping()["violations"].items()
+            if count
         }
-        assert not broken, f"promises broken at run time: {broken}"
+        assert not broken, f"violations at run time: {broken}"
     finally:
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
@@ -312,7 +319,7 @@
     budget: str = "5.0",
     method: str | None = None,
     **headers: str | None,
-) -> Wanted:
+) -> ScriptedRequest:
     """A request; a header given as None is left out."""
     given: dict[str, str | None] = {
         "Host": "app.svc",
@@ -325,7 +332,7 @@
     given |= {name.replace("_", "-"): value for name, value in headers.items()}
     lines = [f"{name}: {value}" for name, value in given.items() if value is not None]
     verb = method or ("GET" if kind == "look" else "POST")
-    made = Wanted("\r\n".join([f"{verb} {path} HTTP/1.1", *lines, "", ""]).encode() + body)
+    made = ScriptedRequest("\r\n".join([f"{verb} {path} HTTP/1.1", *lines, "", ""]).encode() + body)
     made.method, made.params = _as_rpc(kind, path, body, given)
     return made
 
@@ -364,7 +371,9 @@
 
 def encoded(reply: bytes, msgid: int | None) -> bytes:
     """A scripted answer as it goes to whoever asked; raw bytes go as they are."""
-    return reply.reply.rpc(msgid) if msgid is not None and isinstance(reply, Scripted) else bytes(reply)
+    return (
+        reply.reply.rpc(msgid) if msgid is not None and isinstance(reply, ScriptedResponse) else bytes(reply)
+    )
 
 
 class Client:
@@ -378,7 +387,7 @@
         self._msgid = 0
 
     def send(self, data: bytes) -> None:
-        if self.protocol == MSGPACK_RPC and isinstance(data, Wanted):
+        if self.protocol == MSGPACK_RPC and isinstance(data, ScriptedRequest):
             self._msgid += 1
             data = pack([0, self._msgid, data.method, data.params])
         self.writer.write(data)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -15,15 +15,15 @@
     answer,
     ask,
     client,
-    deaf,
-    heard_at,
+    full_listener,
     pair,
     play,
+    received_at,
     request,
+    unconnectable,
     until,
     world,
 )
-from loopback import full as full_listener
 
 from testbed.wire import reset
 from topazbank.balancing.actions import Action
@@ -418,7 +418,7 @@
     connect_timeout: float, seconds: float
 ) -> None:
     async def scenario() -> None:
-        with deaf() as address:
+        with unconnectable() as address:
             table = new_table(connect_timeout, 10)
             update(table, address, None, ServerState.READY)
             assert await outcome_of(table, seconds) is Outcome.CONNECT_FAILED
@@ -450,7 +450,7 @@
 def test_connecting_to_a_server_that_drains_is_ended(state: ServerState) -> None:
     # Guards rule 3: a slow connection would carry its request after the drain grace.
     async def scenario() -> None:
-        with deaf() as address:
+        with unconnectable() as address:
             table = new_table(30.0, 10)
             update(table, address, None, ServerState.READY)
             sending = asyncio.create_task(outcome_of(table))
@@ -477,7 +477,7 @@
                 update(table, place, started_at, ServerState.READY)
                 assert await sending is Outcome.UNSENT  # it proves nothing about the server
                 await until(lambda table=table: table.connection_limit.open_count == 0)  # type: ignore[misc]
-            assert not await heard_at(listener, fillers, 1.5)
+            assert not await received_at(listener, fillers, 1.5)
             server.stop()
 
     play(scenario())
@@ -502,7 +502,7 @@
                 w.servers[0].answer_held(answer(500, b""))
                 await until(lambda: live.attempts_sent == 2)
                 await asyncio.sleep(forgotten - loop.time() + 0.1)
-                assert not await heard_at(listener, fillers)
+                assert not await received_at(listener, fillers)
                 assert asking.done() and (await asking)[0] == 500  # at once, not at its deadline
                 assert len(w.sent()) == 1
 
@@ -625,7 +625,7 @@
     # Guards rule 1: a connection that came up after the final answer would still carry the request.
     async def scenario() -> None:
         limits = {"max_attempts": 3, "cancellation": False, "connect_timeout_us": 600 * S}
-        with deaf() as address:
+        with unconnectable() as address:
             async with world(served, limits=limits) as w:
                 w.sidecar._endpoint_table.update("s-0", address, None, ServerState.READY, pair().nodes)
                 leaving = await client(w.sidecar.listener.address)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,7 +8,7 @@
 
 import pytest
 from helpers import S
-from loopback import FakeDiscovery, answer, deaf, play, until, world
+from loopback import FakeDiscovery, answer, play, unconnectable, until, world
 
 from topazbank.balancing.events import ServerState
 from topazbank.core.endpoint_source import EndpointList
@@ -152,7 +152,7 @@
     monkeypatch.setattr(registry, "_DIAL_S", 0.1)
 
     async def scenario() -> None:
-        with deaf() as address:
+        with unconnectable() as address:
             received: list[EndpointList | None] = []
             discovery = RegistrySource(address, 1, received.append)
             discovery.watch(True)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -7,7 +7,19 @@
 
 import pytest
 from helpers import KEYED, SAFE, UNSAFE, S
-from loopback import Client, World, answer, client, full, heard_at, pair, play, request, until, world
+from loopback import (
+    Client,
+    World,
+    answer,
+    client,
+    full_listener,
+    pair,
+    play,
+    received_at,
+    request,
+    until,
+    world,
+)
 
 from testbed.wire import HTTP, reset
 from topazbank.balancing.events import ServerState
@@ -130,7 +142,7 @@
 ) -> None:
     async def scenario() -> None:
         limits = {"max_attempts": 3, "cancellation": True, "connect_timeout_us": 60 * S}
-        with full() as (listener, fillers):
+        with full_listener() as (listener, fillers):
             async with world(silent, limits=limits) as w:
                 address = listener.getsockname()
                 w.sidecar._endpoint_table.update("s-0", address, None, ServerState.READY, pair().nodes)
@@ -143,7 +155,7 @@
                     connection._transport.pause_reading()
                 disconnect(one)
                 await asyncio.sleep(0.05)
-                assert not await heard_at(listener, fillers)
+                assert not await received_at(listener, fillers)
                 await until(lambda: not w.sidecar._requests.live)
                 # A connection that other requests may share stays open.
                 assert not w.sent() and w.sidecar._endpoint_table.connection_limit.open_count <= (
