--- a/benchmarks/cluster_cost.py
+++ b/benchmarks/cluster_cost.py
@@ -24,11 +24,11 @@
 
 from benchmarks.forward_cost import OUT, ROOT, SETTINGS, WARM_S, process, until_up
 from benchmarks.load import Load, cpu_s
-from testbed.cluster.synthetic_peers import Crowd
+from testbed.cluster.synthetic_peers import SyntheticPeers
 from testbed.ports import free, own_host
 from testbed.registry import Registry
 from testbed.wire import HTTP, Address, place
-from topazbank.cluster.__main__ import ask_tier
+from topazbank.cluster.__main__ import fetch_status
 
 SETTLE_S = 3.0
 HEAD = f"{'members':>8}{'tier':>6}{'CPU at rest, ms/s':>19}{'resident MB':>13}{'CPU us a request':>18}{'seen':>7}"
@@ -81,7 +81,7 @@
     registry.index = 1
     await registry.start()
     (here,) = free(own_host(), 1, socket.SOCK_DGRAM)
-    crowd = Crowd(size, here)
+    crowd = SyntheticPeers(size, here)
     await crowd.start()
     try:
         with program(on, [here, *crowd.addresses], registry.address, ports, folder) as (pid, listen):
@@ -94,7 +94,7 @@
             memory = resident_mb(pid)
             seen = 0
             if on:
-                seen = (await asyncio.to_thread(ask_tier, place(listen)))["at_most"]
+                seen = (await asyncio.to_thread(fetch_status, place(listen)))["at_most"]
             return Figure(rest_ms, memory, await _request_us(pid, listen, given.seconds), seen)
     finally:
         crowd.stop()
--- a/benchmarks/cluster_detectors.py
+++ b/benchmarks/cluster_detectors.py
@@ -21,21 +21,21 @@
 
 from testbed.cluster.detectors import Ephemeral, Heartbeats, PhiAccrual, Rapid
 from testbed.cluster.scenarios import Step
-from testbed.cluster.virtual_time import Played
+from testbed.cluster.virtual_time import VirtualCluster
 from topazbank.cluster.failure_detector import FailureDetector
-from topazbank.cluster.rules import Rules
+from topazbank.cluster.settings import ProtocolSettings
 from topazbank.core.bounds import tier_messages_a_second
 
-PLAIN = Rules(lifeguard=False, vouching=False, doubting=False)
-LIFEGUARD = Rules(vouching=False)
-WAYS: dict[str, tuple[Callable[..., Any], Rules]] = {
-    "heartbeats": (Heartbeats, Rules()),
-    "phi accrual": (PhiAccrual, Rules()),
-    "ephemeral nodes": (Ephemeral, Rules()),
-    "Rapid": (Rapid, Rules()),
+PLAIN = ProtocolSettings(lifeguard=False, vouching=False, doubting=False)
+LIFEGUARD = ProtocolSettings(vouching=False)
+WAYS: dict[str, tuple[Callable[..., Any], ProtocolSettings]] = {
+    "heartbeats": (Heartbeats, ProtocolSettings()),
+    "phi accrual": (PhiAccrual, ProtocolSettings()),
+    "ephemeral nodes": (Ephemeral, ProtocolSettings()),
+    "Rapid": (Rapid, ProtocolSettings()),
     "plain SWIM": (FailureDetector, PLAIN),
     "SWIM, Lifeguard": (FailureDetector, LIFEGUARD),
-    "the program's": (FailureDetector, Rules()),
+    "the program's": (FailureDetector, ProtocolSettings()),
 }
 SMALL_ONLY = ("heartbeats", "phi accrual", "Rapid")  # their plays grow with the square of the size
 HEAD = (
@@ -57,7 +57,7 @@
 def killed(way: str, size: int, seed: int) -> tuple[float, float]:
     """Seconds until the first and until the last knows."""
     make, rules = WAYS[way]
-    rig = Played(size, seed, rules, make, settled=True)
+    rig = VirtualCluster(size, seed, rules, make, settled=True)
     rig.run(3.0)
     rig.noted.clear()
     rig.do(Step(3.0, "kill", (seed % size,)))
@@ -73,7 +73,7 @@
 def false_gone(way: str, size: int, seed: int, seconds: float) -> float:
     """ "Gone" of one that lives, a member-hour, under loss and short pauses."""
     make, rules = WAYS[way]
-    rig = Played(size, seed, rules, make, settled=True)
+    rig = VirtualCluster(size, seed, rules, make, settled=True)
     rig.run(3.0)
     rig.noted.clear()
     rig.faults.loss = 0.2
@@ -88,7 +88,7 @@
 def calm(way: str, size: int) -> tuple[float, float]:
     """Messages and bytes a member and second."""
     make, rules = WAYS[way]
-    rig = Played(size, 1, rules, make, measured=True, settled=True)
+    rig = VirtualCluster(size, 1, rules, make, measured=True, settled=True)
     rig.run(2.0)
     rig.sent.clear()
     rig.run(7.0)
@@ -131,7 +131,7 @@
             if way == "the program's":
                 over += row.messages > tier_messages_a_second(WAYS[way][1])
     print(
-        f"by core.bounds: {tier_messages_a_second(Rules()):.1f} messages a member and second at most in calm"
+        f"by core.bounds: {tier_messages_a_second(ProtocolSettings()):.1f} messages a member and second at most in calm"
     )
     for row in rows:
         if row.way == "plain SWIM":
--- a/testbed/cluster/__main__.py
+++ b/testbed/cluster/__main__.py
@@ -16,17 +16,17 @@
 from collections.abc import Sequence
 from dataclasses import asdict
 
-from testbed.cluster.harness import Rig
-from testbed.cluster.invariants import Found
-from testbed.cluster.scenarios import SCENES
-from testbed.cluster.virtual_time import Played
+from testbed.cluster.harness import ClusterHarness
+from testbed.cluster.invariants import Outcome
+from testbed.cluster.scenarios import SCENARIOS
+from testbed.cluster.virtual_time import VirtualCluster
 from testbed.fleet.invariants import Verdicts
 
 HEAD = f"{'scene':<22}{'seed':>5}{'false gone':>11}{'known s':>9}{'equal s':>9}{'doubted':>9}{'back':>6}"
 CALLS = f"{'calls':>8}{'served':>9}{'lost':>6}{'rules':>7}"
 
 
-def row(name: str, seed: int, found: Found, verdicts: Verdicts | None) -> str:
+def row(name: str, seed: int, found: Outcome, verdicts: Verdicts | None) -> str:
     known = f"{max(found.known_s):.2f}" if found.known_s else "-"
     equal = f"{found.equal_s:.2f}" if found.equal_s is not None else "never"
     line = (
@@ -38,7 +38,7 @@
     return line
 
 
-def wrong(found: Found, verdicts: Verdicts | None) -> list[str]:
+def wrong(found: Outcome, verdicts: Verdicts | None) -> list[str]:
     return found.faults + (verdicts.broken if verdicts is not None else [])
 
 
@@ -46,9 +46,9 @@
     """Played time; what was wrong, a line each."""
     bad = []
     for seed in range(given.seed, given.seed + given.seeds):
-        for name in given.scenes or SCENES:
-            script = SCENES[name](given.sidecars, random.Random(seed), given.pace)
-            rig = Played(given.sidecars, seed)
+        for name in given.scenes or SCENARIOS:
+            script = SCENARIOS[name](given.sidecars, random.Random(seed), given.pace)
+            rig = VirtualCluster(given.sidecars, seed)
             found = rig.play(script)
             print(row(name, seed, found, None), flush=True)
             _note(given.notes, name, seed, [asdict(each) for each in rig.done])
@@ -60,11 +60,11 @@
     """Real processes, which live on from scene to scene."""
     bad = []
     for seed in range(given.seed, given.seed + given.seeds):
-        rig = Rig(given.sidecars, seed, not given.off, given.rate)
+        rig = ClusterHarness(given.sidecars, seed, not given.off, given.rate)
         try:
             await rig.start()
-            for name in given.scenes or SCENES:
-                script = SCENES[name](given.sidecars, random.Random(seed), given.pace)
+            for name in given.scenes or SCENARIOS:
+                script = SCENARIOS[name](given.sidecars, random.Random(seed), given.pace)
                 found, verdicts = await rig.play(script)
                 print(row(name, seed, found, verdicts), flush=True)
                 _note(given.notes, name, seed, [asdict(each) for each in rig.done])
@@ -82,7 +82,7 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="testbed.cluster", description=(__doc__ or "").split("\n")[0])
-    parser.add_argument("scenes", nargs="*", metavar="SCENE", help=", ".join(SCENES))
+    parser.add_argument("scenes", nargs="*", metavar="SCENE", help=", ".join(SCENARIOS))
     parser.add_argument("--sidecars", type=int, default=5)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=1, help="play as many seeds, from --seed on")
@@ -97,8 +97,8 @@
     parser.add_argument("--notes", metavar="FILE", help="append what was done to whom and when")
     given = parser.parse_args(argv)
     for name in given.scenes:
-        if name not in SCENES:
-            parser.error(f"{name}: no scene; one of {', '.join(SCENES)} is wanted")
+        if name not in SCENARIOS:
+            parser.error(f"{name}: no scene; one of {', '.join(SCENARIOS)} is wanted")
     print(HEAD + ("" if given.played else CALLS), flush=True)
     bad = play_all(given) if given.played else asyncio.run(play_processes(given))
     print(f"FAILED: {bad[0]}" + (f" (and {len(bad) - 1} more)" if bad[1:] else "") if bad else "PASSED")
--- a/testbed/cluster/detectors.py
+++ b/testbed/cluster/detectors.py
@@ -1,7 +1,7 @@
 """Other ways to find out who is here, beside the program's own, on the same network of played time.
 
 Each has what `played.Played` needs of a detector.  Plain SWIM and SWIM with Lifeguard are the program's own detector
-with its further parts off (`Rules`).
+with its further parts off (`ProtocolSettings`).
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from topazbank.cluster.failure_detector import Change, Out
 from topazbank.cluster.member import MemberRecord, MemberState, ident_of
 from topazbank.cluster.member_table import Table
-from topazbank.cluster.rules import Rules
+from topazbank.cluster.settings import ProtocolSettings
 from topazbank.cluster.wire import Kind, Message
 from topazbank.core.net import Address
 
@@ -29,7 +29,7 @@
 class Heartbeats:
     """All tell all that they are here; who is silent for the wait is gone, by each one's own count."""
 
-    def __init__(self, me: int, life: int, now: int, rules: Rules, *_: Any) -> None:
+    def __init__(self, me: int, life: int, now: int, rules: ProtocolSettings, *_: Any) -> None:
         self.me, self.life, self.incarnation, self.rules = me, life, 0, rules
         self.table = Table(random.Random(0))  # its turns are not used
         self.suspicions: dict[int, None] = {}
@@ -78,7 +78,7 @@
 class PhiAccrual(Heartbeats):
     """The same heartbeats; the wait goes by how each member's have come so far."""
 
-    def __init__(self, me: int, life: int, now: int, rules: Rules, *_: Any) -> None:
+    def __init__(self, me: int, life: int, now: int, rules: ProtocolSettings, *_: Any) -> None:
         super().__init__(me, life, now, rules)
         self._gaps: dict[int, deque[float]] = {}
 
@@ -110,7 +110,7 @@
     A heartbeat each period stands for a connection that repeats what is lost; a session bears six of them lost.
     """
 
-    def __init__(self, me: int, life: int, now: int, rules: Rules, *more: Any) -> None:
+    def __init__(self, me: int, life: int, now: int, rules: ProtocolSettings, *more: Any) -> None:
         super().__init__(me, life, now, rules, *more)
         self._gone: dict[int, int] = {}  # sessions that have ended, and when; the ensemble's own
 
@@ -165,7 +165,7 @@
     Only the way out is played: alerts, the two watermarks, the vote of the fast path.
     """
 
-    def __init__(self, me: int, life: int, now: int, rules: Rules, *_: Any) -> None:
+    def __init__(self, me: int, life: int, now: int, rules: ProtocolSettings, *_: Any) -> None:
         self.me, self.life, self.incarnation, self.rules = me, life, 0, rules
         self.table = Table(random.Random(0))
         self.suspicions: dict[int, None] = {}
--- a/testbed/cluster/harness.py
+++ b/testbed/cluster/harness.py
@@ -18,9 +18,9 @@
 from typing import Any
 
 from testbed.backend import Lodge, LodgeServer, Memory, RunLog
-from testbed.cluster.invariants import Done, Found, Looked, Noted, judge
+from testbed.cluster.invariants import FaultRecord, Outcome, StateChange, ViewSample, judge
 from testbed.cluster.relay import Relay
-from testbed.cluster.scenarios import NODES, PAUSE_BORNE_S, REGISTRY, Script, Step
+from testbed.cluster.scenarios import NODES, REGISTRY, TOLERATED_PAUSE_S, Scenario, Step
 from testbed.fleet.calling import Clients
 from testbed.fleet.invariants import Reached, Verdicts, Word
 from testbed.fleet.invariants import judge as judge_rules
@@ -28,7 +28,7 @@
 from testbed.ports import free, own_host
 from testbed.registry import Registry
 from testbed.wire import HTTP, MSGPACK_RPC, Address, Asked, place
-from topazbank.cluster.__main__ import ask_tier
+from topazbank.cluster.__main__ import fetch_status
 
 ROOT = Path(__file__).parent.parent.parent
 EXAMPLE = ROOT / "deploy" / "example.json"
@@ -57,11 +57,11 @@
 def _interrupts(step: Step) -> bool:
     """Whether calls under way may rightly be lost by it: a pause shorter than their time loses none."""
     return step.do in ("kill", "leave", "old_dies", "new_dies", "new_hangs") or (
-        step.do == "stop" and step.value > PAUSE_BORNE_S
+        step.do == "stop" and step.value > TOLERATED_PAUSE_S
     )
 
 
-class Noting(Lodge):
+class RecordingBackend(Lodge):
     """A node that notes what reaches it, run or not."""
 
     note: Callable[[str, str], None]
@@ -85,10 +85,10 @@
     busy: bool = False  # a change of process is under way: it is not asked
 
 
-class Rig:
+class ClusterHarness:
     """The processes, what surrounds them, and what was done and seen."""
 
-    node_class: type[Noting] = Noting
+    node_class: type[RecordingBackend] = RecordingBackend
 
     def __init__(
         self,
@@ -124,9 +124,9 @@
         self._words: list[Word] = []  # of nodes that drain
         self.log = RunLog()
         self._reached: list[Reached] = []
-        self.done: list[Done] = []
-        self._noted: set[Noted] = set()
-        self.looks: list[Looked] = []
+        self.done: list[FaultRecord] = []
+        self._noted: set[StateChange] = set()
+        self.looks: list[ViewSample] = []
         self.lives: dict[int, int] = {}
         self._began = now()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -262,7 +262,7 @@
         """A process's account; None while it gives none."""
         try:
             async with asyncio.timeout(3.0):
-                return await asyncio.to_thread(ask_tier, place(member.listen))
+                return await asyncio.to_thread(fetch_status, place(member.listen))
         except (OSError, ValueError, TimeoutError):
             return None
 
@@ -285,12 +285,14 @@
             }
             here[member.number] = account["life"]
             doubted = sum(each["state"] == "suspected" for each in account["members"])
-            self.looks.append(Looked(now() - self._began, member.number, here, account["cut_off"], doubted))
+            self.looks.append(
+                ViewSample(now() - self._began, member.number, here, account["cut_off"], doubted)
+            )
             for each in account["changes"]:
                 at = each["at"] / 1e6 - self._began
                 if at >= 0.0 and each["member"].isdecimal():
                     old, new, life = each["old"], each["new"], each["life"]
-                    self._noted.add(Noted(at, member.number, int(each["member"]), old, new, life))
+                    self._noted.add(StateChange(at, member.number, int(each["member"]), old, new, life))
         self.lives = {number: account["life"] for number, account in found.items()}
         return found
 
@@ -316,7 +318,7 @@
     # -- Faults ----------------------------------------------------------------------------------------
 
     async def do(self, step: Step) -> None:
-        self.done.append(Done(now() - self._began, step.do, step.who, step.to, step.value))
+        self.done.append(FaultRecord(now() - self._began, step.do, step.who, step.to, step.value))
         if step.do in ("loss", "delay", "doubled"):
             setattr(self.relay, {"delay": "delay_s"}.get(step.do, step.do), step.value)
         elif step.do == "cut":
@@ -443,7 +445,7 @@
 
     # -- Plays -----------------------------------------------------------------------------------------
 
-    async def play(self, script: Script) -> tuple[Found, Verdicts]:
+    async def play(self, script: Scenario) -> tuple[Outcome, Verdicts]:
         """Play a scene under load and judge it; afterwards all run again and see one another."""
         self._begin()
         over = asyncio.Event()
@@ -470,7 +472,7 @@
         await load
         noted = sorted(self._noted, key=lambda each: each.at)
         ended_script = replace(script, faults_end_s=ended)
-        found = judge(ended_script, self.done, noted, self.looks, self.lives) if self.on else Found()
+        found = judge(ended_script, self.done, noted, self.looks, self.lives) if self.on else Outcome()
         lives = {each: [(0.0, now())] for each in range(self.count)}
         reached = [each for each in self._reached if not each.ident.startswith("x-")]
         runs = [each for each in self.log.runs if not each.ident.startswith("x-")]
--- a/testbed/cluster/invariants.py
+++ b/testbed/cluster/invariants.py
@@ -5,14 +5,14 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from testbed.cluster.scenarios import Script
+from testbed.cluster.scenarios import Scenario
 
 REFOUND_S = 2.0  # a process that wakes or is reached again is back by then
 KNOWN_S = 4.0  # a killed one is known to all by then
 
 
 @dataclass(frozen=True, slots=True)
-class Noted:
+class StateChange:
     """One process's account: at this time it found another in another state."""
 
     at: float
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class FaultRecord:
     """What the rig did to whom, and when."""
 
     at: float
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Looked:
+class ViewSample:
     """One process's view at a moment: who is here to it, by life; whether it says that it is cut off."""
 
     at: float
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class Found:
+class Outcome:
     """What came of one play."""
 
     faults: list[str] = field(default_factory=list)
@@ -59,15 +59,15 @@
 
 
 def judge(
-    script: Script,
-    done: Sequence[Done],
-    noted: Sequence[Noted],
-    looks: Sequence[Looked],
+    script: Scenario,
+    done: Sequence[FaultRecord],
+    noted: Sequence[StateChange],
+    looks: Sequence[ViewSample],
     lives: Mapping[int, int],
     known_s: float = KNOWN_S,
-) -> Found:
+) -> Outcome:
     """`lives`: who runs at the end, and its life; `looks`: views after the faults' end, in the order of time."""
-    found = Found()
+    found = Outcome()
     killed = {who: each.at for each in done if each.do == "kill" for who in each.who}
     for each in noted:
         gone = each.new == "GONE"
@@ -82,7 +82,9 @@
     return found
 
 
-def _risen(found: Found, done: Sequence[Done], noted: Sequence[Noted], killed: Mapping[int, float]) -> None:
+def _risen(
+    found: Outcome, done: Sequence[FaultRecord], noted: Sequence[StateChange], killed: Mapping[int, float]
+) -> None:
     """Of who was killed and stays away: nobody that knew sees it here again."""
     started = {who for each in done if each.do == "start" for who in each.who}
     knew: set[tuple[int, int]] = set()
@@ -95,7 +97,11 @@
 
 
 def _kills(
-    found: Found, done: Sequence[Done], noted: Sequence[Noted], killed: Mapping[int, float], known_s: float
+    found: Outcome,
+    done: Sequence[FaultRecord],
+    noted: Sequence[StateChange],
+    killed: Mapping[int, float],
+    known_s: float,
 ) -> None:
     """Of each that was killed and stayed away: by when each other that lived on knew."""
     started = {who for each in done if each.do == "start" for who in each.who}
@@ -114,9 +120,9 @@
         ]
 
 
-def _equal(found: Found, script: Script, looks: Sequence[Looked], lives: Mapping[int, int]) -> None:
+def _equal(found: Outcome, script: Scenario, looks: Sequence[ViewSample], lives: Mapping[int, int]) -> None:
     """Views count as equal from when on all are, to the end."""
-    last: dict[int, Looked] = {}
+    last: dict[int, ViewSample] = {}
     wrong_at: float | None = None
     for each in looks:
         last[each.by] = each
--- a/testbed/cluster/synthetic_peers.py
+++ b/testbed/cluster/synthetic_peers.py
@@ -14,14 +14,14 @@
 
 from testbed.wire import Address
 from topazbank.cluster.member import MemberRecord, ident_of
-from topazbank.cluster.rules import Rules
+from topazbank.cluster.settings import ProtocolSettings
 from topazbank.cluster.wire import BadMessage, Kind, Message, decode, encode, records_in
 
 LIFE = 1_800_000_000_000
 PORT = 7946
 
 
-class Crowd:
+class SyntheticPeers:
     """Members 1 to `size` - 1; the sidecar is number 0."""
 
     def __init__(self, size: int, sidecar: Address, seed: int = 1) -> None:
@@ -51,7 +51,7 @@
             MemberRecord(ident_of(str(number)), LIFE, 0, address=address)
             for number, address in enumerate(self.addresses, start=1)
         ]
-        room = records_in(Rules().datagram)
+        room = records_in(ProtocolSettings().datagram)
         for at in range(0, len(records), room):
             self._say(1, Kind.TELL, news=tuple(records[at : at + room]))
             await asyncio.sleep(0.005)
@@ -60,7 +60,7 @@
     async def _tick(self) -> None:
         """Each member probes one in each period: the sidecar's turn comes once, on the mean."""
         while True:
-            await asyncio.sleep(Rules().period_us / 1e6)
+            await asyncio.sleep(ProtocolSettings().period_us / 1e6)
             self._say(self._random.randrange(1, self._size), Kind.PING, target=ident_of("0"))
 
     def _say(self, member: int, kind: Kind, probe: int = 0, target: int = 0, **more: Any) -> None:
@@ -95,7 +95,7 @@
 
 
 class _Door(asyncio.DatagramProtocol):
-    def __init__(self, crowd: Crowd, number: int) -> None:
+    def __init__(self, crowd: SyntheticPeers, number: int) -> None:
         self._crowd, self._number = crowd, number
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
--- a/testbed/cluster/virtual_time.py
+++ b/testbed/cluster/virtual_time.py
@@ -10,12 +10,12 @@
 from functools import partial
 from typing import Any
 
-from testbed.cluster.invariants import Done, Found, Looked, Noted, judge
-from testbed.cluster.scenarios import Script, Step
+from testbed.cluster.invariants import FaultRecord, Outcome, StateChange, ViewSample, judge
+from testbed.cluster.scenarios import Scenario, Step
 from testbed.virtual_time import PlayedTime
 from topazbank.cluster.failure_detector import FailureDetector, Out
-from topazbank.cluster.member import MemberRecord, MemberState, ident_of, mark_of
-from topazbank.cluster.rules import Rules
+from topazbank.cluster.member import MemberRecord, MemberState, digest_of, ident_of
+from topazbank.cluster.settings import ProtocolSettings
 from topazbank.cluster.view import View
 from topazbank.cluster.wire import Message, encode
 from topazbank.core.net import Address
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Life:
+class VirtualProcess:
     """One process."""
 
     number: int
@@ -46,34 +46,34 @@
 Maker = Callable[..., FailureDetector]
 
 
-class Played(PlayedTime):
+class VirtualCluster(PlayedTime):
     """The rig of played time."""
 
     def __init__(
         self,
         members: int,
         seed: int,
-        rules: Rules | None = None,
+        rules: ProtocolSettings | None = None,
         make: Maker = FailureDetector,
         measured: bool = False,
         settled: bool = False,
     ) -> None:
         """`measured`: count bytes too; `settled`: all know one another from the start."""
         super().__init__(seed)
-        self.rules = rules or Rules()
+        self.rules = rules or ProtocolSettings()
         self.seed, self.members = seed, members
         self.make = make
         self.measured = measured
         self.idents = {ident_of(str(number)): number for number in range(members)}
-        self.lives: dict[int, Life] = {}
-        self.noted: list[Noted] = []
-        self.done: list[Done] = []
-        self.looks: list[Looked] = []
+        self.lives: dict[int, VirtualProcess] = {}
+        self.noted: list[StateChange] = []
+        self.done: list[FaultRecord] = []
+        self.looks: list[ViewSample] = []
         self.sent: Counter[str] = Counter()
         self.sent_by: Counter[int] = Counter()
         self._lives = 0
         base = self._settled() if settled else None
-        self._digest = functools.reduce(operator.xor, map(mark_of, (base or {}).values()), 0)
+        self._digest = functools.reduce(operator.xor, map(digest_of, (base or {}).values()), 0)
         for number in range(members):
             self.start(number, base)
 
@@ -106,7 +106,7 @@
         )
         if known is not None:
             self._know(detector, known, self._digest)
-        process = Life(number, detector, View(detector), self.now)
+        process = VirtualProcess(number, detector, View(detector), self.now)
         self.lives[number] = process
         self._arm(process, self.now + self.random.random() * self.rules.period_us / 1e6)
 
@@ -118,7 +118,7 @@
     def kill(self, number: int) -> None:
         self.lives.pop(number, None)
 
-    def _arm(self, process: Life, when: float | None = None) -> None:
+    def _arm(self, process: VirtualProcess, when: float | None = None) -> None:
         due = process.detector.due / 1e6 if when is None else when
         due = max(due, self.now + 1e-4) + process.late_s * self.random.random()
         if process.alarm >= 0.0 and process.alarm <= due and process.alarm > self.now:
@@ -126,7 +126,7 @@
         process.alarm = due
         self.at(due, lambda: self._alarm(process, due))
 
-    def _alarm(self, process: Life, due: float) -> None:
+    def _alarm(self, process: VirtualProcess, due: float) -> None:
         if self.lives.get(process.number) is not process or process.alarm != due:
             return
         if process.stopped_until > self.now:
@@ -140,20 +140,20 @@
         self._send(process, process.detector.tick(self.us()))
         self._after(process)
 
-    def _after(self, process: Life) -> None:
+    def _after(self, process: VirtualProcess) -> None:
         if process.detector.changes:
             for each in process.detector.changes:
                 whom = self.idents.get(each.ident)
                 if whom is not None:
                     old = each.old.name if each.old is not None else None
                     new = each.new.name if each.new is not None else None
-                    self.noted.append(Noted(self.now, process.number, whom, old, new, each.record.life))
+                    self.noted.append(StateChange(self.now, process.number, whom, old, new, each.record.life))
             process.detector.changes.clear()
         self._arm(process)
 
     # -- The network -----------------------------------------------------------------------------------
 
-    def _send(self, process: Life, out: list[Out]) -> None:
+    def _send(self, process: VirtualProcess, out: list[Out]) -> None:
         for each in out:
             to = int(each.to[0][1:])
             self.sent["messages"] += 1
@@ -178,7 +178,7 @@
     # -- Scenes ----------------------------------------------------------------------------------------
 
     def do(self, step: Step) -> None:
-        self.done.append(Done(self.now, step.do, step.who, step.to, step.value))
+        self.done.append(FaultRecord(self.now, step.do, step.who, step.to, step.value))
         if step.do in ("loss", "delay", "doubled"):
             setattr(self.faults, {"delay": "delay_s"}.get(step.do, step.do), step.value)
         elif step.do == "cut":
@@ -213,16 +213,16 @@
             process.late_s = 0.3
             self.at(self.now + step.value, lambda: setattr(process, "late_s", 0.0))
 
-    def _upgrade(self, process: Life) -> None:
+    def _upgrade(self, process: VirtualProcess) -> None:
         before = process.detector.before()
         detector = self.make(
             process.detector.me, 0, self.us(), self.rules, (), {}, self.random.getrandbits(32), before
         )
-        follower = Life(process.number, detector, View(detector), process.began)
+        follower = VirtualProcess(process.number, detector, View(detector), process.began)
         self.lives[process.number] = follower
         self._arm(follower, self.now)
 
-    def _resume(self, process: Life) -> None:
+    def _resume(self, process: VirtualProcess) -> None:
         """The process that took its place has ended."""
         self.lives[process.number] = process
         process.detector.resume(self.us())
@@ -241,9 +241,9 @@
             }
             here[number] = process.detector.life
             doubted = len(process.detector.suspicions)
-            self.looks.append(Looked(self.now, number, here, process.view.cut_off, doubted))
+            self.looks.append(ViewSample(self.now, number, here, process.view.cut_off, doubted))
 
-    def play(self, script: Script, settle_s: float = 3.0) -> Found:
+    def play(self, script: Scenario, settle_s: float = 3.0) -> Outcome:
         """Play a scene to its end, after a while for all to find one another."""
         for step in script.steps:
             self.at(settle_s + step.at, lambda step=step: self.do(step))  # type: ignore[misc]
--- a/testbed/quota/processes.py
+++ b/testbed/quota/processes.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
 
-from testbed.cluster.harness import Rig
-from testbed.cluster.scenarios import NODES, Script, Step
+from testbed.cluster.harness import ClusterHarness
+from testbed.cluster.scenarios import NODES, Scenario, Step
 from testbed.fleet.invariants import Verdicts
 from topazbank.quota.audit import Account, audit, read
 
@@ -23,7 +23,7 @@
 ALL = tuple(range(NODES))
 HAMMER = 80.0  # calls a second to all sidecars together
 LAG_S = 0.1  # between a sidecar's decision and a node's note of it, on a busy machine
-Scene = Callable[[int, random.Random], Script]
+Scene = Callable[[int, random.Random], Scenario]
 SCENES: dict[str, Scene] = {}
 
 
@@ -32,32 +32,32 @@
     return make
 
 
-def _refusing(steps: Iterable[Step], until: float, excused: Iterable[int] = ()) -> Script:
+def _refusing(steps: Iterable[Step], until: float, excused: Iterable[int] = ()) -> Scenario:
     all_steps = [Step(0.5, "refuse", (), ALL), *steps, Step(until, "accept", (), ALL)]
-    return Script(sorted(all_steps, key=lambda each: each.at), until + 0.2, set(excused), nobody_gone=False)
+    return Scenario(sorted(all_steps, key=lambda each: each.at), until + 0.2, set(excused), nobody_gone=False)
 
 
 @_scene
-def demand(n: int, chance: random.Random) -> Script:
+def demand(n: int, chance: random.Random) -> Scenario:
     """Nothing else goes wrong."""
     return _refusing([], 8.0)
 
 
 @_scene
-def holder_stopped(n: int, chance: random.Random) -> Script:
+def holder_stopped(n: int, chance: random.Random) -> Scenario:
     """One that holds a part stands still for longer than its lease, and wakes in the middle of sending."""
     one = chance.randrange(n)
     return _refusing([Step(3.0, "stop", (one,), value=2.5 * LEASE_S)], 10.0, (one,))
 
 
 @_scene
-def keeper_killed(n: int, chance: random.Random) -> Script:
+def keeper_killed(n: int, chance: random.Random) -> Scenario:
     """A keeper dies and comes back without its memory."""
     return _refusing([Step(3.0, "kill", (0,)), Step(4.0, "start", (0,))], 10.0, (0,))
 
 
 @_scene
-def keepers_gone(n: int, chance: random.Random) -> Script:
+def keepers_gone(n: int, chance: random.Random) -> Scenario:
     """All keepers die at once and come back without memory."""
     return _refusing(
         [Step(3.0, "kill", (0, 1)), Step(3.2, "start", (0,)), Step(5.0, "start", (1,))], 11.0, (0, 1)
@@ -65,13 +65,13 @@
 
 
 @_scene
-def keeper_upgraded(n: int, chance: random.Random) -> Script:
+def keeper_upgraded(n: int, chance: random.Random) -> Scenario:
     """A keeper's process is followed by another."""
     return _refusing([Step(3.0, "upgrade", (0,))], 10.0)
 
 
 @_scene
-def halves(n: int, chance: random.Random) -> Script:
+def halves(n: int, chance: random.Random) -> Scenario:
     """The tier falls into two halves with a keeper in each, for several leases."""
     half = (0, *chance.sample(range(2, n), max(n // 2 - 1, 0)))
     rest = tuple(each for each in range(n) if each not in half)
@@ -80,7 +80,7 @@
 
 
 @_scene
-def one_way(n: int, chance: random.Random) -> Script:
+def one_way(n: int, chance: random.Random) -> Scenario:
     """One holder is heard by the keepers and does not hear, another hears and is not heard."""
     deaf, mute = chance.sample(range(2, n), 2)
     steps = [Step(2.0, "cut", (0, 1), (deaf,)), Step(2.0, "cut", (mute,), (0, 1)), Step(8.0, "heal")]
@@ -88,7 +88,7 @@
 
 
 @_scene
-def most_killed(n: int, chance: random.Random) -> Script:
+def most_killed(n: int, chance: random.Random) -> Scenario:
     """Seven in ten die at once, and come back within a lease."""
     who = tuple(chance.sample(range(n), 7 * n // 10))
     steps = [Step(3.0, "kill", who), *(Step(3.5 + 0.1 * k, "start", (each,)) for k, each in enumerate(who))]
@@ -96,7 +96,7 @@
 
 
 @_scene
-def lossy(n: int, chance: random.Random) -> Script:
+def lossy(n: int, chance: random.Random) -> Scenario:
     """Two fifths of all words are lost, the others late by up to a second, or doubled."""
     steps = [Step(1.0, "loss", value=0.4), Step(1.0, "delay", value=1.0), Step(1.0, "doubled", value=0.2)]
     return _refusing([*steps, Step(9.0, "loss"), Step(9.0, "delay"), Step(9.0, "doubled")], 10.0, range(n))
@@ -141,7 +141,7 @@
 
 async def play(names: Sequence[str], sidecars: int, seed: int, on: bool = True) -> dict[str, Result]:
     """Play scenes one after another on the same processes."""
-    rig = Rig(sidecars, seed, rate=20.0, hammer=HAMMER, more=operator(sidecars) if on else "")
+    rig = ClusterHarness(sidecars, seed, rate=20.0, hammer=HAMMER, more=operator(sidecars) if on else "")
     found = {}
     try:
         await rig.start()
@@ -158,7 +158,7 @@
     return found
 
 
-def rig_account(rig: Rig) -> Account | None:
+def rig_account(rig: ClusterHarness) -> Account | None:
     """What the ledgers of all processes so far add up to."""
     lines: list[str] = []
     for path in sorted(rig.folder.glob("budgets-*.jsonl")):
--- a/testbed/soak/harness.py
+++ b/testbed/soak/harness.py
@@ -16,8 +16,8 @@
 from typing import Any
 
 from testbed.backend import Run
-from testbed.cluster.harness import START_S, Member, Noting, Rig, now
-from testbed.cluster.invariants import Done
+from testbed.cluster.harness import START_S, ClusterHarness, Member, RecordingBackend, now
+from testbed.cluster.invariants import FaultRecord
 from testbed.cluster.scenarios import REGISTRY, Step
 from testbed.fleet.invariants import ATTEMPTS_MOST, Reached, Verdicts
 from testbed.fleet.invariants import judge as judge_rules
@@ -50,7 +50,7 @@
     lasting: int = 0  # calls of clients that go on up to a kill
 
 
-class FaultyNode(Noting):
+class FaultyNode(RecordingBackend):
     """A server that can be told to fail a part of what it gets, or to take its time."""
 
     failing = 0.0  # part of the requests that are answered with an error, after they have run
@@ -65,7 +65,7 @@
         return reply
 
 
-class SoakRig(Rig):
+class SoakRig(ClusterHarness):
     """A tier's rig with faults of servers, unruly clients and a judge for both."""
 
     node_class = FaultyNode
@@ -90,7 +90,7 @@
 
     async def do(self, step: Step) -> None:
         if step.do.startswith(("registry_", "node_")) or step.do in ("reload", "restart", "crowd"):
-            self.done.append(Done(now() - self._began, step.do, step.who, step.to, step.value))
+            self.done.append(FaultRecord(now() - self._began, step.do, step.who, step.to, step.value))
         if step.do.startswith("registry_"):
             self._trouble(step)
         elif step.do.startswith("node_"):
--- a/tests/cluster/test_any_history.py
+++ b/tests/cluster/test_any_history.py
@@ -9,10 +9,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from testbed.cluster.scenarios import Step
-from testbed.cluster.virtual_time import Played
+from testbed.cluster.virtual_time import VirtualCluster
 from topazbank.cluster.failure_detector import ASKED_MOST, CHANGES_MOST, LATE_MOST, FailureDetector
 from topazbank.cluster.member import MemberRecord, MemberState
-from topazbank.cluster.rules import MEMBERS_MOST
+from topazbank.cluster.settings import MEMBERS_MAX
 from topazbank.cluster.view import Answer
 
 MEMBERS = 4
@@ -24,7 +24,7 @@
 
     @initialize(seed=st.integers(0, 1 << 16))
     def begin(self, seed: int) -> None:
-        self.rig = Played(MEMBERS, seed)
+        self.rig = VirtualCluster(MEMBERS, seed)
         self.rig.run(1.0)
         self.own: dict[tuple[int, int], int] = {}  # the highest incarnation of each life, by member and life
         self.last: dict[tuple[int, int], MemberRecord] = {}  # what each detector held of each other
@@ -103,7 +103,7 @@
             return
         for process in self.rig.lives.values():
             detector, table = process.detector, process.detector.table
-            assert len(table.records) <= MEMBERS_MOST and len(detector.changes) <= CHANGES_MOST
+            assert len(table.records) <= MEMBERS_MAX and len(detector.changes) <= CHANGES_MOST
             assert len(detector._late) <= LATE_MOST and len(detector._favours) <= ASKED_MOST
             assert set(detector.suspicions) == {
                 i for i, r in table.records.items() if r.state is MemberState.SUSPECTED
@@ -148,9 +148,9 @@
 
 def test_a_tier_of_thousands_of_strangers_stays_bounded() -> None:
     """Somebody with the key tells of members without end."""
-    rig = Played(2, 1)
+    rig = VirtualCluster(2, 1)
     rig.run(1.0)
     table, chance = rig.lives[0].detector.table, random.Random(1)
-    for _ in range(MEMBERS_MOST + 500):
+    for _ in range(MEMBERS_MAX + 500):
         table.put(rig.us(), MemberRecord(chance.getrandbits(48), 1, 0, MemberState.HERE, ("127.0.0.1", 9)))
-    assert len(table.records) <= MEMBERS_MOST
+    assert len(table.records) <= MEMBERS_MAX
--- a/tests/cluster/test_planted.py
+++ b/tests/cluster/test_planted.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from testbed.cluster.invariants import Found
-from testbed.cluster.scenarios import SCENES, Script, Step
-from testbed.cluster.virtual_time import Played
+from testbed.cluster.invariants import Outcome
+from testbed.cluster.scenarios import SCENARIOS, Scenario, Step
+from testbed.cluster.virtual_time import VirtualCluster
 from topazbank.cluster.failure_detector import Before, FailureDetector, Out
 from topazbank.cluster.member import MemberRecord, MemberState
-from topazbank.cluster.rules import Rules
+from topazbank.cluster.settings import ProtocolSettings
 
 
 class RefutationIgnored(FailureDetector):
@@ -65,10 +65,10 @@
         super()._hear(now, message, source)
 
 
-SLOW_NEWS = Script(
+SLOW_NEWS = Scenario(
     [Step(0.0, "delay", value=15.0), Step(1.0, "kill", (2,)), Step(1.5, "delay")], 18.0, {2}, waits=6.0
 )
-STOPS_UNDER_LOSS = Script(
+STOPS_UNDER_LOSS = Scenario(
     [
         Step(0.0, "loss", value=0.4),
         *(Step(1.0 + 5.0 * turn, "stop", (2,), value=4.0) for turn in range(6)),
@@ -78,7 +78,7 @@
     {2},
     waits=8.0,
 )
-LATE_AFTER_RESTART = Script(
+LATE_AFTER_RESTART = Scenario(
     [
         Step(0.0, "delay", value=2.0),
         *(Step(1.0 + turn, do, (2,)) for turn in range(4) for do in ("kill", "start")),
@@ -91,23 +91,27 @@
 
 
 def _play(
-    script: Script | str,
+    script: Scenario | str,
     make: type[FailureDetector] = FailureDetector,
-    rules: Rules | None = None,
+    rules: ProtocolSettings | None = None,
     seed: int = 1,
-) -> tuple[Found, Played]:
-    played = SCENES[script](6, random.Random(seed), 1.0) if isinstance(script, str) else script
-    rig = Played(6, seed, rules, make)
+) -> tuple[Outcome, VirtualCluster]:
+    played = SCENARIOS[script](6, random.Random(seed), 1.0) if isinstance(script, str) else script
+    rig = VirtualCluster(6, seed, rules, make)
     return rig.play(played), rig
 
 
-PLANTED: dict[str, tuple[Script | str, type[FailureDetector], Rules | None]] = {
+PLANTED: dict[str, tuple[Scenario | str, type[FailureDetector], ProtocolSettings | None]] = {
     "a refutation ignored": ("pauses", RefutationIgnored, None),
     "a tombstone forgotten too early": (SLOW_NEWS, TombstoneForgotten, None),
     "gone by the word of half": ("split", HalfOfTheTierIsEnough, None),
-    "who was heard is not vouched for": ("one_hears_nobody", FailureDetector, Rules(vouching=False)),
+    "who was heard is not vouched for": (
+        "one_hears_nobody",
+        FailureDetector,
+        ProtocolSettings(vouching=False),
+    ),
     "waits that run on while cut off": ("split", WaitsRunOnWhileCutOff, None),
-    "an own stall not noticed": (STOPS_UNDER_LOSS, FailureDetector, Rules(doubting=False)),
+    "an own stall not noticed": (STOPS_UNDER_LOSS, FailureDetector, ProtocolSettings(doubting=False)),
 }
 
 
@@ -122,7 +126,7 @@
 
 def _older_words(make: type[FailureDetector], seed: int) -> int:
     """How often a member came to hold an older word than it had."""
-    rig = Played(6, seed, None, make)
+    rig = VirtualCluster(6, seed, None, make)
     for step in LATE_AFTER_RESTART.steps:
         rig.at(3.0 + step.at, lambda step=step: rig.do(step))  # type: ignore[misc]
     held: dict[tuple[int, int], MemberRecord] = {}
--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from testbed.cluster.harness import Rig
-from testbed.cluster.scenarios import SCENES
+from testbed.cluster.harness import ClusterHarness
+from testbed.cluster.scenarios import SCENARIOS
 
 SIDECARS, PACE = 5, 0.5
 # Side by side, each on a rig of its own; a group's scenes follow one another among the same processes.
@@ -28,11 +28,11 @@
 
 
 async def _play(names: tuple[str, ...]) -> None:
-    rig = Rig(SIDECARS, seed=1, rate=40.0)
+    rig = ClusterHarness(SIDECARS, seed=1, rate=40.0)
     try:
         await rig.start()
         for name in names:
-            found, verdicts = await rig.play(SCENES[name](SIDECARS, random.Random(1), PACE))
+            found, verdicts = await rig.play(SCENARIOS[name](SIDECARS, random.Random(1), PACE))
             assert not found.faults, f"{name}: {found.faults[:3]}"
             assert not verdicts.broken, f"{name}: {verdicts.broken[:3]}"
     finally:
@@ -41,4 +41,4 @@
 
 def test_every_scene_but_the_busy_machine_is_played_by_processes() -> None:
     """That one keeps all cores busy, and with them the tests beside it: `python -m testbed.cluster busy` plays it."""
-    assert {name for group in GROUPS.values() for name in group} == set(SCENES) - {"busy"}
+    assert {name for group in GROUPS.values() for name in group} == set(SCENARIOS) - {"busy"}
--- a/tests/cluster/test_service.py
+++ b/tests/cluster/test_service.py
@@ -207,7 +207,7 @@
         c.leave()
         network.kill(address_of(2))
         network.kill(address_of(3))
-        await until(lambda: len(a.lives().gone) == 2 and sees(a, 1, 4))
+        await until(lambda: len(a.generations().ended) == 2 and sees(a, 1, 4))
         told = table(a.show(), network.wall)
         assert told[0].startswith("0: in touch; ") and "of the tier answers, counted as 3" in told[0]
         by_name = {line.split()[0]: line for line in told[3:] if line}
@@ -218,7 +218,7 @@
         await until(lambda: a.view.cut_off)
         told = table(a.show(), network.wall)
         assert told[0].startswith("0: CUT OFF") and "can't tell" in "\n".join(told)
-        assert all(ident != b.detector.me for ident, _ in a.lives().gone)
+        assert all(ident != b.detector.me for ident, _ in a.generations().ended)
         network.stop()
 
     play(scene())
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -7,7 +7,7 @@
 import pytest
 
 from testbed.backend import Run
-from testbed.cluster.scenarios import PAUSE_BORNE_S
+from testbed.cluster.scenarios import TOLERATED_PAUSE_S
 from testbed.fleet.invariants import Reached
 from testbed.soak.__main__ import play
 from testbed.soak.faults import FAULTS, REGISTRY_TROUBLES, draw
@@ -34,7 +34,7 @@
         if step.do in ("kill", "leave", "start", "old_dies", "new_dies", "new_hangs"):
             assert set(step.who) <= soak.victims
         elif step.do == "stop" and not set(step.who) <= soak.victims:
-            assert step.value < 0.15 < PAUSE_BORNE_S
+            assert step.value < 0.15 < TOLERATED_PAUSE_S
         elif step.do == "restart":
             assert not set(step.who) & soak.victims
 
--- a/topazbank/cluster/__main__.py
+++ b/topazbank/cluster/__main__.py
@@ -38,7 +38,7 @@
     return lines
 
 
-def ask_tier(address: str) -> dict[str, Any]:
+def fetch_status(address: str) -> dict[str, Any]:
     """The sidecar's account of its tier; raise OSError or ValueError where there is none."""
     told = ask(parse_address(address)).get("tier")
     if told is None:
@@ -52,7 +52,7 @@
     parser.add_argument("address", metavar="HOST:PORT", help="where the sidecar listens for clients")
     given = parser.parse_args(argv)
     try:
-        told = ask_tier(given.address)
+        told = fetch_status(given.address)
     except (OSError, ValueError) as fault:
         print(f"no tier from {given.address}: {fault}", file=sys.stderr)
         return 1
--- a/topazbank/cluster/anti_entropy.py
+++ b/topazbank/cluster/anti_entropy.py
@@ -12,9 +12,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from topazbank.cluster.member import MemberRecord, mark_of
+from topazbank.cluster.member import MemberRecord, digest_of
 from topazbank.cluster.member_table import Table
-from topazbank.cluster.rules import MEND_DATAGRAMS, Rules
+from topazbank.cluster.settings import MEND_DATAGRAMS, ProtocolSettings
 from topazbank.cluster.wire import Message, records_in
 
 PARTS_AT_ONCE = 4  # of those that differ
@@ -36,7 +36,7 @@
 
     __slots__ = ("_changed_at", "_corrections", "_equal_at", "_next", "_room", "_rules", "_table")
 
-    def __init__(self, table: Table, rules: Rules) -> None:
+    def __init__(self, table: Table, rules: ProtocolSettings) -> None:
         self._table = table
         self._rules = rules
         self._room = records_in(rules.datagram, want=True)
@@ -98,7 +98,7 @@
             return [Reply(part=(depth, prefix))]
         if theirs == 0:  # they have none there: nothing to ask for
             return self._chunks(records)
-        if len(records) == 1 and mark_of(records[0]) == theirs:
+        if len(records) == 1 and digest_of(records[0]) == theirs:
             return []
         return [Reply((), (depth, prefix)), *self._chunks(records)]
 
--- a/topazbank/cluster/failure_detector.py
+++ b/topazbank/cluster/failure_detector.py
@@ -18,21 +18,21 @@
 
 from topazbank.cluster.anti_entropy import Mender
 from topazbank.cluster.gossip import Key, Spread
-from topazbank.cluster.health import Health
-from topazbank.cluster.member import INCARNATION_MOST, MemberRecord, MemberState, mark_of
+from topazbank.cluster.local_health import Health
+from topazbank.cluster.member import INCARNATION_MAX, MemberRecord, MemberState, digest_of
 from topazbank.cluster.member_table import Table
-from topazbank.cluster.rules import (
+from topazbank.cluster.settings import (
     AGAIN_HOLD_US,
     AGAIN_MOST,
     AGAIN_SPAN_US,
     DIRECT_PART,
     HEALTH_MOST,
-    HELPERS,
+    INDIRECT_PROBES,
     JOINING_US,
+    RECONNECT_PERIODS,
     STALL_PERIODS,
-    SUSPECTS_PROBED,
-    TOMB_EVERY,
-    Rules,
+    SUSPECT_PROBES_PER_PERIOD,
+    ProtocolSettings,
 )
 from topazbank.cluster.suspicion import Suspicion
 from topazbank.cluster.wire import Kind, Message, records_in
@@ -107,7 +107,7 @@
         me: int,
         life: int,
         now: int,
-        rules: Rules,
+        rules: ProtocolSettings,
         seeds: Sequence[Address] = (),
         book: Mapping[int, Address] | None = None,
         seed: int = 0,
@@ -157,7 +157,7 @@
             self._follow(now, before)
 
     def _follow(self, now: int, before: Before) -> None:
-        self.life, self.incarnation = before.life, min(before.incarnation + 1, INCARNATION_MOST)
+        self.life, self.incarnation = before.life, min(before.incarnation + 1, INCARNATION_MAX)
         self._count = before.count + _COUNT_JUMP
         for record in before.records:
             if record.ident != self.me:
@@ -187,7 +187,7 @@
 
     @property
     def digest(self) -> int:
-        return self.table.digest ^ (0 if self.left else mark_of(self.own))
+        return self.table.digest ^ (0 if self.left else digest_of(self.own))
 
     def before(self) -> Before:
         """What a process that takes this one's place is told."""
@@ -304,16 +304,16 @@
     def _one_period(self, now: int) -> None:
         self._period += 1
         if self._period == 1:
-            for seed in self._seeds[:HELPERS]:
+            for seed in self._seeds[:INDIRECT_PROBES]:
                 self._send(now, seed, Kind.PING, self._number())
         target = self.table.next_turn()
         if target is not None:
             self._begin_probe(now, target)
         mine = [ident for ident, each in self.suspicions.items() if each.mine]
-        for ident in self._chance.sample(mine, min(len(mine), SUSPECTS_PROBED)):
+        for ident in self._chance.sample(mine, min(len(mine), SUSPECT_PROBES_PER_PERIOD)):
             if target is None or ident != target.ident:
                 self._begin_probe(now, self.table.records[ident], counts=False)
-        if self._period % TOMB_EVERY == 0 or not self.table.counted:
+        if self._period % RECONNECT_PERIODS == 0 or not self.table.counted:
             self._try_the_gone(now)
         self._forget(now)
 
@@ -362,7 +362,7 @@
 
     def _ask_others(self, now: int, probe: _Probe, number: int) -> None:
         probe.asked = True
-        for helper in self.table.some(HELPERS, (probe.target,)):
+        for helper in self.table.some(INDIRECT_PROBES, (probe.target,)):
             to = self._address_of(helper)
             if to is not None:
                 probe.answers_wanted += 1
@@ -655,13 +655,15 @@
 
     def _raise(self, now: int) -> None:
         """Say again that this one is here, so that it holds against what was said before."""
-        if self.incarnation >= INCARNATION_MOST:
+        if self.incarnation >= INCARNATION_MAX:
             self.life, self.incarnation = self.life + 1, 0
         else:
             self.incarnation += 1
         self._tell_of(self.me)
         if self.rules.doubting:
-            for each in self.table.some(HELPERS):  # told at once: the wait that it ends may be nearly over
+            for each in self.table.some(
+                INDIRECT_PROBES
+            ):  # told at once: the wait that it ends may be nearly over
                 to = self._address_of(each)
                 if to is not None:
                     self._send(now, to, Kind.TELL)
--- a/topazbank/cluster/health.py
+++ b/topazbank/cluster/local_health.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from topazbank.cluster.rules import HEALTH_MOST
+from topazbank.cluster.settings import HEALTH_MOST
 
 
 class Health:
--- a/topazbank/cluster/member.py
+++ b/topazbank/cluster/member.py
@@ -10,13 +10,14 @@
 import hashlib
 from dataclasses import dataclass
 from enum import IntEnum
+from typing import NamedTuple
 
 from topazbank.core.net import Address
 
 IDENT_BYTES = 6  # of a name's hash: two of 5,000 names share theirs once in 20 million tiers
-INCARNATION_MOST = 0xFFFF  # then a new life begins
-GONE_TOLD = 16  # that are told of as gone where they matter to others than the tier
-LIFE_MOST = 0xFFFFFFFFFFFF
+INCARNATION_MAX = 0xFFFF  # then a new life begins
+ENDED_GENERATIONS_MAX = 16  # that are told of as gone where they matter to others than the tier
+GENERATION_MAX = 0xFFFFFFFFFFFF
 
 
 class MemberState(IntEnum):
@@ -56,12 +57,19 @@
         return self.state in (MemberState.HERE, MemberState.SUSPECTED)
 
 
+class MemberGeneration(NamedTuple):
+    """One process of a member."""
+
+    ident: int
+    generation: int  # Unix milliseconds of its start
+
+
 @dataclass(frozen=True, slots=True)
 class Generations:
     """What a member knows of lives: its own, and whose it knows to be over, each by ident and life."""
 
-    own: tuple[int, int]
-    gone: tuple[tuple[int, int], ...] = ()  # GONE_TOLD, the latest first
+    own: MemberGeneration
+    ended: tuple[MemberGeneration, ...] = ()  # the latest first, at most ENDED_GENERATIONS_MAX
 
 
 def ident_of(name: str) -> int:
@@ -69,7 +77,7 @@
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=IDENT_BYTES).digest(), "big")
 
 
-def mark_of(record: MemberRecord) -> int:
+def digest_of(record: MemberRecord) -> int:
     """32 bits of who a member is by now, for digests: equal views have equal sums of them, whatever they suspect."""
     mixed = (
         record.ident ^ (record.life * 0x9E3779B97F4A7C15) ^ (record.incarnation << 17)
--- a/topazbank/cluster/member_table.py
+++ b/topazbank/cluster/member_table.py
@@ -5,8 +5,8 @@
 import random
 from collections.abc import Iterable, Iterator, Mapping
 
-from topazbank.cluster.member import MemberRecord, MemberState, mark_of
-from topazbank.cluster.rules import MEMBERS_MOST
+from topazbank.cluster.member import MemberRecord, MemberState, digest_of
+from topazbank.cluster.settings import MEMBERS_MAX
 from topazbank.cluster.wire import FANOUT, Parts
 
 _BITS = 48
@@ -28,14 +28,14 @@
     def put(self, now: int, record: MemberRecord) -> bool:
         """Hold this word; False where there is no room for one more member."""
         old = self.records.get(record.ident)
-        if old is None and len(self.records) >= MEMBERS_MOST and not self._drop_one():
+        if old is None and len(self.records) >= MEMBERS_MAX and not self._drop_one():
             return False
         if old is not None and old.counts:
             self.counted -= 1
-            self.digest ^= mark_of(old)
+            self.digest ^= digest_of(old)
         if record.counts:
             self.counted += 1
-            self.digest ^= mark_of(record)
+            self.digest ^= digest_of(record)
             self.gone.pop(record.ident, None)
             if old is None or not old.counts:
                 # A newcomer's first turn is as random as any other's.
@@ -58,14 +58,14 @@
         self.gone.pop(ident, None)
         if record is not None and record.counts:
             self.counted -= 1
-            self.digest ^= mark_of(record)
+            self.digest ^= digest_of(record)
 
     def settle(self, known: Mapping[int, MemberRecord], digest: int, me: int) -> None:
         """Hold these at once, but the own one; `digest`: the sum of all their marks.  All of them count."""
         self.records = dict(known)
         own = self.records.pop(me, None)
         self.counted = len(self.records)
-        self.digest = digest ^ (mark_of(own) if own is not None else 0)
+        self.digest = digest ^ (digest_of(own) if own is not None else 0)
         self._turns.clear()
 
     def next_turn(self) -> MemberRecord | None:
@@ -109,5 +109,5 @@
         shift = _BITS - 4 * (depth + 1)
         for each in self.within(depth, prefix, own):
             if each.counts:
-                sums[(each.ident >> shift) & 0xF] ^= mark_of(each)
+                sums[(each.ident >> shift) & 0xF] ^= digest_of(each)
         return Parts(depth, prefix, tuple(sums))
--- a/topazbank/cluster/service.py
+++ b/topazbank/cluster/service.py
@@ -12,8 +12,15 @@
 
 from topazbank.balancing.fleet import FleetQuota
 from topazbank.cluster.failure_detector import Before, Change, FailureDetector, Out
-from topazbank.cluster.member import GONE_TOLD, Generations, MemberRecord, MemberState, ident_of
-from topazbank.cluster.rules import Rules
+from topazbank.cluster.member import (
+    ENDED_GENERATIONS_MAX,
+    Generations,
+    MemberGeneration,
+    MemberRecord,
+    MemberState,
+    ident_of,
+)
+from topazbank.cluster.settings import ProtocolSettings
 from topazbank.cluster.view import Answer, View
 from topazbank.cluster.wire import BadMessage, decode, encode
 from topazbank.core.driver import SidecarConfig
@@ -65,7 +72,7 @@
                     book[ident] = address
         # Who has a name of its own need not be one of `peers`, and then has no number there.
         seeds = [each for n, each in enumerate(members) if each != listen and (given.name or n != number)]
-        rules = Rules(
+        rules = ProtocolSettings(
             given.period_ms * 1000, given.pause_ms * 1000, given.forget_s * 1_000_000, given.datagram
         )
         before = before_from(known)
@@ -83,7 +90,7 @@
         self._second, self._lines, self._heard = 0, 0, 0
         self._sent = 0
         self._resting = False
-        self.budgets: QuotaService | None = None  # whose words come to the same address
+        self.quota: QuotaService | None = None  # whose words come to the same address
 
     # -- Life ------------------------------------------------------------------------------------------
 
@@ -91,29 +98,29 @@
         """Take part from now on."""
         self._send = send
         self._tick()
-        if self.budgets is not None:
-            self.budgets.start(send)
+        if self.quota is not None:
+            self.quota.start(send)
 
     def stop(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if self.budgets is not None:
-            self.budgets.stop()
+        if self.quota is not None:
+            self.quota.stop()
         self._send = None
 
     def leave(self) -> None:
         """This sidecar ends: say so, unless another process is this member now."""
-        if self.budgets is not None:
-            self.budgets.leave()
+        if self.quota is not None:
+            self.quota.leave()
         if not self._resting:
             self._post(self.detector.leave(self._clock()))
 
-    def rest(self) -> None:
+    def suspend(self) -> None:
         """Another process is this member now."""
         self._resting = True
-        if self.budgets is not None:
-            self.budgets.rest()
+        if self.quota is not None:
+            self.quota.rest()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -125,8 +132,8 @@
             log.info("tier: takes part again, the process that came has ended")
             self.detector.resume(self._clock())
             self._tick()
-            if self.budgets is not None:
-                self.budgets.resume()
+            if self.quota is not None:
+                self.quota.resume()
 
     # -- In and out ------------------------------------------------------------------------------------
 
@@ -134,9 +141,9 @@
         """Take what came from there; what is none of the tier's is counted and dropped."""
         if self._resting:
             return
-        if self.budgets is not None and is_word(data):
+        if self.quota is not None and is_word(data):
             if self._key or self._is_known(source):
-                self.budgets.datagram(data, source)
+                self.quota.datagram(data, source)
             return
         self._turn_second()
         self._heard += 1
@@ -220,7 +227,7 @@
 
     # -- What others are told --------------------------------------------------------------------------
 
-    def handed(self) -> dict[str, Any]:
+    def handover_state(self) -> dict[str, Any]:
         """For the process that takes this one's place."""
         known = self.detector.before()
         records = [
@@ -240,18 +247,18 @@
 
     def spending(self, offset_us: int) -> FleetQuota | None:
         """What the decision module may spend by; `offset_us`: of its clock beyond this one's."""
-        return self.budgets.spending(offset_us) if self.budgets is not None else None
+        return self.quota.spending(offset_us) if self.quota is not None else None
 
-    def lives(self) -> Generations:
+    def generations(self) -> Generations:
         """For planners: this one, and the latest of whom it can tell that they are gone."""
         detector, now = self.detector, self._clock()
-        gone: list[tuple[int, int]] = []
+        gone: list[MemberGeneration] = []
         for ident in reversed(detector.table.gone):
-            if len(gone) == GONE_TOLD:
+            if len(gone) == ENDED_GENERATIONS_MAX:
                 break
             if self.view.of(now, ident) is Answer.NOT_HERE:
-                gone.append((ident, detector.table.records[ident].life))
-        return Generations((detector.me, detector.life), tuple(gone))
+                gone.append(MemberGeneration(ident, detector.table.records[ident].life))
+        return Generations(MemberGeneration(detector.me, detector.life), tuple(gone))
 
     def show(self) -> dict[str, Any]:
         """For operators."""
@@ -287,7 +294,7 @@
             "stalls": self.detector.stalls,
             "sent": self._sent,
             "dropped": dict(self.dropped),
-            "budgets": self.budgets.show() if self.budgets is not None else None,
+            "budgets": self.quota.show() if self.quota is not None else None,
             "members": members,
             "changes": self._changes,
         }
--- a/topazbank/cluster/rules.py
+++ b/topazbank/cluster/settings.py
@@ -8,8 +8,8 @@
 import math
 from dataclasses import dataclass
 
-MEMBERS_MOST = 8192  # records kept, the gone among them: a stranger with the key can't grow a view beyond it
-HELPERS = (
+MEMBERS_MAX = 8192  # records kept, the gone among them: a stranger with the key can't grow a view beyond it
+INDIRECT_PROBES = (
     3  # asked to probe where no answer came: with a fifth lost each way, one probe in 14 fails for all that
 )
 WITNESSES = 3  # who suspect by themselves and after whom the wait is at its shortest
@@ -17,8 +17,8 @@
 DIRECT_PART = 0.4  # of a period: when helpers are asked; answers on a local network take a hundredth of it
 STALL_PERIODS = 2.5  # a tick that is later by so much tells that this process stood still
 TOLD = 3  # news is told this often, times the logarithm of the size
-TOMB_EVERY = 3  # periods between probes of a member that is gone: how a split heals
-SUSPECTS_PROBED = 3  # of one's own suspects, probed again in each period
+RECONNECT_PERIODS = 3  # periods between probes of a member that is gone: how a split heals
+SUSPECT_PROBES_PER_PERIOD = 3  # of one's own suspects, probed again in each period
 AGAIN_SPAN_US = 60_000_000  # a member that came back from the gone within it goes in and out
 AGAIN_HOLD_US = 4_000_000  # for so long it is unsure then, doubled each time
 AGAIN_MOST = 4  # doublings
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class ProtocolSettings:
     """How a tier finds out who is there."""
 
     period_us: int = 200_000  # between two probes of one member
--- a/topazbank/cluster/suspicion.py
+++ b/topazbank/cluster/suspicion.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from topazbank.cluster.rules import WITNESSES, Rules
+from topazbank.cluster.settings import WITNESSES, ProtocolSettings
 
 _WITNESSES_KEPT = 4 * WITNESSES  # beyond that one more changes nothing
 
@@ -25,7 +25,7 @@
         self.witnesses.add(witness)
         return True
 
-    def due(self, rules: Rules, size: int, word_at: int | None, stretch: float, many: bool) -> int:
+    def due(self, rules: ProtocolSettings, size: int, word_at: int | None, stretch: float, many: bool) -> int:
         """When the wait is over; it counts from the last word of the member that anybody has had.
 
         `many`: a good part of the tier went at once, and rather than believe it one waits as long again.
--- a/topazbank/cluster/view.py
+++ b/topazbank/cluster/view.py
@@ -13,7 +13,7 @@
 
 from topazbank.cluster.failure_detector import BASE_SPAN_US, FailureDetector
 from topazbank.cluster.member import MemberRecord, MemberState
-from topazbank.cluster.rules import JOINING_US
+from topazbank.cluster.settings import JOINING_US
 
 SETTLED_PERIODS = 3  # for so long a process that was cut off goes on to say so
 
--- a/topazbank/cluster/wire.py
+++ b/topazbank/cluster/wire.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from topazbank.cluster.member import INCARNATION_MOST, MemberRecord, MemberState
+from topazbank.cluster.member import INCARNATION_MAX, MemberRecord, MemberState
 from topazbank.core.checksum import CHECKSUM_BYTES, with_checksum, without_checksum
 from topazbank.core.net import Address
 
@@ -175,7 +175,7 @@
     return _RECORD.pack(
         record.ident.to_bytes(6, "big"),
         record.life.to_bytes(6, "big"),
-        min(record.incarnation, INCARNATION_MOST),
+        min(record.incarnation, INCARNATION_MAX),
         record.state,
         packed,
         port,
--- a/topazbank/core/bounds.py
+++ b/topazbank/core/bounds.py
@@ -15,7 +15,12 @@
     REACH_PER_BUSY,
 )
 from topazbank.balancing.settings import Settings
-from topazbank.cluster.rules import HELPERS, SUSPECTS_PROBED, TOMB_EVERY, Rules
+from topazbank.cluster.settings import (
+    INDIRECT_PROBES,
+    RECONNECT_PERIODS,
+    SUSPECT_PROBES_PER_PERIOD,
+    ProtocolSettings,
+)
 from topazbank.estimation import poll_schedule
 from topazbank.estimation.load_gossip import EVERY_LEAST_US, SENDERS_MOST
 from topazbank.estimation.startup_probes import ASKED, can_tell
@@ -122,14 +127,14 @@
     }
 
 
-def tier_messages_a_second(rules: Rules, trouble: bool = False) -> float:
+def tier_messages_a_second(rules: ProtocolSettings, trouble: bool = False) -> float:
     """Datagrams that one sidecar sends for membership, whatever the size of its tier; each of `rules.datagram` at most.
 
     In calm a probe and an answer in each period, and now and then one to who is gone and one to a silent seed.
     `trouble`: every probe fails, and so do others': helpers are asked and ask in turn, and suspects are probed again.
-    Owner: `tier.detector.Detector`; what mends views is bounded apart (`tier.rules.MEND_DATAGRAMS` a reply).
+    Owner: `cluster.failure_detector.FailureDetector`; anti-entropy is bounded by `cluster.settings.MEND_DATAGRAMS`.
     """
-    each = 2.0 + 2.0 / TOMB_EVERY
+    each = 2.0 + 2.0 / RECONNECT_PERIODS
     if trouble:
-        each += 1.0 + 4.0 * HELPERS + 2.0 * SUSPECTS_PROBED
+        each += 1.0 + 4.0 * INDIRECT_PROBES + 2.0 * SUSPECT_PROBES_PER_PERIOD
     return each * 1e6 / rules.period_us
--- a/topazbank/core/driver.py
+++ b/topazbank/core/driver.py
@@ -162,19 +162,19 @@
 
     def leave(self) -> None: ...
 
-    def rest(self) -> None: ...
+    def suspend(self) -> None: ...
 
     def resume(self) -> None: ...
 
     def stop(self) -> None: ...
 
-    def lives(self) -> Generations: ...
+    def generations(self) -> Generations: ...
 
     def spending(self, offset_us: int) -> FleetQuota | None: ...
 
     def show(self) -> dict[str, Any]: ...
 
-    def handed(self) -> dict[str, Any]: ...
+    def handover_state(self) -> dict[str, Any]: ...
 
 
 @dataclass(frozen=True, slots=True)
@@ -302,7 +302,7 @@
         self.frontend.start()
         if self._observer is not None:
             part = self._tier_part
-            lives = part.lives if part is not None else lambda: None
+            lives = part.generations if part is not None else lambda: None
             self._observer.start(lambda: [each.name for each in self._balancer.ejected], lives)
         lag = asyncio.get_running_loop().create_task(self._watch_lag())
         began()
@@ -325,7 +325,7 @@
     def rest_in_tier(self) -> None:
         """Another process is this member of the tier from now on."""
         if self._tier_part is not None and self._peers is not None:
-            self._tier_part.rest()
+            self._tier_part.suspend()
             self._peers.rest()
 
     def resume_in_tier(self) -> None:
@@ -341,7 +341,7 @@
     @property
     def tier(self) -> dict[str, Any]:
         """What the next process is told of the others."""
-        return self._tier_part.handed() if self._tier_part is not None else {}
+        return self._tier_part.handover_state() if self._tier_part is not None else {}
 
     def move_discovery(self, address: Address) -> None:
         """Go on with discovery at another address; also where it is the same, asked for by name."""
--- a/topazbank/planning/planner.py
+++ b/topazbank/planning/planner.py
@@ -21,6 +21,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
+from topazbank.cluster.member import MemberGeneration
 from topazbank.planning.plan import LEASE_LEAST, LEASE_MOST, Plan, S, Share
 from topazbank.planning.summary import NodeUse, Sketch, Summary
 
@@ -104,7 +105,7 @@
     number: int = -1
     heard_at: int = 0
     rate: float = 0.0  # requests a second
-    member: tuple[int, int] | None = None  # its ident and life in the forwarders' tier, where it is in one
+    member: MemberGeneration | None = None  # in the forwarders' cluster; None: outside of it
     lease: int = LEASE_MOST  # of the plan that was sent last
     sequence: int = 0  # of that plan
     sent: dict[str, Share] = field(default_factory=dict)  # what it says
@@ -204,7 +205,7 @@
             return
         forwarder.member = lives.own
         self._members[lives.own[0]] = summary.forwarder
-        for ident, life in lives.gone:
+        for ident, life in lives.ended:
             name = self._members.get(ident)
             known = self._forwarders.get(name) if name is not None else None
             if name is None or known is None or known.member is None or known.member[1] > life:
--- a/topazbank/planning/wire.py
+++ b/topazbank/planning/wire.py
@@ -12,7 +12,7 @@
 
 import msgpack
 
-from topazbank.cluster.member import GONE_TOLD, Generations
+from topazbank.cluster.member import ENDED_GENERATIONS_MAX, Generations, MemberGeneration
 from topazbank.planning.plan import SHARES_MOST, Plan, Share
 from topazbank.planning.summary import BUCKETS, NODES_MOST, NodeUse, Sketch, Summary
 
@@ -132,7 +132,7 @@
             nodes,
             [list(each) for each in summary.times.counts.items()],
             # Left out by who is in no tier: planners from before it read such summaries as ever.
-            *([[lives.own, *lives.gone]] if lives is not None else []),
+            *([[lives.own, *lives.ended]] if lives is not None else []),
         ]
     )
 
@@ -163,13 +163,13 @@
 
 
 def _lives(given: object) -> Generations:
-    if not isinstance(given, list) or not 1 <= len(given) <= 1 + GONE_TOLD:
-        raise BadDocument(f"tier: itself and {GONE_TOLD} others at most are wanted")
+    if not isinstance(given, list) or not 1 <= len(given) <= 1 + ENDED_GENERATIONS_MAX:
+        raise BadDocument(f"tier: itself and {ENDED_GENERATIONS_MAX} others at most are wanted")
     pairs = []
     for each in given:
         if not isinstance(each, list) or len(each) != 2:
             raise BadDocument("tier: pairs of an ident and a life are wanted")
-        pairs.append((_whole(each[0], "ident"), _whole(each[1], "life")))
+        pairs.append(MemberGeneration(_whole(each[0], "ident"), _whole(each[1], "life")))
     return Generations(pairs[0], tuple(pairs[1:]))
 
 
--- a/topazbank/quota/__main__.py
+++ b/topazbank/quota/__main__.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator, Sequence
 from typing import Any
 
-from topazbank.cluster.__main__ import ask_tier
+from topazbank.cluster.__main__ import fetch_status
 from topazbank.quota.audit import Account, BadLedger, audit, read
 from topazbank.quota.rules import RATE, THOUSANDTHS
 
@@ -97,7 +97,7 @@
     given = parser.parse_args(argv)
     if given.what == "show":
         try:
-            told = ask_tier(given.address)["budgets"]
+            told = fetch_status(given.address)["budgets"]
         except (OSError, ValueError) as fault:
             print(f"no budgets from {given.address}: {fault}", file=sys.stderr)
             return 1
--- a/topazbank/wiring.py
+++ b/topazbank/wiring.py
@@ -75,7 +75,7 @@
     if given.budgets:
         from topazbank.quota.service import QuotaService
 
-        service.budgets = QuotaService(
+        service.quota = QuotaService(
             [(each.budget, each.of, each.tenant) for each in given.budgets],
             service.name,
             service.address_of,
