--- a/topazbank/cluster/wire.py
+++ b/topazbank/cluster/wire.py
@@ -1,194 +1,255 @@
-"""What members of a tier write to one another: one datagram a message, versioned and checked; no I/O.
+"""The datagrams between members: encoding and decoding, versioned and checksummed; no I/O.
 
-    head     magic, version, kind, 0; sender (ident, life, incarnation, messages so far); probe, target, digest, size
-    sections type (1 byte), length (2), content; a reader skips types that it does not know
-    check    4 bytes: BLAKE2b of all before them, keyed where the operator gives a key
+    head     magic, version, kind, 0; sender (ident, generation, incarnation, sequence); probe, target, digest, size
+    sections type (1 byte), length (2), content; a reader skips unknown types
+    check    4 bytes of BLAKE2b over all before them, keyed where the operator gives a key
 
-Records carry their own length, so that a later version may add to them: a reader takes what it knows from each.  All
-numbers are big-endian.  Nothing that is cut, changed or of another major version is read in part.
+Records carry their own length, so that a later version may extend them: a reader takes the fields that it knows.  All
+numbers are big-endian.  A datagram that is truncated, damaged or of another major version is rejected as a whole.
 """
 
 from __future__ import annotations
 
 import socket
 import struct
-from collections.abc import Sequence
 from dataclasses import dataclass
 from enum import IntEnum
+from typing import NamedTuple
 
 from topazbank.cluster.member import INCARNATION_MAX, MemberRecord, MemberState
 from topazbank.core.checksum import CHECKSUM_BYTES, with_checksum, without_checksum
 from topazbank.core.net import Address
 
-MAGIC = 0xD7  # apart from the first byte of what `sight.hearsay` writes, which comes to the same address
+MAGIC = 0xD7  # unlike the first byte of load gossip, which arrives at the same address
 VERSION = 1
-LEAST, MOST = 128, 1200  # bytes of a datagram that an operator may allow: one part of a digest still fits
-FANOUT = 16  # parts of a digest
+DATAGRAM_BYTES_MIN = 128  # one part of a digest still fits
+DIGEST_FANOUT = 16  # parts of each part of a digest
+PREFIX_DEPTH_MAX = 12  # groups of four bits in an ident
+_IDENT_BYTES = 6
+_GENERATION_BYTES = 6
 _HEAD = struct.Struct("!BBBB6s6sHIIQIH")
 _SECTION = struct.Struct("!BH")
 _RECORD = struct.Struct("!6s6sHB4sHH")
-_PARTS = struct.Struct("!BQ16I")
-_WANT = struct.Struct("!BQ")
-_NEWS_SECTION, _PARTS_SECTION, _WANT_SECTION = 1, 2, 3
-KEY_MOST = 64  # bytes, by BLAKE2b
+_DIGEST_PART = struct.Struct("!BQ16I")
+_REQUESTED_PREFIX = struct.Struct("!BQ")
+_RECORDS_SECTION, _DIGEST_SECTION, _REQUEST_SECTION = 1, 2, 3
 
 
-class BadMessage(ValueError):
-    """Cut, changed, of another version, or none of ours."""
+class InvalidMessage(ValueError):
+    """The datagram is truncated, damaged, of another version or key, or no membership message."""
 
 
-class Kind(IntEnum):
-    PING = 1  # answer me
-    ACK = 2  # `target` answered `probe`
-    ASK = 3  # probe `target` for me
-    NACK = 4  # I did, and it has not answered me yet
-    TELL = 5  # no answer wanted
+class MessageKind(IntEnum):
+    """What the receiver is to do."""
+
+    PING = 1  # send an ack
+    ACK = 2  # take note: `target` has answered `probe_id`
+    PING_REQ = 3  # probe `target` for the sender
+    NACK = 4  # take note: `target` has not answered the sender's probe yet
+    GOSSIP = 5  # read the sections; no answer wanted
+
+
+class IdentPrefix(NamedTuple):
+    """The first bits of an ident."""
+
+    depth: int  # groups of four bits, at most PREFIX_DEPTH_MAX
+    bits: int
+
+
+WHOLE_TABLE = IdentPrefix(0, 0)
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
-    """Sums over the members whose ident begins with `prefix`, by its next four bits."""
+class DigestPart:
+    """Digests of the members whose ident begins with a prefix, by the next four bits."""
 
-    depth: int  # how many groups of four bits the prefix has
-    prefix: int
-    sums: tuple[int, ...]
+    prefix: IdentPrefix
+    digests: tuple[int, ...]  # DIGEST_FANOUT
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
     """One datagram."""
 
-    kind: Kind
+    kind: MessageKind
     sender: int
-    life: int
+    generation: int
     incarnation: int
-    count: int  # of the sender's messages in this life: an older one is no new word
-    probe: int = 0
-    target: int = 0  # 0: whoever gets it
-    digest: int = 0
-    size: int = 1  # members that the sender counts, itself included
-    news: tuple[MemberRecord, ...] = ()
-    parts: Parts | None = None
-    want: tuple[int, int] | None = None  # depth and prefix of the records that the sender lacks
+    sequence: int  # of the sender's messages in this generation
+    probe_id: int = 0
+    target: int = 0  # ident; 0: whoever receives it
+    digest: int = 0  # of the sender's live members
+    cluster_size: int = 1  # live members that the sender counts, itself included
+    records: tuple[MemberRecord, ...] = ()
+    digest_part: DigestPart | None = None
+    requested_prefix: IdentPrefix | None = None  # of the records that the sender wants
+
+
+def record_capacity(
+    datagram_bytes: int, *, with_digest_part: bool = False, with_request: bool = False
+) -> int:
+    """Return how many records fit into a datagram beside the sections named."""
+    room = datagram_bytes - _HEAD.size - CHECKSUM_BYTES - _SECTION.size - 1
+    if with_digest_part:
+        room -= _SECTION.size + _DIGEST_PART.size
+    if with_request:
+        room -= _SECTION.size + _REQUESTED_PREFIX.size
+    return max(room // _RECORD.size, 0)
 
 
-def records_in(datagram: int, parts: bool = False, want: bool = False) -> int:
-    """How many records a datagram of this many bytes has room for, beside the sections named."""
-    left = datagram - _HEAD.size - CHECKSUM_BYTES - _SECTION.size - 1
-    left -= (_SECTION.size + _PARTS.size) * parts + (_SECTION.size + _WANT.size) * want
-    return max(left // _RECORD.size, 0)
+def encode(message: Message, key: bytes = b"") -> bytes:
+    """Return the bytes of a message."""
+    data = _encode_head(message)
+    if message.records:
+        packed = b"".join(_encode_record(record) for record in message.records)
+        data += _encode_section(_RECORDS_SECTION, bytes([_RECORD.size]) + packed)
+    if message.digest_part is not None:
+        part = message.digest_part
+        packed = _DIGEST_PART.pack(part.prefix.depth, part.prefix.bits, *part.digests)
+        data += _encode_section(_DIGEST_SECTION, packed)
+    if message.requested_prefix is not None:
+        data += _encode_section(_REQUEST_SECTION, _REQUESTED_PREFIX.pack(*message.requested_prefix))
+    return with_checksum(data, key)
 
 
-def encode(message: Message, key: bytes = b"") -> bytes:
-    """The bytes of a message."""
-    data = _HEAD.pack(
+def _encode_head(message: Message) -> bytes:
+    return _HEAD.pack(
         MAGIC,
         VERSION,
         message.kind,
         0,
-        message.sender.to_bytes(6, "big"),
-        message.life.to_bytes(6, "big"),
+        message.sender.to_bytes(_IDENT_BYTES, "big"),
+        message.generation.to_bytes(_GENERATION_BYTES, "big"),
         message.incarnation,
-        message.count & 0xFFFFFFFF,
-        message.probe,
+        message.sequence & 0xFFFFFFFF,
+        message.probe_id,
         message.target,
         message.digest,
-        min(message.size, 0xFFFF),
+        min(message.cluster_size, 0xFFFF),
+    )
+
+
+def _encode_section(section_type: int, content: bytes) -> bytes:
+    return _SECTION.pack(section_type, len(content)) + content
+
+
+def _encode_record(record: MemberRecord) -> bytes:
+    host, port = record.address or ("0.0.0.0", 0)
+    try:
+        packed_host = socket.inet_aton(host)
+    except OSError:
+        packed_host, port = (
+            bytes(4),
+            0,
+        )  # not IPv4: the receiver learns the address from the member's own message
+    return _RECORD.pack(
+        record.ident.to_bytes(_IDENT_BYTES, "big"),
+        record.generation.to_bytes(_GENERATION_BYTES, "big"),
+        min(record.incarnation, INCARNATION_MAX),
+        record.state,
+        packed_host,
+        port,
+        min(record.detail, 0xFFFF),
     )
-    if message.news:
-        data += _section(
-            _NEWS_SECTION, bytes([_RECORD.size]) + b"".join(_record(each) for each in message.news)
-        )
-    if message.parts is not None:
-        packed = _PARTS.pack(message.parts.depth, message.parts.prefix, *message.parts.sums)
-        data += _section(_PARTS_SECTION, packed)
-    if message.want is not None:
-        data += _section(_WANT_SECTION, _WANT.pack(*message.want))
-    return with_checksum(data, key)
 
 
 def decode(data: bytes, key: bytes = b"") -> Message:
-    """Read a message; raise BadMessage where it is not whole and of this major version."""
+    """Read a message; raise InvalidMessage where it is not intact or of another major version."""
     if len(data) < _HEAD.size + CHECKSUM_BYTES or data[0] != MAGIC:
-        raise BadMessage("no message of a tier")
+        raise InvalidMessage("no membership message")
     if data[1] != VERSION:
-        raise BadMessage(f"version {data[1]}, not {VERSION}")
+        raise InvalidMessage(f"version {data[1]}, not {VERSION}")
     body = without_checksum(data, key)
     if body is None:
-        raise BadMessage("damaged, or of another key")
-    _, _, kind, _, sender, life, incarnation, count, probe, target, digest, size = _HEAD.unpack_from(body)
+        raise InvalidMessage("damaged, or of another key")
+    _, _, kind, _, sender, generation, incarnation, sequence, probe_id, target, digest, cluster_size = (
+        _HEAD.unpack_from(body)
+    )
+    sections = _decode_sections(body)
+    return Message(
+        _decode_kind(kind),
+        int.from_bytes(sender, "big"),
+        int.from_bytes(generation, "big"),
+        incarnation,
+        sequence,
+        probe_id,
+        target,
+        digest,
+        cluster_size,
+        sections.records,
+        sections.digest_part,
+        sections.requested_prefix,
+    )
+
+
+def _decode_kind(kind: int) -> MessageKind:
     try:
-        known = Kind(kind)
+        return MessageKind(kind)
     except ValueError:
-        known = Kind.TELL  # of a later version: its news is of use all the same
-    news, parts, want = _sections(body)
-    who, since = int.from_bytes(sender, "big"), int.from_bytes(life, "big")
-    return Message(known, who, since, incarnation, count, probe, target, digest, size, news, parts, want)
-
-
-def _section(kind: int, content: bytes) -> bytes:
-    return _SECTION.pack(kind, len(content)) + content
-
-
-def _sections(body: bytes) -> tuple[tuple[MemberRecord, ...], Parts | None, tuple[int, int] | None]:
-    news: tuple[MemberRecord, ...] = ()
-    parts: Parts | None = None
-    want: tuple[int, int] | None = None
-    at = _HEAD.size
-    while at < len(body):
-        if at + _SECTION.size > len(body):
-            raise BadMessage("a section is cut")
-        kind, length = _SECTION.unpack_from(body, at)
-        at += _SECTION.size
-        content = body[at : at + length]
-        if len(content) < length:
-            raise BadMessage("a section is cut")
-        at += length
-        try:
-            if kind == _NEWS_SECTION:
-                news = _news(content)
-            elif kind == _PARTS_SECTION:
-                depth, prefix, *sums = _PARTS.unpack_from(content)
-                parts = Parts(depth, prefix, tuple(sums))
-            elif kind == _WANT_SECTION:
-                want = _WANT.unpack_from(content)
-        except struct.error:
-            raise BadMessage("a section is short") from None
-    if (parts is not None and parts.depth >= 12) or (want is not None and want[0] > 12):
-        raise BadMessage("a part that no digest has")
-    return news, parts, want
+        return MessageKind.GOSSIP  # of a later version: its records are usable all the same
 
 
-def _news(content: bytes) -> tuple[MemberRecord, ...]:
-    if not content or content[0] < _RECORD.size or (len(content) - 1) % content[0]:
-        raise BadMessage("records of another length")
-    found: Sequence[MemberRecord | None] = [_read(content, at) for at in range(1, len(content), content[0])]
-    return tuple(each for each in found if each is not None)
+@dataclass(slots=True)
+class _Sections:
+    records: tuple[MemberRecord, ...] = ()
+    digest_part: DigestPart | None = None
+    requested_prefix: IdentPrefix | None = None
 
 
-def _record(record: MemberRecord) -> bytes:
-    host, port = record.address or ("0.0.0.0", 0)
-    try:
-        packed = socket.inet_aton(host)
-    except OSError:
-        packed, port = bytes(4), 0  # not IPv4: who hears of it waits for its own word
-    return _RECORD.pack(
-        record.ident.to_bytes(6, "big"),
-        record.life.to_bytes(6, "big"),
-        min(record.incarnation, INCARNATION_MAX),
-        record.state,
-        packed,
-        port,
-        min(record.about, 0xFFFF),
-    )
+def _decode_sections(body: bytes) -> _Sections:
+    sections = _Sections()
+    position = _HEAD.size
+    while position < len(body):
+        if position + _SECTION.size > len(body):
+            raise InvalidMessage("a section is truncated")
+        section_type, length = _SECTION.unpack_from(body, position)
+        position += _SECTION.size
+        content = body[position : position + length]
+        if len(content) < length:
+            raise InvalidMessage("a section is truncated")
+        position += length
+        try:
+            _decode_section(sections, section_type, content)
+        except struct.error:
+            raise InvalidMessage("a section is short") from None
+    return sections
+
+
+def _decode_section(sections: _Sections, section_type: int, content: bytes) -> None:
+    if section_type == _RECORDS_SECTION:
+        sections.records = _decode_records(content)
+    elif section_type == _DIGEST_SECTION:
+        depth, bits, *digests = _DIGEST_PART.unpack_from(content)
+        if depth >= PREFIX_DEPTH_MAX:
+            raise InvalidMessage("a digest of a prefix that is too long")
+        sections.digest_part = DigestPart(IdentPrefix(depth, bits), tuple(digests))
+    elif section_type == _REQUEST_SECTION:
+        prefix = IdentPrefix(*_REQUESTED_PREFIX.unpack_from(content))
+        if prefix.depth > PREFIX_DEPTH_MAX:
+            raise InvalidMessage("a request of a prefix that is too long")
+        sections.requested_prefix = prefix
+
+
+def _decode_records(content: bytes) -> tuple[MemberRecord, ...]:
+    if not content or content[0] < _RECORD.size or (len(content) - 1) % content[0]:
+        raise InvalidMessage("records of another length")
+    record_bytes = content[0]
+    records = [_decode_record(content, position) for position in range(1, len(content), record_bytes)]
+    return tuple(record for record in records if record is not None)
 
 
-def _read(content: bytes, at: int) -> MemberRecord | None:
-    ident, life, incarnation, state, host, port, about = _RECORD.unpack_from(content, at)
+def _decode_record(content: bytes, position: int) -> MemberRecord | None:
+    ident, generation, incarnation, state_number, host, port, detail = _RECORD.unpack_from(content, position)
     address: Address | None = (socket.inet_ntoa(host), port) if port else None
     try:
-        known = MemberState(state)
+        state = MemberState(state_number)
     except ValueError:
         return None  # a state of a later version
-    who, since = int.from_bytes(ident, "big"), int.from_bytes(life, "big")
-    return MemberRecord(who, since, incarnation, known, address, about)
+    return MemberRecord(
+        int.from_bytes(ident, "big"),
+        int.from_bytes(generation, "big"),
+        incarnation,
+        state,
+        address,
+        detail,
+    )
--- a/topazbank/core/bounds.py
+++ b/topazbank/core/bounds.py
@@ -128,13 +128,13 @@
 
 
 def tier_messages_a_second(rules: ProtocolSettings, trouble: bool = False) -> float:
-    """Datagrams that one sidecar sends for membership, whatever the size of its tier; each of `rules.datagram` at most.
+    """Datagrams that one sidecar sends for membership, whatever the cluster's size; each of `datagram_bytes` at most.
 
-    In calm a probe and an answer in each period, and now and then one to who is gone and one to a silent seed.
-    `trouble`: every probe fails, and so do others': helpers are asked and ask in turn, and suspects are probed again.
-    Owner: `cluster.failure_detector.FailureDetector`; anti-entropy is bounded by `cluster.settings.MEND_DATAGRAMS`.
+    In calm a ping and an ack in each period, and now and then a ping to a dead member and one to an unanswered seed.
+    `trouble`: every probe fails, and so do others': helpers are asked and ask in turn, and suspects are pinged again.
+    Owner: `cluster.failure_detector`; anti-entropy is bounded by `cluster.anti_entropy.REPLY_DATAGRAMS_MAX`.
     """
     each = 2.0 + 2.0 / RECONNECT_PERIODS
     if trouble:
         each += 1.0 + 4.0 * INDIRECT_PROBES + 2.0 * SUSPECT_PROBES_PER_PERIOD
-    return each * 1e6 / rules.period_us
+    return each * 1e6 / rules.probe_period_us
