--- a/benchmarks/cluster_cost.py
+++ b/benchmarks/cluster_cost.py
@@ -1,9 +1,10 @@
-"""What membership costs one sidecar: CPU and memory at rest, and a request's CPU, with it on against off, in one run.
+"""What membership costs one sidecar, on against off: CPU and memory at rest, and the CPU of a request.
 
     python -m benchmarks.cluster_cost [--sizes 5 200 5000] [--rest 10] [--seconds 5] [--rounds 3]
 
-The sidecar is a process as it is deployed; the other members are stand-ins that answer (testbed/tier/crowd.py).  Each
-round plays on and off after one another, in an order that changes, so that a slow spell falls on both.
+The sidecar is a process as it is deployed; the other members are synthetic (testbed/cluster/synthetic_peers.py).
+Each round measures on and off one after the other, in an alternating order, so that a slow spell of the machine
+affects both.
 """
 
 from __future__ import annotations
@@ -21,6 +22,7 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
 from benchmarks.forward_cost import OUT, ROOT, SETTINGS, WARM_S, process, until_up
 from benchmarks.load import Load, cpu_s
@@ -31,117 +33,152 @@
 from topazbank.cluster.__main__ import fetch_status
 
 SETTLE_S = 3.0
-HEAD = f"{'members':>8}{'tier':>6}{'CPU at rest, ms/s':>19}{'resident MB':>13}{'CPU us a request':>18}{'seen':>7}"
+HEADER = (
+    f"{'members':>8}{'cluster':>9}{'CPU at rest, ms/s':>19}{'resident MB':>18}"
+    f"{'CPU us a request':>18}{'counted':>9}"
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Figure:
+class Cost:
+    """The figures of one run."""
+
     rest_ms: float  # of CPU a second
     memory_mb: float
-    request_us: float
-    seen: int  # members that it counts, itself included
+    request_us: float  # of CPU
+    members: int  # that the sidecar counts, itself included; 0 with membership off
 
 
 def resident_mb(pid: int) -> float:
+    """Return a process's resident memory."""
     with open(f"/proc/{pid}/status", encoding="ascii") as file:
         return int(next(line for line in file if line.startswith("VmRSS")).split()[1]) / 1024
 
 
-@contextlib.contextmanager
-def program(
-    on: bool, peers: Sequence[Address], registry: Address, ports: list[int], folder: Path
-) -> Iterator[tuple[int, Address]]:
-    """The sidecar, number 0 of these peers: its process and where it listens."""
-    (listen,) = free(own_host(), 1)
-    entries = [
-        {"name": f"s-{n}", "address": f"127.0.0.1:{port}", "zone": "a", "type": "m", "group": 1}
-        | {"status": "active", "weight": 1.0, "since_ms": 0}
-        for n, port in enumerate(ports)
+def _configuration(
+    listen: Address, peers: Sequence[Address], registry: Address, ports: Sequence[int]
+) -> dict[str, Any]:
+    endpoints = [
+        {
+            "name": f"s-{number}",
+            "address": f"127.0.0.1:{port}",
+            "zone": "a",
+            "type": "m",
+            "group": 1,
+            "status": "active",
+            "weight": 1.0,
+            "since_ms": 0,
+        }
+        for number, port in enumerate(ports)
     ]
     settings = SETTINGS | {"groupSize": len(peers), "me": 0}
     settings["bounds"] = SETTINGS["bounds"] | {"mayTell": True}
-    given = {"listen": place(listen), "discovery": place(registry), "seed": "8c1f", "settings": settings}
-    given |= {"known": {"index": 1, "snapshot": True, "endpoints": entries}, "limits": {"sockets": 1024}}
-    given |= {"peer_listen": place(peers[0]), "peers": [place(each) for each in peers]}
-    (folder / "relay.json").write_text(json.dumps(given), encoding="utf-8")
-    operator = folder / "operator.toml"
-    operator.write_text(
+    return {
+        "listen": place(listen),
+        "discovery": place(registry),
+        "seed": "8c1f",
+        "settings": settings,
+        "known": {"index": 1, "snapshot": True, "endpoints": endpoints},
+        "limits": {"sockets": 1024},
+        "peer_listen": place(peers[0]),
+        "peers": [place(peer) for peer in peers],
+    }
+
+
+@contextlib.contextmanager
+def sidecar(
+    on: bool, peers: Sequence[Address], registry: Address, ports: Sequence[int], folder: Path
+) -> Iterator[tuple[int, Address]]:
+    """Run the sidecar, number 0 of these peers; yield its process id and its address."""
+    (listen,) = free(own_host(), 1)
+    configuration = _configuration(listen, peers, registry, ports)
+    (folder / "relay.json").write_text(json.dumps(configuration), encoding="utf-8")
+    operator_file = folder / "operator.toml"
+    operator_file.write_text(
         f"[admin]\nroster = true\n[tier]\non = {'true' if on else 'false'}\n", encoding="utf-8"
     )
     env = {**os.environ, "RELAY_CONFIG": str(folder / "relay.json")}
     command, compiled = [sys.executable], ROOT / ".venv" / "compiled"
     if (compiled / "stamp").exists():
         command, env = [*command, "-P"], env | {"PYTHONPATH": str(compiled)}
-    with process(*command, "-m", "topazbank", "--operator", str(operator), env=env) as started:
+    with process(*command, "-m", "topazbank", "--operator", str(operator_file), env=env) as started:
         yield started.pid, listen
 
 
-async def measure(on: bool, size: int, ports: list[int], given: argparse.Namespace, folder: Path) -> Figure:
+async def measure(
+    on: bool, size: int, ports: Sequence[int], arguments: argparse.Namespace, folder: Path
+) -> Cost:
+    """Run a sidecar in a cluster of this size; return its cost."""
     registry = Registry()
     registry.index = 1
     await registry.start()
-    (here,) = free(own_host(), 1, socket.SOCK_DGRAM)
-    crowd = SyntheticPeers(size, here)
-    await crowd.start()
+    (gossip_address,) = free(own_host(), 1, socket.SOCK_DGRAM)
+    peers = SyntheticPeers(size, gossip_address)
+    await peers.start()
     try:
-        with program(on, [here, *crowd.addresses], registry.address, ports, folder) as (pid, listen):
+        addresses = [gossip_address, *peers.addresses]
+        with sidecar(on, addresses, registry.address, ports, folder) as (pid, listen):
             await until_up(listen)
-            await crowd.introduce()
+            await peers.introduce()
             await asyncio.sleep(SETTLE_S)
-            cpu = cpu_s(pid)
-            await asyncio.sleep(given.rest)
-            rest_ms = 1000 * (cpu_s(pid) - cpu) / given.rest
-            memory = resident_mb(pid)
-            seen = 0
+            cpu_before_s = cpu_s(pid)
+            await asyncio.sleep(arguments.rest)
+            rest_ms = 1000 * (cpu_s(pid) - cpu_before_s) / arguments.rest
+            memory_mb = resident_mb(pid)
+            members = 0
             if on:
-                seen = (await asyncio.to_thread(fetch_status, place(listen)))["at_most"]
-            return Figure(rest_ms, memory, await _request_us(pid, listen, given.seconds), seen)
+                members = (await asyncio.to_thread(fetch_status, place(listen)))["at_most"]
+            return Cost(rest_ms, memory_mb, await _request_us(pid, listen, arguments.seconds), members)
     finally:
-        crowd.stop()
+        peers.stop()
         registry.stop()
 
 
 async def _request_us(pid: int, listen: Address, seconds: float) -> float:
+    """Return the CPU time of a request under load."""
     load = Load(HTTP, listen, OUT, 1)
     await load.start()
     await asyncio.sleep(WARM_S)
     load.got.clear()
-    cpu = cpu_s(pid)
+    cpu_before_s = cpu_s(pid)
     await asyncio.sleep(seconds)
-    spent, served = cpu_s(pid) - cpu, load.got[200]
+    spent_s, served = cpu_s(pid) - cpu_before_s, load.got[200]
     load.running = False
-    return 1e6 * spent / max(served, 1)
+    return 1e6 * spent_s / max(served, 1)
 
 
-async def run(given: argparse.Namespace) -> None:
+async def run(arguments: argparse.Namespace) -> None:
+    """Measure all sizes and print a line for each, on and off."""
     command = [sys.executable, "-m", "benchmarks.forward_cost", "--nodes", HTTP]
     with tempfile.TemporaryDirectory() as folder, process(*command, stdout=subprocess.PIPE) as nodes:
         assert nodes.stdout is not None
         ports = json.loads(nodes.stdout.readline())
-        print(HEAD, flush=True)
-        for size in given.sizes:
-            figures: dict[bool, list[Figure]] = {True: [], False: []}
-            for number in range(given.rounds):
+        print(HEADER, flush=True)
+        for size in arguments.sizes:
+            costs: dict[bool, list[Cost]] = {True: [], False: []}
+            for number in range(arguments.rounds):
                 for on in (True, False) if number % 2 else (False, True):
                     print(f"{size} members, round {number + 1}, {on=} ...", file=sys.stderr, flush=True)
-                    figures[on].append(await measure(on, size, ports, given, Path(folder)))
-            for on, found in figures.items():
-                report(size, on, found)
+                    costs[on].append(await measure(on, size, ports, arguments, Path(folder)))
+            for on, measured in costs.items():
+                print_costs(size, on, measured)
 
 
-def report(size: int, on: bool, found: Sequence[Figure]) -> None:
-    def spread(of: Sequence[float], digits: int) -> str:
-        return f"{statistics.median(of):.{digits}f} ({min(of):.{digits}f}-{max(of):.{digits}f})"
+def print_costs(size: int, on: bool, costs: Sequence[Cost]) -> None:
+    """Print median, minimum and maximum of all rounds."""
+    rest = _summary([cost.rest_ms for cost in costs], 1)
+    memory = _summary([cost.memory_mb for cost in costs], 1)
+    request = _summary([cost.request_us for cost in costs], 0)
+    on_off = "on" if on else "off"
+    print(f"{size:>8}{on_off:>9}{rest:>19}{memory:>18}{request:>18}{costs[-1].members:>9}", flush=True)
 
-    rest, memory = spread([each.rest_ms for each in found], 1), spread([each.memory_mb for each in found], 1)
-    request = spread([each.request_us for each in found], 0)
-    print(
-        f"{size:>8}{'on' if on else 'off':>6}{rest:>19}{memory:>18}{request:>18}{found[-1].seen:>7}",
-        flush=True,
-    )
+
+def _summary(values: Sequence[float], digits: int) -> str:
+    return f"{statistics.median(values):.{digits}f} ({min(values):.{digits}f}-{max(values):.{digits}f})"
 
 
 def main() -> None:
+    """Run the command."""
     parser = argparse.ArgumentParser(
         prog="benchmarks.cluster_cost", description=(__doc__ or "").split("\n")[0]
     )
