--- a/testbed/cluster/invariants.py
+++ b/testbed/cluster/invariants.py
@@ -58,7 +58,6 @@
     violations: list[str] = field(default_factory=list)
     false_deaths: int = 0
     detection_s: list[float] = field(default_factory=list)  # from a kill until each other member knew
-    first_detection_s: list[float] = field(default_factory=list)  # and until the first one did
     flaps: int = 0  # returns from the dead
     suspicions: int = 0
     convergence_s: float | None = None  # from the end of all faults until all views were true
@@ -124,8 +123,6 @@
         if change.member == member and change.new is MemberState.DEAD and change.at >= killed_at:
             detected.setdefault(change.observer, change.at - killed_at)
     outcome.detection_s += detected.values()
-    if detected:
-        outcome.first_detection_s.append(min(detected.values()))
     outcome.violations += [
         f"{observer} knew of the death of {member} after {took:.2f} s"
         for observer, took in detected.items()
--- a/testbed/cluster/relay.py
+++ b/testbed/cluster/relay.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import random
-from collections import Counter
 from typing import Any
 
 from testbed.ports import own_host
@@ -34,7 +33,6 @@
         self.addresses: list[Address] = []
         self.cuts: set[tuple[int, int]] = set()
         self.loss = self.delay_s = self.doubled = 0.0
-        self.counts: Counter[str] = Counter()
 
     async def start(self) -> None:
         """Open the sockets."""
@@ -56,13 +54,8 @@
         """Take a datagram for a member, and deliver, delay, repeat or drop it."""
         sender = self._numbers.get((source[0], source[1]))
         if sender is None:
-            self.counts["strange"] += 1
-            return
-        self.counts["sent"] += 1
-        self.counts["bytes"] += len(data)
-        self.counts["longest"] = max(self.counts["longest"], len(data))
+            return  # not a member's
         if (sender, receiver) in self.cuts or self._random.random() < self.loss:
-            self.counts["dropped"] += 1
             return
         for _ in range(2 if self._random.random() < self.doubled else 1):
             if self.delay_s:
--- a/tests/cluster/test_any_history.py
+++ b/tests/cluster/test_any_history.py
@@ -110,16 +110,18 @@
             return
         for process in self.cluster.processes.values():
             detector, table = process.detector, process.detector.table
-            assert len(table.records) <= MEMBERS_MAX and len(detector.changes) <= CHANGES_MAX
-            assert detector.prober.failed_count <= FAILED_PROBES_MAX
-            assert detector.prober.relayed_count <= RELAYED_PROBES_MAX
+            assert len(table.records) <= MEMBERS_MAX and len(detector.changes._changes) <= CHANGES_MAX
+            assert len(detector.prober._failed) <= FAILED_PROBES_MAX
+            assert len(detector.prober._relayed) <= RELAYED_PROBES_MAX
             assert set(detector.suspicions) == {
                 ident for ident, record in table.records.items() if record.state is MemberState.SUSPECT
             }
             live = [record for record in table.records.values() if record.is_live]
             assert table.live_count == len(live)
             assert table.digest == functools.reduce(operator.xor, map(digest_of, live), 0)
-            assert detector.membership.tracked_idents() <= set(table.records)
+            last_heard, membership = detector.last_heard, detector.membership
+            assert set(last_heard._heard_at) | set(last_heard._gossiped_at) <= set(table.records)
+            assert set(membership._replays._latest) | set(membership.flaps._returns) <= set(table.records)
 
     @invariant()
     def who_is_isolated_calls_nobody_absent_but_who_left(self) -> None:
--- a/topazbank/cluster/changes.py
+++ b/topazbank/cluster/changes.py
@@ -58,7 +58,3 @@
         """Return the changes since the last call."""
         changes, self._changes = self._changes, []
         return changes
-
-    def __len__(self) -> int:
-        """Return the number of changes that are not yet taken."""
-        return len(self._changes)
--- a/topazbank/cluster/flap_damping.py
+++ b/topazbank/cluster/flap_damping.py
@@ -45,7 +45,3 @@
     def forget(self, ident: int) -> None:
         """Drop what is known of a member."""
         self._returns.pop(ident, None)
-
-    def idents(self) -> set[int]:
-        """Return the members that have returned."""
-        return set(self._returns)
--- a/topazbank/cluster/last_heard.py
+++ b/topazbank/cluster/last_heard.py
@@ -46,7 +46,3 @@
         """Drop all that is known of a member."""
         self._heard_at.pop(ident, None)
         self._gossiped_at.pop(ident, None)
-
-    def idents(self) -> set[int]:
-        """Return the members of which anything is known."""
-        return self._heard_at.keys() | self._gossiped_at.keys()
--- a/topazbank/cluster/membership.py
+++ b/topazbank/cluster/membership.py
@@ -235,12 +235,6 @@
         self._suspicions.pop(ident, None)
         self._changes.add(now, record.state, None, record, ChangeReason.TOMBSTONE_EXPIRED)
 
-    def tracked_idents(self) -> set[int]:
-        """Return all members of which any state beside the record is held."""
-        return (
-            self._last_heard.idents() | self._replays.idents() | self.flaps.idents() | set(self._suspicions)
-        )
-
 
 def _same_incarnation(one: MemberRecord, other: MemberRecord) -> bool:
     return one.incarnation == other.incarnation and one.generation == other.generation
--- a/topazbank/cluster/probing.py
+++ b/topazbank/cluster/probing.py
@@ -75,16 +75,6 @@
         self._failed: dict[int, int] = {}  # failed probes and their targets, the oldest first
         self._relayed: dict[int, _RelayedProbe] = {}
 
-    @property
-    def failed_count(self) -> int:
-        """Failed probes whose late acks are still recognised."""
-        return len(self._failed)
-
-    @property
-    def relayed_count(self) -> int:
-        """Probes for others that are under way."""
-        return len(self._relayed)
-
     def clear(self) -> None:
         """Give up all probes, after a stall: their timeouts mean nothing."""
         self._probes.clear()
--- a/topazbank/cluster/replay_guard.py
+++ b/topazbank/cluster/replay_guard.py
@@ -28,7 +28,3 @@
     def forget(self, ident: int) -> None:
         """Drop what is known of a member."""
         self._latest.pop(ident, None)
-
-    def idents(self) -> set[int]:
-        """Return the senders that are known."""
-        return set(self._latest)
