--- a/tests/planning/test_planner.py
+++ b/tests/planning/test_planner.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import START
 
-from topazbank.cluster.member import Generations, MemberGeneration
+from topazbank.cluster.member import Generations, ProcessGeneration
 from topazbank.planning import planner as planning
 from topazbank.planning.plan import LEASE_MOST, S
 from topazbank.planning.planner import Member, Planner
@@ -188,7 +188,7 @@
         at = START + number * S // 10
         for name, ident in (("f", 1), ("g", 2)):
             told = replace(SUMMARY, forwarder=name, number=number, classes={"look": (9, 9, 0)})
-            made.heard(at, replace(told, lives=Generations(MemberGeneration(ident, 70))))
+            made.heard(at, replace(told, lives=Generations(ProcessGeneration(ident, 70))))
     return made
 
 
@@ -201,13 +201,13 @@
         SUMMARY,
         number=40,
         classes={"look": (9, 9, 0)},
-        lives=Generations(MemberGeneration(1, 70), (MemberGeneration(2, 70),)),
+        lives=Generations(ProcessGeneration(1, 70), (ProcessGeneration(2, 70),)),
     )
     made.heard(last + S // 10, gone)
     assert made.status(last)["forwarders"] == 2, "its plan may hold yet"
     made.heard(last + S, replace(gone, number=41))
     assert made.status(last)["forwarders"] == 1
-    back = replace(SUMMARY, forwarder="g", number=40, lives=Generations(MemberGeneration(2, 70)))
+    back = replace(SUMMARY, forwarder="g", number=40, lives=Generations(ProcessGeneration(2, 70)))
     assert made.heard(last + 2 * S, back) is not None
     made.heard(last + 2 * S + 1, replace(gone, number=42))
     assert made.status(last)["forwarders"] == 2, "its own word is newer than what the tier says"
@@ -215,7 +215,9 @@
 
 def test_the_death_of_a_former_life_drops_nobody() -> None:
     made = _two_forwarders()
-    gone = replace(SUMMARY, number=40, lives=Generations(MemberGeneration(1, 70), (MemberGeneration(2, 69),)))
+    gone = replace(
+        SUMMARY, number=40, lives=Generations(ProcessGeneration(1, 70), (ProcessGeneration(2, 69),))
+    )
     made.heard(START + 6 * S, gone)
     assert made.status(START)["forwarders"] == 2
 
--- a/tests/planning/test_wire.py
+++ b/tests/planning/test_wire.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from topazbank.cluster.member import ENDED_GENERATIONS_MAX, Generations, MemberGeneration
+from topazbank.cluster.member import ENDED_GENERATIONS_MAX, Generations, ProcessGeneration
 from topazbank.planning.plan import Plan, S, Share
 from topazbank.planning.summary import NodeUse, Sketch, Summary
 from topazbank.planning.wire import (
@@ -45,14 +45,14 @@
 
 def test_a_summary_of_a_member_of_a_tier_comes_back_and_one_of_none_is_as_before_tiers() -> None:
     lives = Generations(
-        MemberGeneration(2**48 - 1, 1_800_000_000_000), (MemberGeneration(5, 6),) * ENDED_GENERATIONS_MAX
+        ProcessGeneration(2**48 - 1, 1_800_000_000_000), (ProcessGeneration(5, 6),) * ENDED_GENERATIONS_MAX
     )
     assert decode_summary(encode_summary(replace(SUMMARY, lives=lives))).lives == lives
     assert len(msgpack.unpackb(msgpack.unpackb(encode_summary(SUMMARY))[1])) == 11
     for bad in (
-        Generations(MemberGeneration(1, -1)),
-        Generations(MemberGeneration(1, 1), (MemberGeneration(5, 6),) * (ENDED_GENERATIONS_MAX + 1)),
-        Generations(MemberGeneration(1, 1), ((7,),)),  # type: ignore[arg-type]
+        Generations(ProcessGeneration(1, -1)),
+        Generations(ProcessGeneration(1, 1), (ProcessGeneration(5, 6),) * (ENDED_GENERATIONS_MAX + 1)),
+        Generations(ProcessGeneration(1, 1), ((7,),)),  # type: ignore[arg-type]
     ):
         with pytest.raises(BadDocument, match=r"tier|life"):
             decode_summary(encode_summary(replace(SUMMARY, lives=bad)))
--- a/topazbank/cluster/member.py
+++ b/topazbank/cluster/member.py
@@ -60,7 +60,7 @@
         return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
 
-class MemberGeneration(NamedTuple):
+class ProcessGeneration(NamedTuple):
     """One process of a member."""
 
     ident: int
@@ -71,8 +71,8 @@
 class Generations:
     """The local member's generation, and generations of others that are known to have ended."""
 
-    own: MemberGeneration
-    ended: tuple[MemberGeneration, ...] = ()  # the latest first, at most ENDED_GENERATIONS_MAX
+    own: ProcessGeneration
+    ended: tuple[ProcessGeneration, ...] = ()  # the latest first, at most ENDED_GENERATIONS_MAX
 
 
 def ident_of(name: str) -> int:
--- a/topazbank/cluster/probing.py
+++ b/topazbank/cluster/probing.py
@@ -13,7 +13,7 @@
 
 from topazbank.cluster.address_book import AddressBook
 from topazbank.cluster.local_health import LocalHealth
-from topazbank.cluster.member import MemberGeneration, MemberRecord
+from topazbank.cluster.member import MemberRecord, ProcessGeneration
 from topazbank.cluster.member_table import MemberTable
 from topazbank.cluster.outbox import Outbox
 from topazbank.cluster.settings import INDIRECT_PROBES, ProtocolSettings
@@ -30,7 +30,7 @@
 class _Probe:
     """A probe of this member's own; a few periods long at most, so there are few at once."""
 
-    target: MemberGeneration
+    target: ProcessGeneration
     address: Address
     ask_helpers_at: int
     fails_at: int
@@ -110,7 +110,7 @@
         ask_helpers_at = now + min(direct_us, 2 * period_us)
         fails_at = now + self._health.scale_timeout(period_us)
         probe_id = self.ping(now, address, record.ident)
-        target = MemberGeneration(record.ident, record.generation)
+        target = ProcessGeneration(record.ident, record.generation)
         self._probes[probe_id] = _Probe(target, address, ask_helpers_at, fails_at)
 
     def ask_helpers(self, now: int) -> None:
@@ -135,12 +135,12 @@
                 self._outbox.send(now, address, MessageKind.PING_REQ, probe_id, target)
         return asked
 
-    def take_failed(self, now: int) -> Sequence[MemberGeneration]:
+    def take_failed(self, now: int) -> Sequence[ProcessGeneration]:
         """End the probes whose time is over; return their targets."""
         due = [probe_id for probe_id, probe in self._probes.items() if probe.fails_at <= now]
         return [self._fail(probe_id) for probe_id in due]
 
-    def _fail(self, probe_id: int) -> MemberGeneration:
+    def _fail(self, probe_id: int) -> ProcessGeneration:
         probe = self._probes.pop(probe_id)
         while len(self._failed) >= FAILED_PROBES_MAX:
             del self._failed[next(iter(self._failed))]
--- a/topazbank/cluster/service.py
+++ b/topazbank/cluster/service.py
@@ -17,8 +17,8 @@
 from topazbank.cluster.member import (
     ENDED_GENERATIONS_MAX,
     Generations,
-    MemberGeneration,
     MemberState,
+    ProcessGeneration,
     ident_of,
 )
 from topazbank.cluster.naming import MemberNames
@@ -246,7 +246,7 @@
         """Return, for the planners, the local generation and those that are known to have ended."""
         local = self.detector.local
         ended = self.view.ended_generations(self._clock(), ENDED_GENERATIONS_MAX)
-        return Generations(MemberGeneration(local.ident, local.generation), ended)
+        return Generations(ProcessGeneration(local.ident, local.generation), ended)
 
     def show(self) -> dict[str, Any]:
         """Return the status for operators; its keys are stable."""
--- a/topazbank/cluster/view.py
+++ b/topazbank/cluster/view.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from topazbank.cluster.failure_detector import FailureDetector
-from topazbank.cluster.member import MemberGeneration, MemberRecord, MemberState
+from topazbank.cluster.member import MemberRecord, MemberState, ProcessGeneration
 from topazbank.cluster.quorum import RECENT_US
 
 _SETTLE_PERIODS = 3  # without isolation, before the isolation counts as over
@@ -142,15 +142,15 @@
             return max(self._expected_size(now), configured_size)
         return self._detector.table.cluster_size
 
-    def ended_generations(self, now: int, limit: int) -> tuple[MemberGeneration, ...]:
+    def ended_generations(self, now: int, limit: int) -> tuple[ProcessGeneration, ...]:
         """Return the generations of absent members, the latest first."""
         table = self._detector.table
-        ended: list[MemberGeneration] = []
+        ended: list[ProcessGeneration] = []
         for ident in reversed(table.tombstones):
             if len(ended) == limit:
                 break
             if self.presence(now, ident) is Presence.ABSENT:
-                ended.append(MemberGeneration(ident, table.records[ident].generation))
+                ended.append(ProcessGeneration(ident, table.records[ident].generation))
         return tuple(ended)
 
     def members(self, now: int) -> Iterable[MemberView]:
--- a/topazbank/planning/planner.py
+++ b/topazbank/planning/planner.py
@@ -21,7 +21,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from topazbank.cluster.member import MemberGeneration
+from topazbank.cluster.member import ProcessGeneration
 from topazbank.planning.plan import LEASE_LEAST, LEASE_MOST, Plan, S, Share
 from topazbank.planning.summary import NodeUse, Sketch, Summary
 
@@ -105,7 +105,7 @@
     number: int = -1
     heard_at: int = 0
     rate: float = 0.0  # requests a second
-    member: MemberGeneration | None = None  # in the forwarders' cluster; None: outside of it
+    member: ProcessGeneration | None = None  # in the forwarders' cluster; None: outside of it
     lease: int = LEASE_MOST  # of the plan that was sent last
     sequence: int = 0  # of that plan
     sent: dict[str, Share] = field(default_factory=dict)  # what it says
--- a/topazbank/planning/wire.py
+++ b/topazbank/planning/wire.py
@@ -12,7 +12,7 @@
 
 import msgpack
 
-from topazbank.cluster.member import ENDED_GENERATIONS_MAX, Generations, MemberGeneration
+from topazbank.cluster.member import ENDED_GENERATIONS_MAX, Generations, ProcessGeneration
 from topazbank.planning.plan import SHARES_MOST, Plan, Share
 from topazbank.planning.summary import BUCKETS, NODES_MOST, NodeUse, Sketch, Summary
 
@@ -169,7 +169,7 @@
     for each in given:
         if not isinstance(each, list) or len(each) != 2:
             raise BadDocument("tier: pairs of an ident and a life are wanted")
-        pairs.append(MemberGeneration(_whole(each[0], "ident"), _whole(each[1], "life")))
+        pairs.append(ProcessGeneration(_whole(each[0], "ident"), _whole(each[1], "life")))
     return Generations(pairs[0], tuple(pairs[1:]))
 
 
