--- a/testbed/quota/processes.py
+++ b/testbed/quota/processes.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from testbed.cluster.harness import Rig
-from testbed.cluster.scenarios import NODES, Script, Step
+from testbed.cluster.harness import ClusterHarness
+from testbed.cluster.scenarios import NODES, Scenario, Step
 from testbed.fleet.invariants import Verdicts
 from topazbank.quota.audit import QuotaAudit, audit
 from topazbank.quota.ledger_records import read_ledgers
@@ -28,16 +28,16 @@
 CALLS_PER_S = 80.0  # to all sidecars together
 LOG_DELAY_S = 0.1  # between a sidecar's decision and the server's log of it, on a busy machine
 REJECTING_FROM_S = 0.5
-Scenario = Callable[[int, random.Random], Script]
-SCENARIOS: dict[str, Scenario] = {}
+MakeScenario = Callable[[int, random.Random], Scenario]
+SCENARIOS: dict[str, MakeScenario] = {}
 
 
-def _scenario(make: Scenario) -> Scenario:
+def _scenario(make: MakeScenario) -> MakeScenario:
     SCENARIOS[make.__name__] = make
     return make
 
 
-def _while_rejecting(steps: Iterable[Step], until_s: float, excused: Iterable[int] = ()) -> Script:
+def _while_rejecting(steps: Iterable[Step], until_s: float, excused: Iterable[int] = ()) -> Scenario:
     """These steps while all servers reject; `excused`: sidecars whose calls may be lost."""
     all_steps = [
         Step(REJECTING_FROM_S, "refuse", (), ALL_SERVERS),
@@ -45,43 +45,43 @@
         Step(until_s, "accept", (), ALL_SERVERS),
     ]
     in_order = sorted(all_steps, key=lambda step: step.at)
-    return Script(in_order, until_s + 0.2, set(excused), nobody_gone=False)
+    return Scenario(in_order, until_s + 0.2, set(excused), forbids_deaths=False)
 
 
 @_scenario
-def demand(sidecars: int, chance: random.Random) -> Script:
+def demand(sidecars: int, chance: random.Random) -> Scenario:
     """Nothing else goes wrong."""
     return _while_rejecting([], 8.0)
 
 
 @_scenario
-def client_paused(sidecars: int, chance: random.Random) -> Script:
+def client_paused(sidecars: int, chance: random.Random) -> Scenario:
     """A sidecar with a lease is stopped for longer than the lease, and continues in the middle of sending."""
     one = chance.randrange(sidecars)
     return _while_rejecting([Step(3.0, "stop", (one,), value=2.5 * LEASE_S)], 10.0, (one,))
 
 
 @_scenario
-def server_killed(sidecars: int, chance: random.Random) -> Script:
+def server_killed(sidecars: int, chance: random.Random) -> Scenario:
     """A lease server is killed and comes back without its grants."""
     return _while_rejecting([Step(3.0, "kill", (0,)), Step(4.0, "start", (0,))], 10.0, (0,))
 
 
 @_scenario
-def all_servers_killed(sidecars: int, chance: random.Random) -> Script:
+def all_servers_killed(sidecars: int, chance: random.Random) -> Scenario:
     """All lease servers are killed at once and come back without their grants."""
     steps = [Step(3.0, "kill", (0, 1)), Step(3.2, "start", (0,)), Step(5.0, "start", (1,))]
     return _while_rejecting(steps, 11.0, (0, 1))
 
 
 @_scenario
-def server_upgraded(sidecars: int, chance: random.Random) -> Script:
+def server_upgraded(sidecars: int, chance: random.Random) -> Scenario:
     """A lease server's process is replaced by a new one."""
     return _while_rejecting([Step(3.0, "upgrade", (0,))], 10.0)
 
 
 @_scenario
-def partitioned(sidecars: int, chance: random.Random) -> Script:
+def partitioned(sidecars: int, chance: random.Random) -> Scenario:
     """The cluster is split into two halves with a lease server in each, for several leases."""
     half = (0, *chance.sample(range(2, sidecars), max(sidecars // 2 - 1, 0)))
     rest = tuple(sidecar for sidecar in range(sidecars) if sidecar not in half)
@@ -90,7 +90,7 @@
 
 
 @_scenario
-def one_way(sidecars: int, chance: random.Random) -> Script:
+def one_way(sidecars: int, chance: random.Random) -> Scenario:
     """Of one client only the requests arrive, of another only the grants."""
     no_grants, no_requests = chance.sample(range(2, sidecars), 2)
     steps = [
@@ -102,7 +102,7 @@
 
 
 @_scenario
-def most_killed(sidecars: int, chance: random.Random) -> Script:
+def most_killed(sidecars: int, chance: random.Random) -> Scenario:
     """Seven in ten are killed at once, and come back within a lease."""
     killed = tuple(chance.sample(range(sidecars), 7 * sidecars // 10))
     starts = [Step(3.5 + 0.1 * index, "start", (sidecar,)) for index, sidecar in enumerate(killed)]
@@ -110,7 +110,7 @@
 
 
 @_scenario
-def lossy(sidecars: int, chance: random.Random) -> Script:
+def lossy(sidecars: int, chance: random.Random) -> Scenario:
     """Two fifths of all datagrams are lost, the others late by up to a second, or duplicated."""
     begin = [Step(1.0, "loss", value=0.4), Step(1.0, "delay", value=1.0), Step(1.0, "doubled", value=0.2)]
     end = [Step(9.0, "loss"), Step(9.0, "delay"), Step(9.0, "doubled")]
@@ -161,14 +161,14 @@
 async def run(names: Sequence[str], sidecars: int, seed: int, has_quota: bool = True) -> dict[str, Result]:
     """Run scenarios one after another on the same processes."""
     more = operator_config(sidecars) if has_quota else ""
-    harness = Rig(sidecars, seed, rate=20.0, hammer=CALLS_PER_S, more=more)
+    harness = ClusterHarness(sidecars, seed, rate=20.0, hammer_rate=CALLS_PER_S, operator_extra=more)
     results = {}
     try:
         await harness.start()
         await asyncio.sleep(GRACE_PERIOD_S)
         for name in names:
-            _, verdicts = await harness.play(SCENARIOS[name](sidecars, random.Random(seed)))
-            retry_times = harness.extras()
+            _, verdicts = await harness.run_scenario(SCENARIOS[name](sidecars, random.Random(seed)))
+            retry_times = harness.retry_times()
             results[name] = Result(
                 len(retry_times),
                 max_ahead(retry_times, LIMIT),
@@ -181,7 +181,7 @@
     return results
 
 
-def _audit_ledgers(harness: Rig) -> QuotaAudit | None:
+def _audit_ledgers(harness: ClusterHarness) -> QuotaAudit | None:
     """The audit of all ledgers so far."""
     lines: list[str] = []
     for path in sorted(harness.folder.glob("budgets-*.jsonl")):
--- a/topazbank/core/bounds.py
+++ b/topazbank/core/bounds.py
@@ -12,7 +12,12 @@
 from topazbank.balancing.load import SUBSET_IDLE_SIZE, SUBSET_PER_REQUEST
 from topazbank.balancing.retry_policy import RETRIES_PER_REQUEST, RETRY_BUDGET_REQUESTS
 from topazbank.balancing.settings import Settings
-from topazbank.cluster.rules import HELPERS, SUSPECTS_PROBED, TOMB_EVERY, Rules
+from topazbank.cluster.settings import (
+    INDIRECT_PROBES,
+    RECONNECT_PERIODS,
+    SUSPECT_PROBES_PER_PERIOD,
+    ProtocolSettings,
+)
 from topazbank.estimation import poll_schedule
 from topazbank.estimation.load_gossip import SEND_INTERVAL_MIN_US, SENDERS_MAX
 from topazbank.estimation.startup_probes import PROBES_MAX, supports_startup_probes
@@ -146,15 +151,15 @@
     return fleet.sidecars * seconds * 1e6 / SEND_INTERVAL_MIN_US
 
 
-def membership_datagrams_per_s(rules: Rules, fault: bool = False) -> float:
+def membership_datagrams_per_s(settings: ProtocolSettings, fault: bool = False) -> float:
     """Return the datagrams that one sidecar sends for membership, whatever the size of its cluster.
 
-    Each has `rules.datagram` bytes at most.  Without a fault these are a probe and an answer in each period, and at
+    Each has `settings.datagram_bytes` at most.  Without a fault these are a probe and an answer in each period, and at
     intervals one to a removed member and one to a silent seed.  `fault`: every probe fails, and so do those of others:
-    helpers are asked and ask in turn, and suspects are probed again.  Owner: `cluster.failure_detector`; datagrams
-    that reconcile views are bounded apart (`cluster.rules`, for each reply).
+    helpers are asked and ask in turn, and suspects are probed again.  Owner: `cluster.failure_detector`;
+    anti-entropy is bounded by `cluster.anti_entropy.REPLY_DATAGRAMS_MAX`.
     """
-    per_period = 2.0 + 2.0 / TOMB_EVERY
+    per_period = 2.0 + 2.0 / RECONNECT_PERIODS
     if fault:
-        per_period += 1.0 + 4.0 * HELPERS + 2.0 * SUSPECTS_PROBED
-    return per_period * 1e6 / rules.period_us
+        per_period += 1.0 + 4.0 * INDIRECT_PROBES + 2.0 * SUSPECT_PROBES_PER_PERIOD
+    return per_period * 1e6 / settings.probe_period_us
--- a/topazbank/core/components.py
+++ b/topazbank/core/components.py
@@ -73,13 +73,13 @@
     def start(self, send: Callable[[Address, bytes], None]) -> None:
         """Begin; `send` sends a datagram."""
 
-    def datagram(self, data: bytes, source: Address) -> None:
+    def handle_datagram(self, data: bytes, source: Address) -> None:
         """A datagram has come that is not the load gossip's."""
 
     def leave(self) -> None:
         """Announce that this member leaves."""
 
-    def rest(self) -> None:
+    def suspend(self) -> None:
         """Pause: another process is this member."""
 
     def resume(self) -> None:
@@ -88,16 +88,16 @@
     def stop(self) -> None:
         """End."""
 
-    def lives(self) -> Generations:
+    def generations(self) -> Generations:
         """The generations of the cluster's members."""
 
-    def spending(self, offset_us: int) -> FleetQuota | None:
+    def fleet_quota(self, offset_us: int) -> FleetQuota | None:
         """This process's quotas; `offset_us`: how far its clock is ahead of the monotonic one."""
 
-    def show(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Its part of the status page."""
 
-    def handed(self) -> dict[str, Any]:
+    def handover_state(self) -> dict[str, Any]:
         """What the process that replaces this one needs to go on as this member."""
 
 
--- a/topazbank/core/sidecar.py
+++ b/topazbank/core/sidecar.py
@@ -117,8 +117,8 @@
         if components.cluster_membership is not None:
             membership = components.cluster_membership(self._config, self._balancer.fleet_size, cluster_state)
             self._membership = membership
-            self._balancer.set_fleet_quota(membership.spending(self._clock.offset_us))
-            on_other_datagram = membership.datagram
+            self._balancer.set_fleet_quota(membership.fleet_quota(self._clock.offset_us))
+            on_other_datagram = membership.handle_datagram
         return GossipTransport(self._config.gossip, self._gossip_received, sock, on_other_datagram)
 
     def _make_listener(self, components: Components, sock: socket.socket | None) -> Listener:
@@ -195,8 +195,8 @@
         self.listener.start()
         if self._observer is not None:
             membership = self._membership
-            lives = membership.lives if membership is not None else lambda: None
-            self._observer.start(lambda: [server.name for server in self._balancer.ejected], lives)
+            generations = membership.generations if membership is not None else lambda: None
+            self._observer.start(lambda: [server.name for server in self._balancer.ejected], generations)
 
     async def _drain_all(self, has_successor: bool) -> None:
         """Answer all requests in progress, in the time that the platform gives."""
@@ -236,7 +236,7 @@
     def pause_membership(self) -> None:
         """Leave the cluster's datagrams to another process, which is this member from now on."""
         if self._membership is not None and self._gossip is not None:
-            self._membership.rest()
+            self._membership.suspend()
             self._gossip.pause()
 
     def resume_membership(self) -> None:
@@ -252,7 +252,7 @@
     @property
     def cluster_state(self) -> dict[str, Any]:
         """What the process that replaces this one needs to know of the cluster."""
-        return self._membership.handed() if self._membership is not None else {}
+        return self._membership.handover_state() if self._membership is not None else {}
 
     @property
     def listening_sockets(self) -> list[socket.socket]:
--- a/topazbank/core/status.py
+++ b/topazbank/core/status.py
@@ -43,7 +43,7 @@
         if self._observer is not None:
             page["plan"] = self._observer.status()
         if self._membership is not None:
-            page["tier"] = self._membership.show()
+            page["tier"] = self._membership.status()
         return json.dumps(page).encode()
 
     def _endpoint_entry(self, endpoint: Endpoint, now: float) -> dict[str, Any]:
--- a/topazbank/quota/__main__.py
+++ b/topazbank/quota/__main__.py
@@ -10,7 +10,7 @@
 import sys
 from collections.abc import Iterator, Sequence
 
-from topazbank.cluster.__main__ import ask_tier
+from topazbank.cluster.__main__ import fetch_status
 from topazbank.quota.audit import audit
 from topazbank.quota.ledger_records import BadLedger, read_ledgers
 from topazbank.quota.report import audit_table, plot, status_table
@@ -25,7 +25,7 @@
 def _show(address: str) -> int:
     """Print the quotas of the sidecar at this address; the exit code."""
     try:
-        status = ask_tier(address)["budgets"]
+        status = fetch_status(address)["budgets"]
     except (OSError, ValueError) as error:
         print(f"no quotas from {address}: {error}", file=sys.stderr)
         return 1
--- a/topazbank/wiring.py
+++ b/topazbank/wiring.py
@@ -76,7 +76,7 @@
     if given.quotas:
         from topazbank.quota.service import QuotaService
 
-        service.quotas = QuotaService(
+        service.quota = QuotaService(
             given.quotas,
             service.name,
             service.address_of,
