--- a/topazbank/balancing/parts.py
+++ b/topazbank/balancing/parts.py
@@ -104,20 +104,6 @@
             self.ordering,
             self.connections,
         )
-        outcomes = AttemptOutcomes(
-            context,
-            agenda,
-            load,
-            times,
-            self.limit,
-            self.sparse,
-            self.estimator,
-            self.ejection,
-            self.retries,
-            self.ordering,
-            self.checks,
-            self.connections,
-        )
         self.lifecycle = RequestLifecycle(
             context,
             agenda,
@@ -128,8 +114,24 @@
             self.selection,
             self.checks,
             self.admission,
-            outcomes,
+            self._make_outcomes(),
             self.sender,
             self.gossip,
             self.costs.own_zone_first,
         )
+
+    def _make_outcomes(self) -> AttemptOutcomes:
+        return AttemptOutcomes(
+            self.context,
+            self.agenda,
+            self.load,
+            self.times,
+            self.limit,
+            self.sparse,
+            self.estimator,
+            self.ejection,
+            self.retries,
+            self.ordering,
+            self.checks,
+            self.connections,
+        )
