--- a/topazbank/core/attempts.py
+++ b/topazbank/core/attempts.py
@@ -60,7 +60,7 @@
         return self._written
 
     def remaining_s(self) -> float:
-        """How long its client will wait, as its server is told, seconds."""
+        """How long its client still waits, for its server, seconds."""
         now = asyncio.get_running_loop().time()
         if self.call is None or self._rules is None:
             return max(self.give_up_at - now, 0.0)
--- a/topazbank/core/bounds.py
+++ b/topazbank/core/bounds.py
@@ -1,4 +1,4 @@
-"""Upper bounds on what a whole fleet of sidecars opens, sends and polls, as formulas in its size; no I/O.
+"""Upper bounds on what an entire fleet of sidecars opens, sends and polls, as formulas in its size; no I/O.
 
 Each function names the owner of its bound: the code that enforces it.  docs/design/size.md derives the formulas.
 Assumption: each sidecar gets the same rate of requests, at random times.
--- a/topazbank/core/call.py
+++ b/topazbank/core/call.py
@@ -68,7 +68,7 @@
     content_headers: Headers | None = None  # of the body: content-type, content-encoding
     headers: Headers | None = None  # the end-to-end headers of an HTTP client, forwarded unchanged
     spooled_body: SpooledBody | None = None  # a body over BUFFERED_BODY_BYTES_MAX, in place of `body`
-    accepts_stream: bool = False  # whether its protocol server can answer before the whole body has come
+    accepts_stream: bool = False  # whether its protocol server can answer before the body is complete
     has_disconnected: Callable[[], bool] = _never_disconnected  # its client, by the kernel's state
     deadline: float = math.inf  # when its client stops waiting, seconds on the event loop's clock
     is_over: bool = False  # whether it has its answer, or its client has left
--- a/topazbank/core/connection_states.py
+++ b/topazbank/core/connection_states.py
@@ -16,11 +16,11 @@
 # Since a client's last byte.  The rest of STALL_ANSWER_S is for the sweep, a scheduling delay and the network; a much
 # lower limit would end bodies that come in pieces a second apart.
 STALL_LIMIT_S: Final = 2.5
-# For a whole head, from its first byte.  The platform allows 2 s; the rest is for bytes that are read late.
+# For a complete head, from its first byte.  The platform allows 2 s; the rest is for bytes that are read late.
 HEAD_LIMIT_S: Final = 2.75
 # Of a body, after its first STALL_LIMIT_S: half of the pace that the platform allows.
 BODY_BYTES_PER_S_MIN: Final = 32_000.0
-REQUEST_LIMIT_S: Final = 600.0  # for a whole request: 32 MB at 64 kB a second, with a margin
+REQUEST_LIMIT_S: Final = 600.0  # for a complete request: 32 MB at 64 kB a second, with a margin
 
 
 class ConnectionState(Enum):
@@ -104,7 +104,7 @@
         self._last_progress_at, self._paused_at = now, None
 
     def deadline(self) -> float:
-        """When its client must have sent all of it, as far as can be told now."""
+        """When its client must have sent all of it, as far as is known now."""
         stalled_at = self._last_progress_at + STALL_LIMIT_S
         if self._body_started_at is None:
             return min(stalled_at, self._started_at + HEAD_LIMIT_S)
--- a/topazbank/core/counters.py
+++ b/topazbank/core/counters.py
@@ -44,7 +44,7 @@
     SENT_AFTER_END = "sent_for_nobody"  # an attempt whose request is over
     NON_IDEMPOTENT_RESENT = "unsafe_resent"  # though an earlier attempt may have been executed
     SENT_TO_DRAINING = "sent_to_draining"  # after the drain grace
-    TIMEOUT_BEYOND_CLIENT = "budget_beyond_client"  # a server is told more time than its client has left
+    TIMEOUT_BEYOND_CLIENT = "budget_beyond_client"  # a server gets a longer timeout than its client waits
     LIMIT_CHECK_FAILED = "limits_not_looked_at"  # the check of a connection's limit raised an error
 
 
--- a/topazbank/core/request_rules.py
+++ b/topazbank/core/request_rules.py
@@ -6,7 +6,7 @@
 - an attempt begins only for a request without an answer, before its deadline, whose client is connected;
 - an attempt of a non-idempotent class begins only if every earlier one provably was not executed;
 - nothing begins at a server that has been draining or removed for longer than the drain grace;
-- a server is told no more time than the client has left;
+- the timeout that a server gets is no longer than the time the client has left;
 - an answer goes out before the client's deadline.
 
 What a caller should have prevented and did not is counted as a violation, and not done.  All times are seconds of the
@@ -87,7 +87,7 @@
             call.possibly_executed -= 1
 
     def remaining_s(self, call: Call, give_up_at: float, now: float) -> float:
-        """How long the client waits, as the server of an attempt is told, seconds."""
+        """How long the client still waits, for the server of an attempt, seconds."""
         if give_up_at > call.deadline + SCHEDULING_DELAY_S:
             self._counters.violation(Violation.TIMEOUT_BEYOND_CLIENT, f"request {call.call_id}")
         return max(min(give_up_at, call.deadline) - now, 0.0)
