--- a/tests/msgpackrpc/test_mapping.py
+++ b/tests/msgpackrpc/test_mapping.py
@@ -13,7 +13,7 @@
 from topazbank.balancing.events import Outcome
 from topazbank.core.call import Call, FinalAnswer, Verdict
 from topazbank.core.request_checks import InvalidRequest, RequestClasses
-from topazbank.http.client import write_request
+from topazbank.http.request_writing import format_request
 from topazbank.msgpackrpc.codec import Decoder, Reply, Request, encode_request
 from topazbank.msgpackrpc.mapping import read_call, read_reply, write_answer, write_call
 
@@ -71,7 +71,7 @@
 
 def test_a_call_crosses_to_an_http_node_with_every_field_in_its_header() -> None:
     call = read("amend", idempotency_key="k-1", again=True, cost_us=5, type="text/plain")
-    head, _, body = write_request(call, 0.5).partition(b"\r\n\r\n")
+    head, _, body = format_request(call, 0.5).partition(b"\r\n\r\n")
     first, *headers = head.split(b"\r\n")
     assert first == b"POST /api/7f?q=1 HTTP/1.1" and body == b"\0b"
     for each in (
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -36,8 +36,11 @@
 from topazbank.core.reports import parse_report
 from topazbank.core.request_checks import RequestClasses
 from topazbank.core.upstream_client import ConnectionLimit
-from topazbank.http.client import HttpUpstreamClient, judge, write_request
-from topazbank.http.connection import HttpResponse, connect
+from topazbank.http.attempt import classify_outcome
+from topazbank.http.client import HttpUpstreamClient
+from topazbank.http.connection import connect
+from topazbank.http.messages import HttpResponse
+from topazbank.http.request_writing import format_request
 from topazbank.msgpackrpc.client import RpcUpstreamClient
 
 
@@ -372,7 +375,7 @@
 
 
 def data(body: bytes = b"") -> bytes:
-    return write_request(a_call(body), 5.0)
+    return format_request(a_call(body), 5.0)
 
 
 def test_a_break_before_the_last_byte_was_written_proves_that_it_never_ran() -> None:
@@ -386,7 +389,7 @@
         assert not connection.written
         other.close()  # with bytes unread: a reset
         assert await asyncio.wait_for(ended, PATIENCE_S) is None
-        assert judge(None, connection.written, connection.spoilt) is Outcome.CONNECT_FAILED
+        assert classify_outcome(None, connection.written, connection.malformed) is Outcome.CONNECT_FAILED
         listener.close()
 
     play(scene())
@@ -407,7 +410,7 @@
         await until(lambda: connection.written)
         reset(writer)
         assert await asyncio.wait_for(ended, PATIENCE_S) is None
-        assert judge(None, connection.written, connection.spoilt) is Outcome.CONNECTION_LOST
+        assert classify_outcome(None, connection.written, connection.malformed) is Outcome.CONNECTION_LOST
         listener.close()
 
     play(scene())
--- a/tests/test_fast_parser.py
+++ b/tests/test_fast_parser.py
@@ -1,31 +1,30 @@
-"""What is read without h11 is read as h11 would read it, or not at all."""
+"""The fast parser reads a message as h11 does, or leaves it to h11."""
 
 from __future__ import annotations
 
 import h11
 import pytest
-from hypothesis import given
-from hypothesis import settings as how
+from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from topazbank.http.connection import _answer_reader
-from topazbank.http.fast_parser import read_request, read_response
+from topazbank.http.fast_parser import parse_request, parse_response
+from topazbank.http.response_reading import new_response_reader
 
-MOST = 1000
-PLAIN = b"POST /api/7f HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: \t c-1 \r\nX-Empty:\r\nContent-Length: 3\r\n\r\nabc"
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: a/b; c=d\r\nX-Load-Report: TEXT util=0.5\r\ncontent-LENGTH: 3\r\n\r\nabc"
+BODY_BYTES_MAX = 1000
+REQUEST = b"POST /api/7f HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: \t c-1 \r\nX-Empty:\r\nContent-Length: 3\r\n\r\nabc"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Type: a/b; c=d\r\nX-Load-Report: TEXT util=0.5\r\ncontent-LENGTH: 3\r\n\r\nabc"
 
 
-def by_h11(reader: h11.Connection, data: bytes, head: type) -> object:
-    """The head, the headers and the body as h11 has them; None where it is not whole, or there is more, or an error."""
+def parse_with_h11(reader: h11.Connection, data: bytes, head_type: type) -> object:
+    """Start line, headers and body as h11 reads them; None where it is incomplete, malformed, or followed by more."""
     reader.receive_data(data)
-    found: h11.Request | h11.Response | None = None
+    head: h11.Request | h11.Response | None = None
     body = b""
     try:
         while True:
             event = reader.next_event()
-            if isinstance(event, h11.Request | h11.Response) and isinstance(event, head):
-                found = event
+            if isinstance(event, h11.Request | h11.Response) and isinstance(event, head_type):
+                head = event
             elif isinstance(event, h11.Data):
                 body += event.data
             elif isinstance(event, h11.EndOfMessage):
@@ -34,39 +33,40 @@
                 return None
     except h11.RemoteProtocolError:
         return None
-    if found is None or reader.trailing_data[0]:
+    if head is None or reader.trailing_data[0]:
         return None
-    first = (found.method, found.target) if isinstance(found, h11.Request) else found.status_code
-    if found.http_version != b"1.1" or reader.their_state is not h11.DONE:
-        return None  # the connection ends with it: nothing that is read here says so
-    return first, list(found.headers), body
+    start = (head.method, head.target) if isinstance(head, h11.Request) else head.status_code
+    if head.http_version != b"1.1" or reader.their_state is not h11.DONE:
+        return None  # the connection ends with it, which the fast parser accepts of no message
+    return start, list(head.headers), body
 
 
 def check_request(data: bytes) -> bool:
-    whole = read_request(data, MOST)
-    if whole is not None:
-        head, body = whole
-        assert by_h11(h11.Connection(h11.SERVER), data, h11.Request) == (
-            (head.method, head.target),
-            head.headers,
-            body,
-        )
-    return whole is not None
+    """Check that h11 agrees if the fast parser accepts a request; return whether it does."""
+    request = parse_request(data, BODY_BYTES_MAX)
+    if request is not None:
+        expected = parse_with_h11(h11.Connection(h11.SERVER), data, h11.Request)
+        assert expected == ((request.method, request.target), request.headers, request.body)
+        assert request.http_version == b"1.1"
+    return request is not None
 
 
 def check_response(data: bytes) -> bool:
-    whole = read_response(data, MOST)
-    if whole is not None:
-        assert by_h11(_answer_reader(), data, h11.Response) == whole
-    return whole is not None
+    """Check that h11 agrees if the fast parser accepts a response; return whether it does."""
+    response = parse_response(data, BODY_BYTES_MAX)
+    if response is not None:
+        expected = parse_with_h11(new_response_reader(), data, h11.Response)
+        assert expected == (response.status, response.headers, response.body)
+        assert response.stream is None
+    return response is not None
 
 
-def test_plain_messages_are_read() -> None:
-    assert check_request(PLAIN) and check_response(ANSWER)
+def test_plain_messages_are_accepted() -> None:
+    assert check_request(REQUEST) and check_response(RESPONSE)
     assert check_request(b"GET /health/ready HTTP/1.1\r\nhost: x\r\n\r\n")
 
 
-ODD = [
+NOT_PLAIN_HEADERS = [
     b"",
     b"Content-Length: 3\r\nContent-Length: 3",
     b"Content-Length: 3\r\nContent-Length: 4",
@@ -95,14 +95,14 @@
 ]
 
 
-@pytest.mark.parametrize("lines", ODD)
-def test_what_is_not_plain_is_left_to_h11(lines: bytes) -> None:
+@pytest.mark.parametrize("lines", NOT_PLAIN_HEADERS)
+def test_messages_with_unusual_headers_are_left_to_h11(lines: bytes) -> None:
     assert not check_request(b"POST /api HTTP/1.1\r\nHost: x\r\n" + lines + b"\r\n\r\nabc")
     assert not check_response(b"HTTP/1.1 200 OK\r\nX: y\r\n" + lines + b"\r\n\r\nabc")
 
 
 @pytest.mark.parametrize(
-    "first",
+    "line",
     [
         b"POST /api HTTP/1.0",
         b"POST /api HTTP/1.2",
@@ -117,44 +117,47 @@
         b"POST /\x80 HTTP/1.1",
     ],
 )
-def test_other_first_lines_are_left_to_h11(first: bytes) -> None:
-    assert not check_request(first + b"\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc")
+def test_unusual_request_lines_are_left_to_h11(line: bytes) -> None:
+    assert not check_request(line + b"\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc")
 
 
 @pytest.mark.parametrize("hosts", [b"", b"Host: x\r\nHost: x\r\n"])
-def test_a_request_without_one_host_is_left_to_h11(hosts: bytes) -> None:
+def test_a_request_without_exactly_one_host_is_left_to_h11(hosts: bytes) -> None:
     assert not check_request(b"GET /api HTTP/1.1\r\n" + hosts + b"X: y\r\n\r\n")
 
 
 @pytest.mark.parametrize("status", [b"100", b"101", b"199", b"204", b"205", b"304", b"600", b"2000", b"20"])
-def test_answers_that_hold_no_body_or_are_not_the_last_are_left_to_h11(status: bytes) -> None:
+def test_bodiless_and_interim_responses_are_left_to_h11(status: bytes) -> None:
     assert not check_response(b"HTTP/1.1 " + status + b" X\r\nContent-Length: 3\r\n\r\nabc")
 
 
-def test_every_cut_and_all_that_follows_is_left_to_h11() -> None:
-    for at in range(len(PLAIN)):
-        assert read_request(PLAIN[:at], MOST) is None
-    for at in range(len(ANSWER)):
-        assert read_response(ANSWER[:at], MOST) is None
-    assert read_request(PLAIN + b"G", MOST) is None and read_response(ANSWER + b"H", MOST) is None
-    assert read_request(PLAIN, 2) is None and read_response(ANSWER, 2) is None
-    assert read_request(b"GET / HTTP/1.1\r\nHost: x\r\nX: " + b"y" * 9000 + b"\r\n\r\n", MOST) is None
+def test_truncated_too_long_and_followed_messages_are_left_to_h11() -> None:
+    for end in range(len(REQUEST)):
+        assert parse_request(REQUEST[:end], BODY_BYTES_MAX) is None
+    for end in range(len(RESPONSE)):
+        assert parse_response(RESPONSE[:end], BODY_BYTES_MAX) is None
+    assert (
+        parse_request(REQUEST + b"G", BODY_BYTES_MAX) is None
+        and parse_response(RESPONSE + b"H", BODY_BYTES_MAX) is None
+    )
+    assert parse_request(REQUEST, 2) is None and parse_response(RESPONSE, 2) is None
+    assert (
+        parse_request(b"GET / HTTP/1.1\r\nHost: x\r\nX: " + b"y" * 9000 + b"\r\n\r\n", BODY_BYTES_MAX) is None
+    )
 
 
-_bytes = st.sampled_from(
+_fragments = st.sampled_from(
     [b"\r", b"\n", b"\r\n", b" ", b"\t", b":", b"\x00", b"\x7f", b"\xe9", b"0", b"3", b",", b"x", b""]
 )
+_changes = st.lists(st.tuples(st.integers(0, 130), st.integers(0, 3), _fragments), max_size=3)
 
 
-_changes = st.lists(st.tuples(st.integers(0, 130), st.integers(0, 3), _bytes), max_size=3)
-
-
-@how(max_examples=400, deadline=None)
-@given(st.sampled_from([PLAIN, ANSWER]), _changes)
-def test_whatever_is_done_to_a_message_the_two_agree(
+@settings(max_examples=400, deadline=None)
+@given(st.sampled_from([REQUEST, RESPONSE]), _changes)
+def test_both_parsers_agree_on_mutated_messages(
     message: bytes, changes: list[tuple[int, int, bytes]]
 ) -> None:
-    for at, dropped, put in changes:
-        message = message[:at] + put + message[at + dropped :]
+    for start, removed, inserted in changes:
+        message = message[:start] + inserted + message[start + removed :]
     check_request(message)
     check_response(message)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -286,13 +286,13 @@
     async def scene() -> None:
         async with world(served, sockets=50) as w:
             room: list[bool] = []
-            over = HttpConnection._over
+            over = HttpConnection._answer_sent
 
             def crossed(connection: HttpConnection, *args: Any) -> None:
                 over(connection, *args)
                 room.append(w.sidecar.listener.table.evict())
 
-            monkeypatch.setattr(HttpConnection, "_over", crossed)
+            monkeypatch.setattr(HttpConnection, "_answer_sent", crossed)
             one = await client(w.sidecar.listener.address)
             one.send(request() + request(X_Call_Id="ahead"))
             for _ in range(2):
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -337,7 +337,7 @@
 
 
 def test_an_answer_without_end_is_ended_in_time_however_it_drips(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection, "_STREAM_S", 0.3)
+    monkeypatch.setattr(connection, "_STREAM_LIMIT_S", 0.3)
 
     async def scene() -> None:
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/topazbank/discovery/registry_client.py
+++ b/topazbank/discovery/registry_client.py
@@ -8,7 +8,8 @@
 from topazbank.core.endpoint_source import EndpointList
 from topazbank.core.net import Address
 from topazbank.discovery.list_format import parse_list
-from topazbank.http.connection import Connection, HttpResponse, connect, message
+from topazbank.http.connection import UpstreamConnection, connect
+from topazbank.http.messages import HttpResponse, format_message
 
 _LIST_PATH = "/registry/instances"
 _CONNECT_TIMEOUT_S = 1.5  # the kernel repeats a lost SYN after 1 s
@@ -61,7 +62,7 @@
         connection.abort()
 
 
-async def _connect(address: Address) -> Connection:
+async def _connect(address: Address) -> UpstreamConnection:
     """A connection that can't be established is an error and not a timeout: the registry has withheld no change."""
     try:
         async with asyncio.timeout(_CONNECT_TIMEOUT_S):
@@ -70,10 +71,12 @@
         raise RegistryError("the connection can't be established") from None
 
 
-async def _exchange(connection: Connection, address: Address, target: str) -> HttpResponse | None:
+async def _exchange(connection: UpstreamConnection, address: Address, target: str) -> HttpResponse | None:
     response: asyncio.Future[HttpResponse | None] = asyncio.get_running_loop().create_future()
     host = f"{address[0]}:{address[1]}".encode()
-    request = message(b"GET %b HTTP/1.1" % target.encode(), [(b"Host", host), (b"Connection", b"close")])
+    request = format_message(
+        b"GET %b HTTP/1.1" % target.encode(), [(b"Host", host), (b"Connection", b"close")]
+    )
 
     def response_received(received: HttpResponse | None) -> None:
         if not response.done():
--- a/topazbank/http/__init__.py
+++ b/topazbank/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1: the front that clients speak to and the carrier that speaks to nodes."""
+"""HTTP/1.1: the server that clients speak to and the client that speaks to servers (RFC 9110, RFC 9112)."""
--- a/topazbank/http/connection.py
+++ b/topazbank/http/connection.py
@@ -1,394 +1,383 @@
-"""HTTP/1.1 messages and one client connection; h11 reads, and what goes out is joined by hand."""
+"""One connection to a server: writes a request, reads its response, and streams a large response to the client.
+
+Promise: it is known whether a request's last byte has gone to the kernel, and a connection is reusable only if its last
+exchange ended exactly where the framing says.  h11 parses what the fast parser leaves.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 import socket
-from collections.abc import Callable, Iterable, Iterator
-from dataclasses import dataclass
+from collections.abc import Callable, Iterator
 from functools import partial
-from typing import Any
+from typing import Final
 
 import h11
 
 from topazbank.core.body import BODY_BYTES_MAX, ResponseStream
 from topazbank.core.call import Headers
 from topazbank.core.net import Address, SharedBufferProtocol, has_nothing_unread, new_socket
-from topazbank.http.fast_parser import read_response
-
-log = logging.getLogger(__name__)
-
-_SLOW_S = 0.03  # an answer that tells no length, and is not whole so long after its first bytes, is passed on
-_PIECES_AT_ONCE = 16  # of a large body, before others have their turn
-_STREAM_STALL_S = 20.0  # a server that gives nothing more of a large answer for so long has gone
-_STREAM_S = 600.0  # and what a large answer may take in all: 32 MB at 64 kB a second, and some more
-_HINTS_MOST = 8  # 1xx answers ahead of the one that counts
-_FRAMING = (b"content-length", b"transfer-encoding")
-_BODILESS = (204, 304)  # statuses whose answers hold no body, whatever their head says
-_HOP_BY_HOP = frozenset(
-    (b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade")
+from topazbank.http.fast_parser import parse_response
+from topazbank.http.messages import HttpResponse, data_bytes
+from topazbank.http.response_reading import (
+    BODILESS_STATUSES,
+    body_follows_head,
+    declared_length,
+    has_defined_end,
+    new_response_reader,
 )
-ABOUT_BODY = (b"content-type", b"content-encoding")  # of a message's headers, these say how to read its body
-
-
-def end_to_end(headers: Iterable[tuple[bytes, bytes]], *dropped: bytes) -> Headers:
-    """What may be passed on: no header that belongs to one connection, nor those named."""
-    return [(n, v) for n, v in headers if n not in _HOP_BY_HOP and n not in dropped]
-
 
-def message(first: bytes, headers: Headers, body: bytes = b"") -> bytes:
-    """The bytes of a request or an answer.
-
-    h11 only reads here: at hundreds of requests a second its checks of what goes out take a good part of the
-    CPU.  All parts are our own or were read by it, so none can hide the end of a line.
-    """
-    return b"\r\n".join([first, *[b"%b: %b" % each for each in headers], b"", body])
-
-
-def data_of(event: Any) -> bytes:
-    """What an h11.Data holds: a bytearray, though h11 says bytes; compiled code takes types at their word."""
-    return bytes(event.data)
-
-
-@dataclass(slots=True)
-class HttpResponse:
-    """An answer: whole, or the beginning of a large one."""
+log = logging.getLogger(__name__)
 
-    status: int
-    headers: Headers
-    body: bytes
-    stream: ResponseStream | None = None  # it has only begun: this is the rest
+_SLOW_RESPONSE_S: Final = 0.03  # a response of unknown length is streamed if it is incomplete after so long
+_CHUNKS_PER_TURN: Final = 16  # of a large request body, before the event loop turns to others
+_STREAM_STALL_S: Final = 20.0  # without a byte of a streamed response
+_STREAM_LIMIT_S: Final = 600.0  # for all of a streamed response: 32 MB at 64 kB a second, with a margin
+_INTERIM_RESPONSES_MAX: Final = 8  # 1xx responses before the final one
 
-    def header(self, name: bytes) -> str | None:
-        return next((v.decode("latin-1") for n, v in self.headers if n == name), None)
+ResponseCallback = Callable[[HttpResponse | None], None]
 
 
-_ASKED = (h11.Request(method="GET", target="/", headers=[("Host", "-")]), h11.EndOfMessage())
+def _ignore_lost() -> None:
+    pass
 
 
-def _answer_reader() -> h11.Connection:
-    """What reads one answer; it need not know the request, as none here is a HEAD or a CONNECT."""
-    reader = h11.Connection(h11.CLIENT)
-    for event in _ASKED:
-        reader.send(event)
-    return reader
+def _ignore_stream_end(complete: bool) -> None:
+    pass
 
 
-class Connection(SharedBufferProtocol):
+class UpstreamConnection(SharedBufferProtocol):
     """One connection to a server; it carries one request at a time."""
 
-    def __init__(self, sock: socket.socket, body_most: int, stall_s: float | None = None) -> None:
+    def __init__(self, sock: socket.socket, body_bytes_max: int, stall_s: float | None = None) -> None:
+        """`body_bytes_max`: a longer response is streamed or fails.
+
+        `stall_s`: how long a response that has begun may make no progress; None: its attempt's deadline bounds it.
+        """
         self.sock = sock
         self.reusable = True
-        self.spoilt = False  # whether it has answered with what is no answer
-        self._body_most = body_most
-        self._stall_s = stall_s  # what an answer that has begun may take; None: bounded elsewhere
-        self._stall: asyncio.TimerHandle | None = None
-        self._slow: asyncio.TimerHandle | None = (
-            None  # when an answer of unknown length is passed on as it comes
-        )
-        self._hints = 0  # 1xx answers to the request that is out
-        self._h11: h11.Connection | None = None  # reads an answer that did not come whole and plain
+        self.malformed = False  # whether what came was no valid response
+        self.written = False  # whether the request's last byte has gone to the kernel
+        self.on_lost: Callable[[], None] = _ignore_lost
+        self.on_stream_end: Callable[[bool], None] = _ignore_stream_end  # called with whether it was complete
         self._transport: asyncio.Transport | None = None
-        self._ended: Callable[[HttpResponse | None], None] | None = None
-        self._written = False
+        self._body_bytes_max = body_bytes_max
+        self._stall_s = stall_s
+        self._stall_timer: asyncio.TimerHandle | None = None
+        self._slow_timer: asyncio.TimerHandle | None = None  # when a response of unknown length is streamed
+        # The exchange in progress.
+        self._on_response: ResponseCallback | None = None
+        self._request_rest: Iterator[bytes] | None = None  # chunks of its body that are not written yet
+        self._accepts_stream = False
+        self._interim_responses = 0
+        self._reader: h11.Connection | None = None  # of a response that the fast parser did not accept
         self._head: h11.Response | None = None
-        self._headers: Headers = []  # its: h11 makes each pair anew whenever they are gone through
+        self._headers: Headers = []  # of _head: h11 builds each pair anew whenever they are iterated
         self._body = bytearray()
-        self._rest: Iterator[bytes] | None = None  # of the request: pieces that are not written yet
-        self._may_stream = False  # whether a large answer is passed on as it comes
-        self._stream: ResponseStream | None = None  # the one that is
-        self._most: asyncio.TimerHandle | None = None  # when it is given up
-        self._paused = False  # whether it waits for its client
-        self.on_lost: Callable[[], None] = lambda: None
-        self.on_stream_end: Callable[[bool], None] = lambda whole: None
+        # The streamed response in progress.
+        self._stream: ResponseStream | None = None
+        self._stream_timer: asyncio.TimerHandle | None = None
+        self._reading_paused = False  # because its client does not read
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Begin (called by asyncio)."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        transport.set_write_buffer_limits(high=0)  # so that an emptied buffer is told of
+        transport.set_write_buffer_limits(
+            high=0
+        )  # so that resume_writing means that all has gone to the kernel
 
-    @property
-    def written(self) -> bool:
-        """Whether the request's last byte has gone to the kernel."""
-        return self._written
+    def connection_lost(self, exc: Exception | None) -> None:
+        """End the exchange in progress (called by asyncio)."""
+        self.reusable = False
+        self._cancel_timers()
+        on_response, self._on_response = self._on_response, None
+        if on_response is not None:
+            on_response(None)
+        self._end_stream(False)
+        self.on_lost()
 
     def is_idle(self) -> bool:
-        """Whether it may carry another request: guards against EOF or bytes that nobody has read yet."""
-        open_ = self._transport is not None and not self._transport.is_closing()
-        busy = self._ended is not None or self._stream is not None
-        return open_ and self.reusable and not busy and has_nothing_unread(self.sock)
+        """Whether it may carry another request; an end or bytes that nobody has read yet rule that out."""
+        is_open = self._transport is not None and not self._transport.is_closing()
+        busy = self._on_response is not None or self._stream is not None
+        return is_open and self.reusable and not busy and has_nothing_unread(self.sock)
+
+    def abort(self) -> None:
+        """Close at once; what is not written yet never will be."""
+        self.reusable = False
+        if self._transport is not None:
+            self._transport.abort()
+
+    # -- Writing a request ----------------------------------------------------------------------------
 
     def request(
         self,
         data: bytes,
-        ended: Callable[[HttpResponse | None], None],
+        on_response: ResponseCallback,
         rest: Iterator[bytes] | None = None,
-        may_stream: bool = False,
+        accepts_stream: bool = False,
     ) -> None:
-        """Write a request; `ended` is called once, with the answer or with None if it broke.
+        """Write a request; `on_response` is called once, with the response or with None if the exchange failed.
 
-        `rest`: of its body, pieces to be written as the server takes them.  `may_stream`: an answer over the bound is
-        given as soon as it has begun; `on_stream_end` then tells of its end.
+        `rest`: chunks of its body behind `data`, written as the server reads them.  `accepts_stream`: a response over
+        the bound is passed on once it has begun; `on_stream_end` is called at its end.
         """
         assert self._transport is not None
-        self._ended, self._written, self._hints = ended, False, 0
-        self._h11 = None
-        self._rest, self._may_stream = rest, may_stream
+        self._on_response, self.written, self._interim_responses = on_response, False, 0
+        self._reader = None
+        self._request_rest, self._accepts_stream = rest, accepts_stream
         self._write(data)
 
     def _write(self, data: bytes) -> None:
-        """Write this, and what follows as far as the kernel takes it at once."""
+        """Write `data`, and the chunks that follow as far as the kernel accepts them at once."""
         transport = self._transport
         assert transport is not None
-        for _ in range(_PIECES_AT_ONCE):
+        for _ in range(_CHUNKS_PER_TURN):
             transport.write(data)
             # A failed write closes the transport and empties its buffer, with nothing of it sent.
             if transport.is_closing() or transport.get_write_buffer_size():
-                return  # the next piece is written once this one is
-            data = next(self._rest, b"") if self._rest is not None else b""
+                return  # resume_writing goes on
+            data = self._next_chunk()
             if not data:
-                self._written = True
+                self.written = True
                 return
-        asyncio.get_running_loop().call_soon(self._write_on, data)
+        asyncio.get_running_loop().call_soon(self._continue_writing, data)
+
+    def _next_chunk(self) -> bytes:
+        return next(self._request_rest, b"") if self._request_rest is not None else b""
 
-    def _write_on(self, data: bytes) -> None:
-        if self._ended is not None and self._transport is not None and not self._transport.is_closing():
+    def _continue_writing(self, data: bytes) -> None:
+        if self._on_response is not None and self._transport is not None and not self._transport.is_closing():
             self._write(data)
 
     def resume_writing(self) -> None:
-        if self._ended is None:
+        """Go on with the request: the kernel has accepted all that was written (called by asyncio)."""
+        if self._on_response is None:
             return
-        data = next(self._rest, b"") if self._rest is not None else b""
+        data = self._next_chunk()
         if data:
             self._write(data)
         else:
-            self._written = True
+            self.written = True
+
+    # -- Reading a response ---------------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
+        """Read what has come (called by asyncio)."""
         if self._stream is not None:
-            self._feed(data)
-            self._wait_for_more(_STREAM_STALL_S)
+            self._parse(data)
+            self._restart_stall_timer(_STREAM_STALL_S)
             return
-        if self._ended is None:
-            self.abort()  # stray bytes: what they answer is anyone's guess
+        if self._on_response is None:
+            self.abort()  # unsolicited: no request can be matched to it (RFC 9112, 9.2)
             return
-        if self._h11 is None:
-            whole = read_response(data, self._body_most)
-            if whole is not None:
-                self._finish(HttpResponse(*whole), True)
+        if self._reader is None:
+            plain = parse_response(data, self._body_bytes_max)
+            if plain is not None:
+                self._finish(plain, True)
                 return
-        self._feed(data)
-        if self._stall_s is not None and self._has_begun():
-            self._wait_for_more(_STREAM_STALL_S if self._stream is not None else self._stall_s)
-
-    def _wait_for_more(self, limit_s: float) -> None:
-        """What has begun goes on within this time, or is given up."""
-        self._end_stall()
-        if not self._paused and (self._ended is not None or self._stream is not None):
-            self._stall = asyncio.get_running_loop().call_later(limit_s, self._spoil, "it stalled")
+        self._parse(data)
+        if self._stall_s is not None and self._has_partial_response():
+            self._restart_stall_timer(_STREAM_STALL_S if self._stream is not None else self._stall_s)
 
     def eof_received(self) -> bool:
-        if self._ended is not None or self._stream is not None:
-            self._feed(b"")
+        """End a response that ends with its connection (called by asyncio)."""
+        if self._on_response is not None or self._stream is not None:
+            self._parse(b"")
         return False
 
-    # -- Large answers: passed on as they come --------------------------------------------------------
-
-    def _begin_stream(self, length: int | None) -> None:
-        """Give what is here; the rest follows as the client takes it."""
-        assert self._head is not None
-        if not self._written:
-            self._spoil("it came before its request was written")
-            return
-        self._end_stall()
-        stream = ResponseStream(length, bytes(self._body), self._pause, self.abort)
-        self._stream, self._body = stream, bytearray()
-        self._most = asyncio.get_running_loop().call_later(_STREAM_S, self._spoil, "no end of it")
-        ended, self._ended = self._ended, None
-        if ended is not None:
-            ended(HttpResponse(self._head.status_code, self._headers, b"", stream))
-
-    def _pause(self, paused: bool) -> None:
-        """Stop reading while the client does not take what is here."""
-        if self._transport is None or self._transport.is_closing() or paused is self._paused:
-            return
-        self._paused = paused
-        if paused:
-            self._end_stall()
-            self._transport.pause_reading()
-        else:
-            self._transport.resume_reading()
-            self._wait_for_more(_STREAM_STALL_S)
-
-    def _end_stream(self, whole: bool, reusable: bool = False) -> None:
-        stream, self._stream = self._stream, None
-        if stream is None:
-            return
-        self._head = None
-        self._end_stall()
-        if self._most is not None:
-            self._most.cancel()
-        if self._paused:
-            self._pause(False)
-        if not reusable or not self._written:
-            self.abort()
-        stream.finish(whole)
-        self.on_stream_end(whole)
-
-    def _has_begun(self) -> bool:
-        """Whether a part of the answer is here, and not all of it."""
-        begun = self._h11 is not None and bool(self._h11.trailing_data[0])
-        return self._ended is not None and (self._head is not None or begun)
-
-    def _feed(self, data: bytes) -> None:
-        if self._h11 is None:
-            self._h11 = _answer_reader()
+    def _parse(self, data: bytes) -> None:
+        if self._reader is None:
+            self._reader = new_response_reader()
         try:
-            self._h11.receive_data(data)
-            while self._next_event(self._h11):
+            self._reader.receive_data(data)
+            while self._handle_event(self._reader):
                 pass
-        except h11.RemoteProtocolError as broken:
+        except h11.RemoteProtocolError as error:
             if data:
-                self._spoil(str(broken))
+                self._fail_malformed(str(error))
             elif self._stream is not None:
                 self._end_stream(False)
             else:
-                self._finish(None)  # cut short by the end of the connection
-
-    def _spoil(self, why: str) -> None:
-        """Give up on an answer that is none: the request ran, and the connection is of no further use."""
-        log.debug("answer spoilt: %s", why)
-        self.spoilt = True
-        if self._stream is not None:
-            self._end_stream(False)
-        else:
-            self._finish(None)
+                self._finish(None)  # truncated by the end of the connection
 
-    def _next_event(self, reader: h11.Connection) -> bool:
+    def _handle_event(self, reader: h11.Connection) -> bool:
+        """Handle one event of the parser; return whether to go on."""
         event = reader.next_event()
         if isinstance(event, h11.InformationalResponse):
-            self._hints += 1
-            if self._hints > _HINTS_MOST:
-                self._spoil("no end of 1xx answers")
+            self._interim_responses += 1
+            if self._interim_responses > _INTERIM_RESPONSES_MAX:
+                self._fail_malformed("too many 1xx responses")
                 return False
         elif isinstance(event, h11.Response):
-            self._head, self._headers = event, list(event.headers)
-            length = next((v for n, v in self._headers if n == b"content-length"), b"0")
-            if int(length) > self._body_most:
-                return self._is_too_long(int(length))
-            return not self._is_all_here(reader)
+            return self._handle_head(event, reader)
         elif isinstance(event, h11.Data):
-            if self._stream is not None:
-                self._stream.feed(data_of(event))
-                return self._stream is not None
-            self._body += data_of(event)
-            if len(self._body) > self._body_most:
-                return self._is_too_long(None)
-            if self._may_stream and self._slow is None:
-                self._slow = asyncio.get_running_loop().call_later(_SLOW_S, self._is_slow)
+            return self._handle_data(data_bytes(event))
         elif isinstance(event, h11.EndOfMessage):
             done = reader.our_state is h11.DONE and reader.their_state is h11.DONE
+            reusable = done and not reader.trailing_data[0]
             if self._stream is not None:
-                self._end_stream(True, done and not reader.trailing_data[0])
-                return False
-            self._finish(self._response(), done and not reader.trailing_data[0])
+                self._end_stream(True, reusable)
+            else:
+                self._finish(self._buffered_response(), reusable)
             return False
         return not isinstance(event, h11.ConnectionClosed | type(h11.NEED_DATA))
 
-    def _is_too_long(self, length: int | None) -> bool:
-        """An answer is over the bound: pass it on as it comes, or give up on it; say whether more is to be read."""
-        served = self._head is not None and self._head.status_code == 200
-        if self._may_stream and served and self._is_framed() and (length or 0) <= BODY_BYTES_MAX:
-            self._begin_stream(length)
-        else:
-            self._spoil("too long")
-        return self._stream is not None
-
-    def _is_slow(self) -> None:
-        """An answer that tells no length comes slowly: it may be a large one, whose first bytes are its time."""
-        self._slow = None
-        served = self._head is not None and self._head.status_code == 200
-        unknown = served and not any(name == b"content-length" for name, _ in self._headers)
-        if unknown and self._is_framed() and self._body and self._ended is not None:
-            self._is_too_long(None)
-            self._wait_for_more(_STREAM_STALL_S)
-
-    def _is_all_here(self, reader: h11.Connection) -> bool:
-        """Finish at once with a body that came with its head, as most do: that spares h11 two events."""
-        assert self._head is not None
-        framing = {name: value for name, value in self._headers if name in _FRAMING}
+    def _handle_head(self, head: h11.Response, reader: h11.Connection) -> bool:
+        self._head, self._headers = head, list(head.headers)
+        length = declared_length(self._headers)
+        if length is not None and length > self._body_bytes_max:
+            return self._body_too_long(length)
         rest = reader.trailing_data[0]
-        if list(framing) != [b"content-length"] or int(framing[b"content-length"]) != len(rest):
-            return False
-        if self._head.status_code in _BODILESS:
-            return False
-        self._body += rest
-        self._finish(self._response(), reader.our_state is h11.DONE)
+        if not body_follows_head(self._headers, head.status_code, rest):
+            return True
+        self._body += rest  # spares h11 two events
+        self._finish(self._buffered_response(), reader.our_state is h11.DONE)
+        return False
+
+    def _handle_data(self, data: bytes) -> bool:
+        if self._stream is not None:
+            self._stream.feed(data)
+            return self._stream is not None
+        self._body += data
+        if len(self._body) > self._body_bytes_max:
+            return self._body_too_long(None)
+        if self._accepts_stream and self._slow_timer is None:
+            loop = asyncio.get_running_loop()
+            self._slow_timer = loop.call_later(_SLOW_RESPONSE_S, self._response_is_slow)
         return True
 
-    def _response(self) -> HttpResponse | None:
+    def _has_partial_response(self) -> bool:
+        """Whether part of the response has come, and not all of it."""
+        begun = self._reader is not None and bool(self._reader.trailing_data[0])
+        return self._on_response is not None and (self._head is not None or begun)
+
+    def _buffered_response(self) -> HttpResponse | None:
+        """The response that has come; None where it may be truncated."""
         head = self._head
-        if head is None:
+        if head is None or not (head.status_code in BODILESS_STATUSES or has_defined_end(self._headers)):
             return None
-        response = HttpResponse(head.status_code, self._headers, bytes(self._body))
-        return response if head.status_code in _BODILESS or self._is_framed() else None
-
-    def _is_framed(self) -> bool:
-        """Whether its end can be told: by its framing, or by that of a connection that is said to end with it.
+        return HttpResponse(head.status_code, self._headers, bytes(self._body))
 
-        Any other answer that ends with its connection can't be told from one cut short.
-        """
-        if any(name in _FRAMING for name, _ in self._headers):
-            return True
-        said = (value.lower() for name, value in self._headers if name == b"connection")
-        return any(b"close" in each for each in said)
+    def _fail_malformed(self, reason: str) -> None:
+        """End the exchange: the server has sent something else than a response.  The request was executed."""
+        log.debug("malformed response: %s", reason)
+        self.malformed = True
+        if self._stream is not None:
+            self._end_stream(False)
+        else:
+            self._finish(None)
 
     def _finish(self, response: HttpResponse | None, reusable: bool = False) -> None:
-        ended, self._ended = self._ended, None
+        on_response, self._on_response = self._on_response, None
         self._head, self._body = None, bytearray()
-        self._end_stall()
-        if response is None or not reusable or not self._written:
+        self._cancel_timers()
+        if response is None or not reusable or not self.written:
             self.abort()
-        if ended is not None:
-            ended(response)
+        if on_response is not None:
+            on_response(response)
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.reusable = False
-        self._end_stall()
-        ended, self._ended = self._ended, None
-        if ended is not None:
-            ended(None)
-        self._end_stream(False)
-        self.on_lost()
+    # -- Streaming a response -------------------------------------------------------------------------
 
-    def _end_stall(self) -> None:
-        if self._slow is not None and self._ended is None:
-            self._slow.cancel()
-            self._slow = None
-        if self._stall is not None:
-            self._stall.cancel()
-            self._stall = None
+    def _body_too_long(self, length: int | None) -> bool:
+        """Stream a response that is over the bound, or fail; return whether to go on reading.
 
-    def abort(self) -> None:
-        """Close at once; what is not written yet never will be."""
-        self.reusable = False
-        if self._transport is not None:
-            self._transport.abort()
+        `length`: as declared, bytes; None: it is not known.
+        """
+        if self._accepts_stream and self._is_streamable() and (length or 0) <= BODY_BYTES_MAX:
+            self._begin_stream(length)
+        else:
+            self._fail_malformed("too long")
+        return self._stream is not None
+
+    def _is_streamable(self) -> bool:
+        return self._head is not None and self._head.status_code == 200 and has_defined_end(self._headers)
+
+    def _response_is_slow(self) -> None:
+        """Stream a response of unknown length that comes slowly: its client's deadline is for its first bytes."""
+        self._slow_timer = None
+        unknown_length = not any(name == b"content-length" for name, _ in self._headers)
+        if unknown_length and self._is_streamable() and self._body and self._on_response is not None:
+            self._body_too_long(None)
+            self._restart_stall_timer(_STREAM_STALL_S)
+
+    def _begin_stream(self, length: int | None) -> None:
+        """Pass on what has come; the rest follows as the client reads."""
+        assert self._head is not None
+        if not self.written:
+            self._fail_malformed("it came before its request was written")
+            return
+        self._cancel_timers()
+        stream = ResponseStream(length, bytes(self._body), self._pause_reading, self.abort)
+        self._stream, self._body = stream, bytearray()
+        loop = asyncio.get_running_loop()
+        self._stream_timer = loop.call_later(
+            _STREAM_LIMIT_S, self._fail_malformed, "its time limit has passed"
+        )
+        on_response, self._on_response = self._on_response, None
+        if on_response is not None:
+            on_response(HttpResponse(self._head.status_code, self._headers, b"", stream))
+
+    def _pause_reading(self, paused: bool) -> None:
+        """Read nothing while the client does not read: back-pressure on the server."""
+        if self._transport is None or self._transport.is_closing() or paused is self._reading_paused:
+            return
+        self._reading_paused = paused
+        if paused:
+            self._cancel_timers()
+            self._transport.pause_reading()
+        else:
+            self._transport.resume_reading()
+            self._restart_stall_timer(_STREAM_STALL_S)
+
+    def _end_stream(self, complete: bool, reusable: bool = False) -> None:
+        stream, self._stream = self._stream, None
+        if stream is None:
+            return
+        self._head = None
+        self._cancel_timers()
+        if self._stream_timer is not None:
+            self._stream_timer.cancel()
+        if self._reading_paused:
+            self._pause_reading(False)
+        if not reusable or not self.written:
+            self.abort()
+        stream.finish(complete)
+        self.on_stream_end(complete)
+
+    # -- Time limits ----------------------------------------------------------------------------------
+
+    def _restart_stall_timer(self, limit_s: float) -> None:
+        """Fail the response unless it goes on within `limit_s`."""
+        self._cancel_timers()
+        if not self._reading_paused and (self._on_response is not None or self._stream is not None):
+            loop = asyncio.get_running_loop()
+            self._stall_timer = loop.call_later(limit_s, self._fail_malformed, "it stalled")
+
+    def _cancel_timers(self) -> None:
+        """Cancel the stall timer, and the timer of a slow response once it has been passed on."""
+        if self._slow_timer is not None and self._on_response is None:
+            self._slow_timer.cancel()
+            self._slow_timer = None
+        if self._stall_timer is not None:
+            self._stall_timer.cancel()
+            self._stall_timer = None
 
 
 async def connect(
-    address: Address, body_most: int, stall_s: float | None = None, sock: socket.socket | None = None
-) -> Connection:
-    """Dial; raise OSError where no connection comes up."""
+    address: Address, body_bytes_max: int, stall_s: float | None = None, sock: socket.socket | None = None
+) -> UpstreamConnection:
+    """Connect to a server; raise OSError where that fails.  `sock`: a new socket to use."""
     loop = asyncio.get_running_loop()
     sock = sock or new_socket(address)
     try:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         await loop.sock_connect(sock, address)
-        _, connection = await loop.create_connection(partial(Connection, sock, body_most, stall_s), sock=sock)
+        new_connection = partial(UpstreamConnection, sock, body_bytes_max, stall_s)
+        _, connection = await loop.create_connection(new_connection, sock=sock)
     except BaseException:
         sock.close()
         raise
--- a/topazbank/http/fast_parser.py
+++ b/topazbank/http/fast_parser.py
@@ -1,45 +1,48 @@
-"""Reads messages that came whole in one read and are plain; no I/O.
+"""Parses plain messages that came complete in one read; no I/O.
 
-Most messages are: one read holds all of it and nothing else, framed by one content-length or by none, with nothing
-said of the connection.  These are read here in a fraction of the time that h11 takes; whatever else a message may be
-is h11's to read and to judge.  Nothing is taken here that h11 would read another way:
-tests/test_fast_parser.py compares the two.
+Most messages are plain: one read holds all of the message and nothing else, it has one content-length or none, and no
+header concerns the connection.  These are parsed here in a fraction of the time that h11 takes; any other message is
+left to h11.  Promise: whatever is accepted here, h11 would read the same way; tests/test_fast_parser.py compares the
+two.
 """
 
 from __future__ import annotations
 
 import re
 from dataclasses import dataclass
+from typing import Final
 
 from topazbank.core.call import Headers
+from topazbank.http.messages import HttpResponse
 
-_HEAD_MOST = 8 * 1024  # bytes: less than what h11 holds of a head
-# A first line, then names that are tokens and values of visible ASCII with blanks (RFC 9110, 5.6.2 and 5.5): no fold,
-# no control, no high byte.  It goes through a text once: none can make it go back.
-_HEAD = re.compile(rb"[ !-~]+\r\n(?:[-!#$%&'*+.^_`|~0-9A-Za-z]+:[ \t!-~]*\r\n)*")
-_REQUEST = re.compile(rb"(GET|POST) ([!-~]+) HTTP/1\.1")
-_RESPONSE = re.compile(rb"HTTP/1\.1 ([2-5][0-9][0-9]) [ !-~]*")
-_LENGTH = re.compile(rb"[0-9]{1,9}")
-_NOT_PLAIN = frozenset((b"transfer-encoding", b"connection", b"expect", b"upgrade"))
-_BODILESS = (204, 205, 304)  # statuses whose answers hold no body, whatever their head says
+_HEAD_BYTES_MAX: Final = 8 * 1024  # below h11's own limit
+# A start line, then names that are tokens and values of visible ASCII with blanks (RFC 9110, 5.6.2 and 5.5): no line
+# folding, no control characters, no high bytes.  The expression cannot backtrack: its time is linear.
+_HEAD: Final = re.compile(rb"[ !-~]+\r\n(?:[-!#$%&'*+.^_`|~0-9A-Za-z]+:[ \t!-~]*\r\n)*")
+_REQUEST_LINE: Final = re.compile(rb"(GET|POST) ([!-~]+) HTTP/1\.1")
+_STATUS_LINE: Final = re.compile(rb"HTTP/1\.1 ([2-5][0-9][0-9]) [ !-~]*")
+_LENGTH: Final = re.compile(rb"[0-9]{1,9}")
+_NOT_PLAIN: Final = frozenset((b"transfer-encoding", b"connection", b"expect", b"upgrade"))
+_BODILESS_STATUSES: Final = (204, 205, 304)  # h11 reads no body where one of these has one, or rejects it
 
 
 @dataclass(slots=True)
-class RequestHead:
-    """What h11.Request has, of a request that was read here."""
+class PlainRequest:
+    """A complete request; its head has the attributes of h11.Request."""
 
     method: bytes
     target: bytes
     headers: Headers
+    body: bytes
     http_version: bytes = b"1.1"
 
 
-def _head(data: bytes) -> tuple[bytes, Headers, int, int] | None:
-    """The first line, the headers, where the body begins, and how long it is: -1 where nothing says so."""
-    end = data.find(b"\r\n\r\n", 0, _HEAD_MOST)
+def _parse_head(data: bytes) -> tuple[bytes, Headers, int, int] | None:
+    """Start line, headers, offset of the body and its declared length, -1 where none is declared; None: not plain."""
+    end = data.find(b"\r\n\r\n", 0, _HEAD_BYTES_MAX)
     if end < 0 or _HEAD.fullmatch(data, 0, end + 2) is None:
         return None
-    first, *lines = data[:end].split(b"\r\n")
+    start_line, *lines = data[:end].split(b"\r\n")
     headers: Headers = []
     length = -1
     for line in lines:
@@ -52,31 +55,32 @@
                 return None
             length = int(value)
         headers.append((name, value))
-    return first, headers, end + 4, length
+    return start_line, headers, end + 4, length
 
 
-def read_request(data: bytes, body_most: int) -> tuple[RequestHead, bytes] | None:
-    """A whole plain request and its body; None where it is anything else."""
-    read = _head(data)
-    if read is None:
+def parse_request(data: bytes, body_bytes_max: int) -> PlainRequest | None:
+    """A complete plain request; None where it is anything else."""
+    head = _parse_head(data)
+    if head is None:
         return None
-    line, headers, begins, length = read
-    first = _REQUEST.fullmatch(line)
-    if first is None or sum(name == b"host" for name, _ in headers) != 1:
+    start_line, headers, body_start, length = head
+    line = _REQUEST_LINE.fullmatch(start_line)
+    # RFC 9112, 3.2: a request without Host or with two is invalid; h11 reports it.
+    if line is None or sum(name == b"host" for name, _ in headers) != 1:
         return None
-    if max(length, 0) > body_most or begins + max(length, 0) != len(data):
+    if max(length, 0) > body_bytes_max or body_start + max(length, 0) != len(data):
         return None
-    return RequestHead(first[1], first[2], headers), data[begins:]
+    return PlainRequest(line[1], line[2], headers, data[body_start:])
 
 
-def read_response(data: bytes, body_most: int) -> tuple[int, Headers, bytes] | None:
-    """Status, headers and body of a whole plain answer, to no HEAD; None where it is anything else."""
-    read = _head(data)
-    if read is None:
+def parse_response(data: bytes, body_bytes_max: int) -> HttpResponse | None:
+    """A complete plain response to any request but HEAD; None where it is anything else."""
+    head = _parse_head(data)
+    if head is None:
         return None
-    line, headers, begins, length = read
-    first = _RESPONSE.fullmatch(line)
-    if first is None or length < 0 or length > body_most or begins + length != len(data):
+    start_line, headers, body_start, length = head
+    line = _STATUS_LINE.fullmatch(start_line)
+    if line is None or length < 0 or length > body_bytes_max or body_start + length != len(data):
         return None
-    status = int(first[1])
-    return None if status in _BODILESS else (status, headers, data[begins:])
+    status = int(line[1])
+    return None if status in _BODILESS_STATUSES else HttpResponse(status, headers, data[body_start:])
--- a/topazbank/http/request_reading.py
+++ b/topazbank/http/request_reading.py
@@ -1,20 +1,21 @@
-"""Reads a client's HTTP request as a call; no I/O."""
+"""Reads a client's HTTP request as a call, and checks what h11 leaves to its user; no I/O."""
 
 from __future__ import annotations
 
 import re
 from collections.abc import Callable
+from typing import Final
 
 import h11
 
 from topazbank.balancing.settings import Idempotency
-from topazbank.core.body import SpooledBody
+from topazbank.core.body import BODY_BYTES_MAX, SpooledBody
 from topazbank.core.call import Call, FinalAnswer, Headers
 from topazbank.core.request_checks import InvalidRequest, RequestClasses, key_of_target
-from topazbank.http.connection import ABOUT_BODY, end_to_end
-from topazbank.http.fast_parser import RequestHead
+from topazbank.http.fast_parser import PlainRequest
+from topazbank.http.messages import CONTENT_HEADERS, FRAMING_HEADERS, end_to_end_headers
 
-_SINGLE = frozenset(  # headers that mean one thing: given twice, they may mean another to a server
+_CALL_HEADERS: Final = frozenset(  # a second one is an error: a server may read the other of the two
     (
         b"x-call-id",
         b"x-call-class",
@@ -25,93 +26,114 @@
         b"idempotency-key",
     )
 )
-_ABSOLUTE = re.compile(rb"https?://[^/?#]*", re.IGNORECASE)
-_IDENT = re.compile(rb"x-call-id:[ \t]*([!-~]{1,64})", re.IGNORECASE)
-_NUMBER = re.compile(r"[0-9]{1,10}(\.[0-9]{1,9})?", re.ASCII)
+_SCHEME_AND_AUTHORITY: Final = re.compile(rb"https?://[^/?#]*", re.IGNORECASE)
+_CALL_ID: Final = re.compile(rb"x-call-id:[ \t]*([!-~]{1,64})", re.IGNORECASE)
+_NUMBER: Final = re.compile(r"[0-9]{1,10}(\.[0-9]{1,9})?", re.ASCII)
+
+
+def check_head(head: h11.Request) -> None:
+    """Check a request's version and framing before its body is read; raise InvalidRequest."""
+    if head.http_version not in (b"1.0", b"1.1"):
+        raise InvalidRequest(505, "HTTP/1.1 is spoken here")
+    framing = {name: value for name, value in head.headers if name in FRAMING_HEADERS}
+    if b"transfer-encoding" in framing and (len(framing) > 1 or head.http_version != b"1.1"):
+        # RFC 9112, 6.1 and 11.2: with two ways of framing one request can be smuggled inside another.
+        raise InvalidRequest(400, "two ways to tell the body's end")
+    if int(framing.get(b"content-length", b"0")) > BODY_BYTES_MAX:
+        raise InvalidRequest(413, "the body is too large")
 
 
 def parse_call(
-    head: h11.Request | RequestHead,
+    head: h11.Request | PlainRequest,
     body: bytes | SpooledBody,
-    rules: RequestClasses,
+    request_classes: RequestClasses,
     answer: Callable[[FinalAnswer], None],
 ) -> Call:
-    """Read a request of a client; raise BadCall where it makes no sense or breaks the settings."""
-    given: dict[bytes, str] = {}
-    headers = list(head.headers)  # h11 makes each pair anew whenever they are gone through
-    target = own_form(head.target)
-    for name, value in headers:
-        if name in _SINGLE and name in given:
-            raise InvalidRequest(400, f"{name.decode()} stands twice")
-        given[name] = value.decode("latin-1").strip()
-    for name in (b"x-call-id", b"x-call-class", b"x-budget"):
-        if not given.get(name):
-            raise InvalidRequest(400, f"{name.decode()} is missing")
-    budget = _number(given[b"x-budget"], "x-budget")
-    cost = given.get(b"x-call-cost")
-    kind = rules.request_class(given[b"x-call-class"])
-    if head.method != (b"GET" if kind.idempotency is Idempotency.IDEMPOTENT else b"POST"):
+    """Read a client's request; raise InvalidRequest where it is malformed or the settings do not allow it."""
+    headers = list(head.headers)  # h11 builds each pair anew whenever they are iterated
+    values = _header_values(headers)
+    target = origin_form(head.target)
+    timeout_s = _parse_number(values[b"x-budget"], "x-budget")
+    cost = values.get(b"x-call-cost")
+    request_class = request_classes.request_class(values[b"x-call-class"])
+    if head.method != (b"GET" if request_class.idempotency is Idempotency.IDEMPOTENT else b"POST"):
         raise InvalidRequest(405, "not the method of the class")
-    caller = given.get(b"x-caller") or None
-    if b"host" not in given:
-        headers.append((b"host", b"sidecar"))  # HTTP/1.0 allows none, HTTP/1.1 needs one
+    caller = values.get(b"x-caller") or None
+    if b"host" not in values:
+        headers.append((b"host", b"sidecar"))  # HTTP/1.0 allows none, HTTP/1.1 requires one (RFC 9112, 3.2)
     call = Call(
-        call_id=given[b"x-call-id"],
-        request_class=kind,
+        call_id=values[b"x-call-id"],
+        request_class=request_class,
         target=target,
         body=body if isinstance(body, bytes) else b"",
-        tenant=rules.tenant(caller),
+        tenant=request_classes.tenant(caller),
         key=key_of_target(target),
-        timeout_us=int(budget * 1e6),
-        cost_us=int(_number(cost, "x-call-cost")) if cost else None,
-        is_retry=given.get(b"x-again") == "1",
-        idempotency_key=given.get(b"idempotency-key") or None,
+        timeout_us=int(timeout_s * 1e6),
+        cost_us=int(_parse_number(cost, "x-call-cost")) if cost else None,
+        is_retry=values.get(b"x-again") == "1",
+        idempotency_key=values.get(b"idempotency-key") or None,
         answer=answer,
         caller=caller,
-        content_headers=[each for each in headers if each[0] in ABOUT_BODY],
-        headers=end_to_end(
-            headers, b"content-length", b"x-budget", b"expect", *_named_by_connection(headers)
+        content_headers=[header for header in headers if header[0] in CONTENT_HEADERS],
+        headers=end_to_end_headers(
+            headers, b"content-length", b"x-budget", b"expect", *_connection_options(headers)
         ),
         spooled_body=None if isinstance(body, bytes) else body,
         accepts_stream=True,
     )
-    rules.check(call)
+    request_classes.check(call)
     return call
 
 
-def own_form(target: bytes) -> bytes:
-    """Path and query of a request's target, which may name the whole address (RFC 9112, 3.2.2)."""
-    whole = _ABSOLUTE.match(target)
-    return target if whole is None else target[whole.end() :] or b"/"
+def _header_values(headers: Headers) -> dict[bytes, str]:
+    """Header values by name, the last of each; raise InvalidRequest where a call's header lacks or is repeated."""
+    values: dict[bytes, str] = {}
+    for name, value in headers:
+        if name in _CALL_HEADERS and name in values:
+            raise InvalidRequest(400, f"{name.decode()} stands twice")
+        values[name] = value.decode("latin-1").strip()
+    for name in (b"x-call-id", b"x-call-class", b"x-budget"):
+        if not values.get(name):
+            raise InvalidRequest(400, f"{name.decode()} is missing")
+    return values
+
+
+def origin_form(target: bytes) -> bytes:
+    """Path and query of a request's target, which may be in absolute form (RFC 9112, 3.2.2)."""
+    match = _SCHEME_AND_AUTHORITY.match(target)
+    return target if match is None else target[match.end() :] or b"/"
 
 
-def _named_by_connection(headers: Headers) -> list[bytes]:
-    """Headers that a client says belong to its connection alone; never those that a call is made of."""
-    named = [
-        each.strip() for name, value in headers if name == b"connection" for each in value.lower().split(b",")
+def _connection_options(headers: Headers) -> list[bytes]:
+    """Headers that the client limits to its connection (RFC 9110, 7.6.1), except those that a call consists of."""
+    options = [
+        option.strip()
+        for name, value in headers
+        if name == b"connection"
+        for option in value.lower().split(b",")
     ]
-    return [each for each in named if each not in _SINGLE and each != b"host"]
+    return [option for option in options if option not in _CALL_HEADERS and option != b"host"]
 
 
-def _number(text: str, name: str) -> float:
+def _parse_number(text: str, name: str) -> float:
     if not _NUMBER.fullmatch(text):
         raise InvalidRequest(400, f"{name}: a number is needed")
     return float(text)
 
 
-def ident_in(data: bytes) -> str:
-    """The id of a request that is not read, for the log."""
-    found = _IDENT.search(data)
-    return found[1].decode("latin-1") if found is not None else "without id"
+def call_id_in(data: bytes) -> str:
+    """The id of a request that is not parsed, for the log."""
+    match = _CALL_ID.search(data)
+    return match[1].decode("latin-1") if match is not None else "without id"
 
 
-def is_whole(data: bytes) -> bool:
-    """Whether a request has come whole; raise h11.RemoteProtocolError where it never will."""
-    reading = h11.Connection(h11.SERVER)
-    reading.receive_data(data)
+def is_complete(data: bytes) -> bool:
+    """Whether `data` begins with a complete request; raise h11.RemoteProtocolError where it cannot become one."""
+    reader = h11.Connection(h11.SERVER)
+    reader.receive_data(data)
     while True:
-        event = reading.next_event()
+        event = reader.next_event()
         if event is h11.NEED_DATA:
             return False
         if not isinstance(event, h11.Request | h11.Data):
-            return True  # its end, or that of the connection
+            return True  # the end of the request, or of the connection
