--- a/tests/incidents/test_stopped_clients.py
+++ b/tests/incidents/test_stopped_clients.py
@@ -352,7 +352,9 @@
 
 
 @pytest.mark.parametrize(
-    ("half", "word"), [(POST[:30], "_time_out"), (_MESSAGE[:20], "_settle")], ids=[HTTP, MSGPACK_RPC]
+    ("half", "word"),
+    [(POST[:30], "_request_timed_out"), (_MESSAGE[:20], "_close_if_answered")],
+    ids=[HTTP, MSGPACK_RPC],
 )
 def test_a_stopped_client_that_leaves_in_the_moment_of_its_word_is_no_defect(half: bytes, word: str) -> None:
     # Found by the soak: what is written to a client that has just closed is answered by a reset, and then our side
@@ -364,7 +366,7 @@
             await until(lambda: [each.state for each in w.sidecar.listener.connections] == [READING_HEAD])
             (connection,) = w.sidecar.listener.connections
             sock.close()  # before the loop has had a turn to hear of it
-            if word == "_settle":
+            if word == "_close_if_answered":
                 connection._sock.send(b"x")
             getattr(connection, word)()
             await until(lambda: not w.sidecar.listener.connections)
--- a/tests/msgpackrpc/test_mapping.py
+++ b/tests/msgpackrpc/test_mapping.py
@@ -1,4 +1,4 @@
-"""The mapping: what a call, an answer and a node's response mean, and what can't cross."""
+"""The formats: calls, answers and servers' responses, and what cannot be translated."""
 
 from __future__ import annotations
 
@@ -9,15 +9,19 @@
 from helpers import settings
 from loopback import CLASSES
 
-from testbed.wire import read_rpc
+from testbed.wire import pack, read_rpc
 from topazbank.balancing.events import Outcome
 from topazbank.core.call import Call, FinalAnswer, Verdict
 from topazbank.core.request_checks import InvalidRequest, RequestClasses
 from topazbank.http.request_writing import format_request
-from topazbank.msgpackrpc.codec import Decoder, Reply, Request, encode_request
-from topazbank.msgpackrpc.mapping import read_call, read_reply, write_answer, write_call
-
-RULES = RequestClasses(settings(classes=CLASSES, tenants=[{"name": "acme"}]))
+from topazbank.msgpackrpc.answer_writing import format_answer
+from topazbank.msgpackrpc.decoder import Decoder
+from topazbank.msgpackrpc.messages import RpcRequest, RpcResponse
+from topazbank.msgpackrpc.request_reading import read_call
+from topazbank.msgpackrpc.request_writing import format_call
+from topazbank.msgpackrpc.response_reading import read_response
+
+REQUEST_CLASSES = RequestClasses(settings(classes=CLASSES, tenants=[{"name": "acme"}]))
 ENVELOPE: dict[str, Any] = {"id": "c-1", "budget": 1.5, "path": "/api/7f?q=1", "tenant": "acme"}
 
 
@@ -27,12 +31,12 @@
 
 
 def read_params(method: Any, params: Any) -> Call:
-    (message,) = Decoder().feed(encode_request(7, method, params))
-    assert isinstance(message, Request)
-    return read_call(message, RULES, lambda answer: None)
+    (message,) = Decoder().feed(pack([0, 7, method, params]))
+    assert isinstance(message, RpcRequest)
+    return read_call(message, REQUEST_CLASSES, lambda answer: None)
 
 
-def test_a_call_is_read_whole() -> None:
+def test_every_field_of_a_call_is_read() -> None:
     call = read("amend", idempotency_key="k-1", cost_us=120, again=True, type="text/plain")
     assert (call.call_id, call.request_class.name, call.target, call.body) == (
         "c-1",
@@ -50,30 +54,30 @@
     assert call.idempotency_key == "k-1" and call.content_headers == [(b"content-type", b"text/plain")]
 
 
-def test_a_key_stands_for_its_path_and_neither_for_the_application_s_root() -> None:
+def test_a_key_stands_for_its_path_and_without_either_the_path_is_the_root() -> None:
     assert read(without="path", key="7f").target == b"/api/7f"
     assert read(without="path").target == b"/api" and read(without="path").key is None
 
 
-def test_a_call_for_a_node_says_what_its_client_said_with_the_time_that_is_left() -> None:
+def test_a_forwarded_call_has_its_client_s_fields_and_the_remaining_time() -> None:
     call = read("amend", idempotency_key="k-1", again=True)
-    asked = read_rpc(msgpack.unpackb(write_call(9, call, 0.75), raw=False))
-    assert (asked.msgid, asked.kind, asked.path, asked.ident, asked.body) == (
+    request = read_rpc(msgpack.unpackb(format_call(9, call, 0.75), raw=False))
+    assert (request.msgid, request.kind, request.path, request.ident, request.body) == (
         9,
         "amend",
         "/api/7f?q=1",
         "c-1",
         b"\0b",
     )
-    assert asked.headers["x-budget"] == "0.75" and asked.headers["x-again"] == "1"
-    assert asked.headers["idempotency-key"] == "k-1" and asked.headers["x-caller"] == "acme"
+    assert request.headers["x-budget"] == "0.75" and request.headers["x-again"] == "1"
+    assert request.headers["idempotency-key"] == "k-1" and request.headers["x-caller"] == "acme"
 
 
-def test_a_call_crosses_to_an_http_node_with_every_field_in_its_header() -> None:
+def test_a_call_is_translated_to_http_with_every_field_in_its_header() -> None:
     call = read("amend", idempotency_key="k-1", again=True, cost_us=5, type="text/plain")
     head, _, body = format_request(call, 0.5).partition(b"\r\n\r\n")
-    first, *headers = head.split(b"\r\n")
-    assert first == b"POST /api/7f?q=1 HTTP/1.1" and body == b"\0b"
+    request_line, *headers = head.split(b"\r\n")
+    assert request_line == b"POST /api/7f?q=1 HTTP/1.1" and body == b"\0b"
     for each in (
         b"X-Call-Id: c-1",
         b"X-Call-Class: amend",
@@ -91,7 +95,7 @@
 @pytest.mark.parametrize(
     ("changes", "status", "field"),
     [
-        ({"method": "unheard-of"}, 404, "method"),
+        ({"method": "unknown"}, 404, "method"),
         ({"method": b"look"}, None, ""),
         ({"method": 7}, 400, "method"),
         ({"without": "id"}, 400, "id"),
@@ -125,29 +129,31 @@
         ({"body": ["x"]}, 400, "body"),
     ],
 )
-def test_what_makes_no_sense_is_named(changes: dict[str, Any], status: int | None, field: str) -> None:
+def test_an_invalid_call_is_rejected_with_the_name_of_its_field(
+    changes: dict[str, Any], status: int | None, field: str
+) -> None:
     if status is None:
-        assert read(**changes, body=None).request_class.name == "look"  # a text of either type
+        assert read(**changes, body=None).request_class.name == "look"  # a text of either MessagePack type
         return
-    with pytest.raises(InvalidRequest) as bad:
+    with pytest.raises(InvalidRequest) as raised:
         read(**changes)
-    assert bad.value.status == status and field in str(bad.value)
+    assert raised.value.status == status and field in str(raised.value)
 
 
-@pytest.mark.parametrize("given", [[], [{}, b"", 3], [7], [[]], {"id": "x"}, "x", None])
-def test_params_of_another_shape_are_turned_away(given: Any) -> None:
+@pytest.mark.parametrize("params", [[], [{}, b"", 3], [7], [[]], {"id": "x"}, "x", None])
+def test_params_of_another_shape_are_rejected(params: Any) -> None:
     with pytest.raises(InvalidRequest):
-        read_params("pay", given)
+        read_params("pay", params)
 
 
-def test_a_content_type_that_would_end_a_header_is_left_out() -> None:
-    for junk in ("a\r\nX-Evil: 1", "", "é", 7, "x" * 2000):
-        assert read(type=junk).content_headers is None
-    reply = Reply(1, None, {b"body": b"x", b"type": b"a\r\nSet-Cookie: x"})
-    assert read_reply(reply, ())[1].content_headers is None  # type: ignore[union-attr]
+def test_a_content_type_that_cannot_stand_in_a_header_is_left_out() -> None:
+    for invalid in ("a\r\nX-Evil: 1", "", "é", 7, "x" * 2000):
+        assert read(type=invalid).content_headers is None
+    response = RpcResponse(1, None, {b"body": b"x", b"type": b"a\r\nSet-Cookie: x"})
+    assert read_response(response, ())[1].content_headers is None  # type: ignore[union-attr]
 
 
-# Guards rule 2: only the node's own word proves that a call never ran.
+# A call counts as not executed only if its server says so: any other reading would let it be executed twice.
 @pytest.mark.parametrize(
     ("error", "result", "outcome"),
     [
@@ -172,11 +178,13 @@
         ([503, b"full", {b"rejected": True}], {b"body": b"x"}, Outcome.REJECTED),
     ],
 )
-def test_what_a_node_says_proves_no_more_than_it_says(error: Any, result: Any, outcome: Outcome) -> None:
-    assert read_reply(Reply(1, error, result), ())[0] is outcome
+def test_only_a_server_s_explicit_rejection_proves_that_a_call_was_not_executed(
+    error: Any, result: Any, outcome: Outcome
+) -> None:
+    assert read_response(RpcResponse(1, error, result), ())[0] is outcome
 
 
-def test_load_reports_of_answers_and_of_errors_are_read_and_junk_figures_are_not() -> None:
+def test_load_reports_of_results_and_errors_are_read_without_their_invalid_values() -> None:
     load = {
         b"util": 0.5,
         b"queue": float("nan"),
@@ -186,13 +194,13 @@
         b"eps": True,
         b"inflight": -1,
     }
-    for reply in (
-        Reply(1, None, {b"body": b"", b"load": load}),
-        Reply(1, [503, b"", {b"rejected": True, b"load": load}], None),
+    for message in (
+        RpcResponse(1, None, {b"body": b"", b"load": load}),
+        RpcResponse(1, [503, b"", {b"rejected": True, b"load": load}], None),
     ):
-        response = read_reply(reply, ("util", "queue", "qps", "eps", "inflight"))[1]
+        response = read_response(message, ("util", "queue", "qps", "eps", "inflight"))[1]
         assert response is not None and response.report == {"util": 0.5}
-    none = read_reply(Reply(1, None, {b"load": [1]}), ("util",))[1]
+    none = read_response(RpcResponse(1, None, {b"load": [1]}), ("util",))[1]
     assert none is not None and none.report is None
 
 
@@ -210,5 +218,5 @@
         (FinalAnswer(Verdict.FAILED), [500, "failed", {}], None),
     ],
 )
-def test_each_answer_has_one_form(answer: FinalAnswer, error: Any, result: Any) -> None:
-    assert msgpack.unpackb(write_answer(9, answer), raw=False) == [1, 9, error, result]
+def test_final_answers_have_one_form(answer: FinalAnswer, error: Any, result: Any) -> None:
+    assert msgpack.unpackb(format_answer(9, answer), raw=False) == [1, 9, error, result]
--- a/tests/msgpackrpc/test_front.py
+++ b/tests/msgpackrpc/test_server.py
@@ -1,4 +1,4 @@
-"""The MessagePack-RPC front over loopback: many calls on a connection, and clients that misbehave."""
+"""The MessagePack-RPC server over loopback: many calls on a connection, and faulty clients."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 )
 
 from testbed.wire import MSGPACK_RPC, pack
-from topazbank.msgpackrpc import server
-from topazbank.msgpackrpc.server import CALLS_MOST, RpcConnection
+from topazbank.msgpackrpc import answering
+from topazbank.msgpackrpc.server import CALLS_MAX, RpcConnection
 
 pytestmark = pytest.mark.usefixtures("rpc_client")
 
 
 @pytest.fixture(autouse=True)
 def rpc_client(each_node: str) -> None:
-    """Clients speak MessagePack-RPC; nodes each protocol in turn."""
+    """Clients speak MessagePack-RPC; upstream servers each protocol in turn."""
     use(type(pair())(MSGPACK_RPC, each_node))
 
 
@@ -53,36 +53,36 @@
 
 
 async def answers(one: Client, count: int) -> dict[int, Any]:
-    """The next answers, whatever their order: message id to error or result."""
-    got: dict[int, Any] = {}
+    """The next answers in any order: message id to error or result."""
+    received: dict[int, Any] = {}
     async with asyncio.timeout(PATIENCE_S):
-        while len(got) < count:
+        while len(received) < count:
             for message in one._unpacker:
-                assert message[1] not in got
-                got[message[1]] = message[2] if message[2] is not None else message[3]
-            if len(got) < count:
+                assert message[1] not in received
+                received[message[1]] = message[2] if message[2] is not None else message[3]
+            if len(received) < count:
                 data = await one.reader.read(65536)
                 if not data:
                     raise ConnectionResetError
                 one._unpacker.feed(data)
-    return got
+    return received
 
 
 async def still_serves(w: World) -> bool:
     return (await w.ask(X_Call_Id="another"))[0] == 200
 
 
-def test_calls_on_one_connection_are_answered_as_they_end() -> None:
+def test_calls_on_one_connection_are_answered_in_the_order_of_their_completion() -> None:
     async def scene() -> None:
         async with world(
-            lambda first, *_: None if "held" in first else answer(200, first.split(" ")[1].encode())
+            lambda first, *_: None if "slow" in first else answer(200, first.split(" ")[1].encode())
         ) as w:
             one = await client(w.sidecar.listener.address)
             one.writer.write(
-                call(1, path="/api/held") + b"".join(call(n, path=f"/api/{n}") for n in range(2, 30))
+                call(1, path="/api/slow") + b"".join(call(n, path=f"/api/{n}") for n in range(2, 30))
             )
-            got = await answers(one, 28)
-            assert {n: result["body"] for n, result in got.items()} == {
+            received = await answers(one, 28)
+            assert {n: result["body"] for n, result in received.items()} == {
                 n: b"/api/%d" % n for n in range(2, 30)
             }
             w.servers[0].answer_held(answer(200, b"late"))
@@ -92,14 +92,16 @@
     play(scene())
 
 
-def test_a_live_message_id_given_again_never_runs_and_the_first_one_gets_its_own_answer() -> None:
+def test_a_call_with_the_message_id_of_one_in_progress_is_not_executed_and_the_first_gets_its_own_answer() -> (
+    None
+):
     async def scene() -> None:
         async with world(hung) as w:
             one = await client(w.sidecar.listener.address)
             one.writer.write(call(5, "pay", "first", b"1"))
             await until(w.sent)
             one.writer.write(call(5, "pay", "second", b"2") + call(6, "pay", "third", b"3"))
-            await until(lambda: all(each._broken for each in w.sidecar.listener.connections))  # type: ignore[attr-defined]
+            await until(lambda: all(each._failed for each in w.sidecar.listener.connections))  # type: ignore[attr-defined]
             w.servers[0].answer_held(answer(200, b"the first's"))
             assert (await answers(one, 1))[5]["body"] == b"the first's"
             assert await one.is_closed()
@@ -108,7 +110,7 @@
     play(scene())
 
 
-def test_a_message_id_may_be_used_again_once_it_is_answered() -> None:
+def test_a_message_id_may_be_reused_once_its_call_is_answered() -> None:
     async def scene() -> None:
         async with world(served) as w:
             one = await client(w.sidecar.listener.address)
@@ -120,11 +122,11 @@
     play(scene())
 
 
-def test_a_lodge_sent_as_a_notification_is_not_lost_in_silence() -> None:
+def test_a_call_sent_as_a_notification_ends_the_connection() -> None:
     async def scene() -> None:
         async with world(served) as w:
             one = await client(w.sidecar.listener.address)
-            one.writer.write(pack([2, "keep-alive", []]) + call(1))  # it asks for nothing, so nothing is lost
+            one.writer.write(pack([2, "keep-alive", []]) + call(1))  # it requests nothing, so nothing is lost
             assert (await answers(one, 1))[1]["body"] == b"served"
             one.writer.write(pack([2, "pay", [{"id": "x", "budget": 1.0}, b"body"]]))
             assert await one.is_closed()
@@ -133,8 +135,8 @@
     play(scene())
 
 
-BAD: dict[str, tuple[bytes, int | None]] = {
-    "no MessagePack": (b"\xc1\xc1\xc1", None),
+MALFORMED: dict[str, tuple[bytes, int | None]] = {
+    "not MessagePack": (b"\xc1\xc1\xc1", None),
     "2^31 entries": (b"\x94\x00\x07\xdd\x80\x00\x00\x00", 7),
     "nesting of 10,000": (b"\x94\x00\x07" + b"\x91" * 10_000, 7),
     "a string of 60 MB": (b"\x94\x00\x07\xdb" + (60_000_000).to_bytes(4, "big") + bytes(200_000), 7),
@@ -142,18 +144,22 @@
 }
 
 
-@pytest.mark.parametrize("name", BAD)
-def test_what_can_t_be_read_is_answered_if_it_can_be_and_its_connection_ends(name: str) -> None:
+@pytest.mark.parametrize("name", MALFORMED)
+def test_malformed_bytes_are_answered_if_their_message_id_can_be_read_and_the_connection_ends(
+    name: str,
+) -> None:
     async def scene() -> None:
-        data, msgid = BAD[name]
+        data, msgid = MALFORMED[name]
         async with world(served) as w:
             one = await client(w.sidecar.listener.address)
-            began = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             one.writer.write(data)
             if msgid is not None:
                 assert (await answers(one, 1))[msgid][0] in (400, 413)
             assert await one.is_closed()
-            assert asyncio.get_running_loop().time() - began < 10.0  # 2 s here; generous for a slow machine
+            assert (
+                asyncio.get_running_loop().time() - started_at < 10.0
+            )  # 2 s here; generous for a slow machine
             one.close()
             assert await still_serves(w)
             await until(lambda: not w.sidecar.listener.connections)
@@ -162,7 +168,7 @@
 
 
 @pytest.mark.parametrize(
-    ("bad", "code"),
+    ("invalid", "code"),
     [
         (call(7, budget=float("nan")), 400),
         (call(7, budget=float("inf")), 400),
@@ -170,34 +176,34 @@
         (pack([0, 7, "look", [{"id": "a"}, {"x": b""}]]), 400),
         (b"\x94\x00\x07\xa4look\x91\x82\xa2id\xa1x\xa2id\xa1y", 400),
         (b"\x94\x00\x07\xa4look\x91\xd4\x05\x01", 400),
-        (pack([0, 7, "unheard-of", []]), 404),
+        (pack([0, 7, "unknown", []]), 404),
         (pack([0, 7, 3, None]), 400),
         (call(7, path="/elsewhere"), 404),
-        (call(7, ident="held"), 409),
+        (call(7, ident="slow"), 409),
         (call(7, "pay", body=bytes(64 * 1024) + b"x"), 413),
     ],
 )
-def test_a_bad_call_is_answered_and_its_neighbours_feel_nothing(bad: bytes, code: int) -> None:
+def test_an_invalid_call_is_rejected_and_its_neighbours_are_served(invalid: bytes, code: int) -> None:
     async def scene() -> None:
-        async with world(lambda first, *_: None if "held" in first else served()) as w:
+        async with world(lambda first, *_: None if "slow" in first else served()) as w:
             one = await client(w.sidecar.listener.address)
-            one.writer.write(call(1, "pay", "held", b"x", path="/api/held"))
+            one.writer.write(call(1, "pay", "slow", b"x", path="/api/slow"))
             await until(w.sent)
-            one.writer.write(bad)
+            one.writer.write(invalid)
             assert (await answers(one, 1))[7][0] == code
             if code != 413:
                 one.writer.write(call(8))
                 assert (await answers(one, 1))[8]["body"] == b"served"
             assert await still_serves(w)
-            w.servers[0].answer_held(answer(200, b"held"))
-            assert (await answers(one, 1))[1]["body"] == b"held"
+            w.servers[0].answer_held(answer(200, b"slow"))
+            assert (await answers(one, 1))[1]["body"] == b"slow"
             one.close()
 
     play(scene())
 
 
 @pytest.mark.parametrize("msgid", [-1, -(2**31), 2**32, 2**64 - 1])
-def test_a_message_id_out_of_range_is_answered_under_itself(msgid: int) -> None:
+def test_a_message_id_out_of_range_is_rejected_with_that_id(msgid: int) -> None:
     async def scene() -> None:
         async with world(served) as w:
             one = await client(w.sidecar.listener.address)
@@ -209,15 +215,15 @@
     play(scene())
 
 
-def test_half_a_message_and_silence_end_the_connection_after_its_calls_are_answered() -> None:
+def test_a_client_that_stalls_in_a_message_gets_an_error_and_its_other_calls_their_answers() -> None:
     async def scene() -> None:
         async with world(hung) as w:
             one = await client(w.sidecar.listener.address)
             one.writer.write(call(1, "pay", body=b"x") + call(9)[:-5])
-            got = await answers(one, 1)  # the half one's, within its limit
-            assert got[9][0] == 408
-            w.servers[0].answer_held(answer(200, b"whole"))
-            assert (await answers(one, 1))[1]["body"] == b"whole"
+            received = await answers(one, 1)  # the incomplete one's, within its limit
+            assert received[9][0] == 408
+            w.servers[0].answer_held(answer(200, b"complete"))
+            assert (await answers(one, 1))[1]["body"] == b"complete"
             assert await one.is_closed()
             one.close()
 
@@ -225,14 +231,14 @@
 
 
 @pytest.mark.parametrize(
-    "said", [b"", b"\x94", b"\x94\x00\x07\xa4lo"], ids=["silent", "a byte", "half a message"]
+    "sent", [b"", b"\x94", b"\x94\x00\x07\xa4lo"], ids=["nothing", "one byte", "an incomplete message"]
 )
-def test_a_connection_that_says_no_more_is_ended(said: bytes) -> None:
+def test_a_silent_connection_is_closed(sent: bytes) -> None:
     async def scene() -> None:
         async with world(served) as w:
             one = await client(w.sidecar.listener.address)
-            one.writer.write(said)
-            if len(said) > 3:
+            one.writer.write(sent)
+            if len(sent) > 3:
                 assert (await answers(one, 1))[7][0] == 408
             assert await one.is_closed()
             one.close()
@@ -241,7 +247,7 @@
     play(scene())
 
 
-def test_a_client_that_closes_with_many_calls_out_leaves_nothing_behind() -> None:
+def test_a_client_that_closes_with_many_calls_in_progress_leaves_no_request_or_connection() -> None:
     async def scene() -> None:
         async with world(hung, hung) as w:
             one = await client(w.sidecar.listener.address)
@@ -252,37 +258,37 @@
             await until(lambda: not w.sidecar._requests.live and not w.sidecar.listener.connections)
             await until(
                 lambda: not w.sidecar._endpoint_table.connection_limit.open_count
-            )  # given up means that connections are closed
+            )  # cancelled attempts close their connections
 
     play(scene())
 
 
-def test_calls_beyond_the_bound_of_a_connection_wait_and_all_are_answered() -> None:
+def test_calls_beyond_the_limit_of_a_connection_wait_and_all_are_answered() -> None:
     async def scene() -> None:
-        unhurried = [
+        classes = [
             each | {"latency_objective_us": 600 * S} for each in CLASSES
-        ]  # else what was late here may be refused
-        async with world(hung, hung, sockets=1024, classes=unhurried) as w:
+        ]  # or late ones may be rejected
+        async with world(hung, hung, sockets=1024, classes=classes) as w:
             one = await client(w.sidecar.listener.address)
-            many = CALLS_MOST + 100
-            one.writer.write(b"".join(call(n, "pay", body=b"x") for n in range(many)))
-            await until(lambda: len(w.sent()) == CALLS_MOST)
+            count = CALLS_MAX + 100
+            one.writer.write(b"".join(call(n, "pay", body=b"x") for n in range(count)))
+            await until(lambda: len(w.sent()) == CALLS_MAX)
             await asyncio.sleep(0.1)
-            assert len(w.sent()) == CALLS_MOST
+            assert len(w.sent()) == CALLS_MAX
             for server in w.servers:
                 server.script = served
                 server.answer_held(answer(200, b"served"))
-            assert len(await answers(one, many)) == many
-            assert len({headers["x-call-id"] for _, headers, _ in w.sent()}) == len(w.sent()) == many
+            assert len(await answers(one, count)) == count
+            assert len({headers["x-call-id"] for _, headers, _ in w.sent()}) == len(w.sent()) == count
             one.close()
 
     play(scene())
 
 
-def test_a_client_that_reads_nothing_is_bounded_ended_and_holds_up_nobody(
+def test_a_client_that_reads_nothing_is_disconnected_and_delays_no_other(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(server, "WAITING_MOST", 512 * 1024)
+    monkeypatch.setattr(answering, "UNREAD_BYTES_MAX", 512 * 1024)
 
     async def scene() -> None:
         async with world(lambda *_: answer(200, bytes(60_000)), sockets=1024) as w:
@@ -294,13 +300,13 @@
             await until(w.sent)
             assert await still_serves(w)
             await until(lambda: not w.sidecar.listener.connections and not w.sidecar._requests.live)
-            assert RpcConnection._waiting_in_all == 0
+            assert RpcConnection._unread_bytes_total == 0
             slow.close()
 
     play(scene())
 
 
-def test_a_slow_reader_s_next_calls_wait_until_it_has_read() -> None:
+def test_a_slow_reader_s_next_calls_wait_until_it_has_read_its_answers() -> None:
     async def scene() -> None:
         async with world(lambda *_: answer(200, bytes(60_000)), sockets=1024) as w:
             raw = socket.socket()
@@ -308,7 +314,7 @@
             raw.setblocking(False)
             await asyncio.get_running_loop().sock_connect(raw, w.sidecar.listener.address)
             one = Client(*await asyncio.open_connection(sock=raw, limit=4096))
-            for n in range(60):  # 3.6 MB of answers, of which little fits on the way
+            for n in range(60):  # 3.6 MB of answers, more than the kernel buffers
                 one.writer.write(call(n))
                 if n % 20 == 19:
                     assert len(await answers(one, 20)) == 20
@@ -317,7 +323,7 @@
     play(scene())
 
 
-def test_a_first_byte_tells_the_protocol_of_each_connection_on_the_one_listener() -> None:
+def test_the_first_byte_decides_the_protocol_of_each_connection() -> None:
     async def scene() -> None:
         async with world(served) as w:
             for number in range(6):
@@ -333,7 +339,7 @@
     play(scene())
 
 
-def test_calls_that_still_come_when_a_drain_takes_no_more_are_refused_at_once() -> None:
+def test_calls_that_come_late_in_a_drain_are_rejected_at_once() -> None:
     async def scene() -> None:
         async with world(hung) as w:
             one = await client(w.sidecar.listener.address)
@@ -343,8 +349,8 @@
             await until(lambda: w.sidecar.listener.table.rejects_new)
             one.writer.write(call(2, "pay", body=b"y"))
             assert (await answers(one, 1))[2][:2] == [503, "refused"]
-            w.servers[0].answer_held(answer(200, b"held"))
-            assert (await answers(one, 1))[1]["body"] == b"held"
+            w.servers[0].answer_held(answer(200, b"slow"))
+            assert (await answers(one, 1))[1]["body"] == b"slow"
             assert await is_closed(one.reader)
             assert len(w.sent()) == 1
 
--- a/tests/msgpackrpc/test_third_party.py
+++ b/tests/msgpackrpc/test_third_party.py
@@ -1,4 +1,4 @@
-"""A published client and server (aio-msgpack-rpc) drive the front and stand in for a node."""
+"""A published client and server (aio-msgpack-rpc) interoperate with the sidecar."""
 
 from __future__ import annotations
 
@@ -23,72 +23,72 @@
 
 
 @pytest.mark.parametrize("nodes", [HTTP, MSGPACK_RPC])
-def test_the_published_client_is_served_refused_and_failed(nodes: str) -> None:
+def test_the_published_client_is_served_rejected_and_failed(nodes: str) -> None:
     async def scene() -> None:
         use(Pair(MSGPACK_RPC, nodes))
         async with world(lambda first, given, body: answer(200, given["x-call-id"].encode() + body)) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             client = aio_msgpack_rpc.Client(reader, writer)
             calls = [client.call("pay", envelope(f"c-{n}"), b"\xff%d" % n) for n in range(20)]
-            got = await asyncio.gather(*calls)
-            assert [each["body"] for each in got] == [b"c-%d\xff%d" % (n, n) for n in range(20)]
+            results = await asyncio.gather(*calls)
+            assert [each["body"] for each in results] == [b"c-%d\xff%d" % (n, n) for n in range(20)]
             assert await client.call("health.ready") == {"ready": True}
-            with pytest.raises(aio_msgpack_rpc.error.RPCResponseError) as bad:
+            with pytest.raises(aio_msgpack_rpc.error.RPCResponseError) as raised:
                 await client.call("look", {"id": "x", "budget": -1})
-            assert bad.value.args[0][0] == 400
+            assert raised.value.args[0][0] == 400
             w.servers[0].script = lambda *_: answer(500, b"")
-            with pytest.raises(aio_msgpack_rpc.error.RPCResponseError) as bad:
+            with pytest.raises(aio_msgpack_rpc.error.RPCResponseError) as raised:
                 await client.call("pay", envelope("f"), b"x")
-            assert bad.value.args[0] == [500, "failed", {}]
+            assert raised.value.args[0] == [500, "failed", {}]
             w.servers[0].script = lambda *_: answer(503, b"", X_Rejected="1")
-            with pytest.raises(aio_msgpack_rpc.error.RPCResponseError) as bad:
+            with pytest.raises(aio_msgpack_rpc.error.RPCResponseError) as raised:
                 await client.call("pay", envelope("r", budget=0.3), b"x")
-            assert bad.value.args[0][:2] == [503, "refused"]
+            assert raised.value.args[0][:2] == [503, "refused"]
             client.close()
 
     play(scene())
 
 
 class Handler:
-    """A node as that library's server runs it: a method a class."""
+    """A server's methods as that library calls them: one for each class."""
 
     def __init__(self) -> None:
-        self.ran: list[tuple[str, str, bytes]] = []
+        self.executed: list[tuple[str, str, bytes]] = []
 
     async def pay(self, given: dict[str, Any], body: bytes) -> dict[str, Any]:
-        self.ran.append(("pay", given["id"], body))
+        self.executed.append(("pay", given["id"], body))
         await asyncio.sleep(0.001)
         return {"body": b"paid " + body}
 
     def look(self, given: dict[str, Any], body: bytes = b"") -> bytes:
-        self.ran.append(("look", given["id"], body))
-        return b"seen"
+        self.executed.append(("look", given["id"], body))
+        return b"looked"
 
     def amend(self, given: dict[str, Any], body: bytes) -> None:
-        self.ran.append(("amend", given["idempotency_key"], body))
+        self.executed.append(("amend", given["idempotency_key"], body))
         raise RuntimeError("it broke")
 
 
 @pytest.mark.parametrize("clients", [HTTP, MSGPACK_RPC])
-def test_the_published_server_stands_in_for_a_node(clients: str) -> None:
+def test_the_published_server_serves_calls(clients: str) -> None:
     async def scene() -> None:
         use(Pair(clients, MSGPACK_RPC))
         handler = Handler()
         server = await asyncio.start_server(aio_msgpack_rpc.Server(handler), "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()[:2]
-        line = {"name": "s-0", "address": f"{host}:{port}", "status": "active", "protocol": MSGPACK_RPC}
-        known = parse_list({"index": 1, "snapshot": True, "endpoints": [line]})
+        entry = {"name": "s-0", "address": f"{host}:{port}", "status": "active", "protocol": MSGPACK_RPC}
+        known = parse_list({"index": 1, "snapshot": True, "endpoints": [entry]})
         given = settings(classes=CLASSES, limits=LIMITS)
         config = SidecarConfig(("127.0.0.1", 0), ("127.0.0.1", 9), 7, 256, given, known)
         sidecar = Sidecar(config, wire(OperatorConfig(MsgpackRpc(clients=True, nodes=True))))
         running = asyncio.create_task(sidecar.run(asyncio.Event()))
         await until(lambda: sidecar._balancer._started)
-        where = sidecar.listener.address
-        asked = [ask(where, request("pay", body=b"%d" % n, X_Call_Id=f"c-{n}")) for n in range(10)]
-        assert [each[2] for each in await asyncio.gather(*asked)] == [b"paid %d" % n for n in range(10)]
-        assert (await ask(where, request("look", X_Call_Id="l")))[2] == b"seen"
-        assert (await ask(where, request("amend", body=b"x", X_Call_Id="a", budget="1.0")))[0] in (500, 503)
-        assert [each for each in handler.ran if each[0] == "pay"] == [
+        address = sidecar.listener.address
+        requests = [ask(address, request("pay", body=b"%d" % n, X_Call_Id=f"c-{n}")) for n in range(10)]
+        assert [each[2] for each in await asyncio.gather(*requests)] == [b"paid %d" % n for n in range(10)]
+        assert (await ask(address, request("look", X_Call_Id="l")))[2] == b"looked"
+        assert (await ask(address, request("amend", body=b"x", X_Call_Id="a", budget="1.0")))[0] in (500, 503)
+        assert [each for each in handler.executed if each[0] == "pay"] == [
             ("pay", f"c-{n}", b"%d" % n) for n in range(10)
         ]
         running.cancel()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -63,7 +63,7 @@
     leave: Leave, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Its connection is read no further, so its end is not seen; then the node turns the attempt away.
-    monkeypatch.setattr(rpc_server, "CALLS_MOST", 1)
+    monkeypatch.setattr(rpc_server, "CALLS_MAX", 1)
 
     async def scene() -> None:
         async with world(silent, silent) as w:
@@ -84,7 +84,7 @@
 def test_a_request_behind_another_is_not_sent_for_a_client_that_left(
     unseen: bool, leave: Leave, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(rpc_server, "CALLS_MOST", 1)
+    monkeypatch.setattr(rpc_server, "CALLS_MAX", 1)
 
     async def scene() -> None:
         async with world(silent) as w:
--- a/topazbank/http/connection.py
+++ b/topazbank/http/connection.py
@@ -84,9 +84,8 @@
         """Begin (called by asyncio)."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        transport.set_write_buffer_limits(
-            high=0
-        )  # so that resume_writing means that all has gone to the kernel
+        # With no high-water mark, resume_writing means that all has gone to the kernel.
+        transport.set_write_buffer_limits(high=0)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """End the exchange in progress (called by asyncio)."""
--- a/topazbank/http/server.py
+++ b/topazbank/http/server.py
@@ -36,7 +36,7 @@
 
     def __init__(self, table: ConnectionTable, sock: socket.socket) -> None:
         super().__init__(table, sock)
-        self._reader = h11.Connection(h11.SERVER)  # reads one request; it is not told of answers
+        self._reader = h11.Connection(h11.SERVER)  # reads one request; answers are not passed through it
         self._head: h11.Request | PlainRequest | None = None  # of the request that is read or not answered
         self._body = BodyBuffer(table.callbacks.spool)
         self._call: Call | None = None  # the request in progress
@@ -140,9 +140,8 @@
         elif isinstance(error, SpoolFull):
             self._reject(InvalidRequest(503, str(error)))  # not forwarded, so a retry is harmless
         else:
-            log.error(
-                "a request could not be handled", exc_info=error
-            )  # a defect: it fails this request only
+            # A defect: it fails this request only.
+            log.error("a request could not be handled", exc_info=error)
             if self._head is None:
                 self.abort()  # it was answered already
             else:
--- a/topazbank/msgpackrpc/__init__.py
+++ b/topazbank/msgpackrpc/__init__.py
@@ -1,1 +1,1 @@
-"""MessagePack-RPC: codec, front and carrier.  The mapping of calls: docs/msgpack-rpc.md."""
+"""MessagePack-RPC: the server that clients speak to and the client that speaks to servers (docs/msgpack-rpc.md)."""
--- /dev/null
+++ b/topazbank/msgpackrpc/answering.py
@@ -0,0 +1,109 @@
+"""The sending half of a client's MessagePack-RPC connection: flow control and the bounds on answers not read yet.
+
+Promise: a client that reads no answers makes this process hold at most UNREAD_BYTES_MAX of them, all such clients
+together UNREAD_BYTES_TOTAL_MAX, and none for longer than `_UNREAD_LIMIT_S`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import socket
+from typing import ClassVar, Final
+
+from topazbank.core.client_connection import ClientConnection
+from topazbank.core.connection_table import ConnectionTable
+from topazbank.core.counters import ClientEvent
+
+log = logging.getLogger(__name__)
+
+_HIGH_WATER_BYTES: Final = 64 * 1024  # of unread answers; beyond it no further calls are read
+# Of one connection; beyond it the connection ends.  Not Final, so that tests of the compiled copy can lower it.
+UNREAD_BYTES_MAX = 1024 * 1024
+UNREAD_BYTES_TOTAL_MAX: Final = 8 * 1024 * 1024  # of all connections; this process may use 32 MB of memory
+_UNREAD_LIMIT_S: Final = 2.0  # a client that reads nothing for so long counts as disconnected
+
+
+class AnsweringConnection(ClientConnection):
+    """Sends answers; its subclass reads calls."""
+
+    _unread_bytes_total: ClassVar[int] = 0  # of all connections above their high-water mark
+
+    def __init__(self, table: ConnectionTable, sock: socket.socket) -> None:
+        super().__init__(table, sock)
+        self._unread_bytes = 0  # this connection's part of _unread_bytes_total
+        self._unread_timer: asyncio.TimerHandle | None = None  # set while above the high-water mark
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register it (called by asyncio)."""
+        super().connection_made(transport)
+        assert self._transport is not None
+        self._transport.set_write_buffer_limits(high=_HIGH_WATER_BYTES)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Unregister it (called by asyncio)."""
+        super().connection_lost(exc)
+        self._unblock_writing()
+
+    def _answers_read(self) -> None:
+        """The client has read answers: go on reading calls."""
+        raise NotImplementedError
+
+    def _write(self, data: bytes) -> None:
+        """Write an answer; end the connection where it exceeds a bound."""
+        transport = self._transport
+        if transport is None or transport.is_closing():
+            return
+        transport.write(data)
+        if self._unread_timer is not None:
+            self._count_unread(transport.get_write_buffer_size())
+
+    def is_write_blocked(self) -> bool:
+        """Whether the client reads more slowly than it sends calls."""
+        return self._unread_timer is not None
+
+    def pause_writing(self) -> None:
+        """Read no further calls: the client does not read its answers (called by asyncio)."""
+        self._pause_reading()
+        loop = asyncio.get_running_loop()
+        self._unread_timer = loop.call_later(_UNREAD_LIMIT_S, self._end_unread)
+        if self._transport is not None:
+            self._count_unread(self._transport.get_write_buffer_size())
+
+    def resume_writing(self) -> None:
+        """Go on (called by asyncio)."""
+        self._unblock_writing()
+        self._answers_read()
+
+    def _count_unread(self, unread_bytes: int) -> None:
+        AnsweringConnection._unread_bytes_total += unread_bytes - self._unread_bytes
+        self._unread_bytes = unread_bytes
+        total = AnsweringConnection._unread_bytes_total
+        if unread_bytes > UNREAD_BYTES_MAX or total > UNREAD_BYTES_TOTAL_MAX:
+            self._end_unread()
+
+    def _end_unread(self) -> None:
+        log.info("%s: closed, its client does not read its answers", self.describe())
+        self._counters.count(ClientEvent.CONNECTION_TIMED_OUT)
+        self.abort(client_disconnected=True)
+
+    def _unblock_writing(self) -> None:
+        AnsweringConnection._unread_bytes_total -= self._unread_bytes
+        self._unread_bytes = 0
+        if self._unread_timer is not None:
+            self._unread_timer.cancel()
+            self._unread_timer = None
+
+    # -- Reading, as far as flow control goes ---------------------------------------------------------
+
+    def _pause_reading(self) -> None:
+        if self._transport is not None:
+            self._transport.pause_reading()
+        if self.partial is not None:
+            self.partial.pause(asyncio.get_running_loop().time())
+
+    def _resume_reading(self) -> None:
+        if self._transport is not None and not self._transport.is_closing():
+            self._transport.resume_reading()
+        if self.partial is not None:
+            self.partial.resume(asyncio.get_running_loop().time())
--- a/topazbank/wiring.py
+++ b/topazbank/wiring.py
@@ -40,9 +40,11 @@
         dial_s, idle_s = limits.connect_timeout_us / 1e6, limits.idle_timeout_us / 1e6
         made: dict[str, UpstreamClient] = {HTTP: HttpUpstreamClient(dial_s, idle_s, slots, columns)}
         if rpc.nodes:
-            from topazbank.msgpackrpc.client import RpcUpstreamClient, Sharing
+            from topazbank.msgpackrpc.client import ConnectionSharing, RpcUpstreamClient
 
-            sharing = Sharing(rpc.lodges_per_connection, rpc.others_per_connection, rpc.connections_per_node)
+            sharing = ConnectionSharing(
+                rpc.lodges_per_connection, rpc.others_per_connection, rpc.connections_per_node
+            )
             made[MSGPACK_RPC] = RpcUpstreamClient(dial_s, idle_s, slots, columns, sharing)
         return made
 
