--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -75,7 +75,7 @@
     disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Its connection is not read any further, so its end goes unnoticed; then the server rejects the attempt.
-    monkeypatch.setattr(rpc_server, "CALLS_MOST", 1)
+    monkeypatch.setattr(rpc_server, "CALLS_MAX", 1)
 
     async def scenario() -> None:
         async with world(silent, silent) as w:
@@ -96,7 +96,7 @@
 def test_a_pipelined_request_is_not_sent_for_a_client_that_disconnected(
     unseen: bool, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(rpc_server, "CALLS_MOST", 1)
+    monkeypatch.setattr(rpc_server, "CALLS_MAX", 1)
 
     async def scenario() -> None:
         async with world(silent) as w:
