--- a/benchmarks/list_hold.py
+++ b/benchmarks/list_hold.py
@@ -26,7 +26,7 @@
 from topazbank.discovery.roster import Registration, Roster
 from topazbank.operator_config import OperatorConfig
 from topazbank.platform_names import settings_from_wire
-from topazbank.wiring import wire
+from topazbank.wiring import build_components
 
 ROUNDS = 40  # of one change; the median is given
 WHOLE_ROUNDS = 5
@@ -105,7 +105,7 @@
     whole = lines(size)
     holds, steps = [], 0
     for _ in range(WHOLE_ROUNDS):
-        made = Sidecar(config, wire(OperatorConfig()))
+        made = Sidecar(config, build_components(OperatorConfig()))
         made.server_list.source.stop()  # nobody answers there
         turns = Turns()
         began = time.perf_counter()
--- a/benchmarks/notification_delay.py
+++ b/benchmarks/notification_delay.py
@@ -26,9 +26,9 @@
 from topazbank.discovery.registrar import Registrar, Standing
 from topazbank.discovery.roster import Registration
 from topazbank.discovery.zkclient import Ensemble as Where
-from topazbank.operator_config import ZOOKEEPER, Membership, OperatorConfig, ZooKeeper
+from topazbank.operator_config import ZOOKEEPER, DiscoveryConfig, OperatorConfig, ZooKeeperConfig
 from topazbank.platform_names import settings_from_wire
-from topazbank.wiring import wire
+from topazbank.wiring import build_components
 
 NODES, CALLERS = 30, 48  # so many that none comes back often enough to be held out as one that flaps
 PATH = "/lodge/nodes"
@@ -83,11 +83,13 @@
     where = Where(members, 20.0)
     nodes = [await node(number) for number in range(NODES)]
     registrars = [registrar(where, server) for _, server in nodes]
-    operator = OperatorConfig(membership=Membership((ZOOKEEPER,), ZooKeeper(members, PATH, "", 20.0)))
+    operator = OperatorConfig(
+        discovery=DiscoveryConfig((ZOOKEEPER,), ZooKeeperConfig(members, PATH, "", 20.0))
+    )
     config = SidecarConfig(
         ("127.0.0.1", 0), ("127.0.0.1", 9), 1, 512, settings_from_wire(SETTINGS), EndpointList(0, True, [])
     )
-    sidecar = Sidecar(config, wire(operator))
+    sidecar = Sidecar(config, build_components(operator))
     tasks = [asyncio.create_task(sidecar.run(asyncio.Event()))]
 
     def ready() -> set[str]:
--- a/benchmarks/planners.py
+++ b/benchmarks/planners.py
@@ -27,7 +27,7 @@
 from topazbank.balancing.events import ServerDescription, ServerState
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, SourceStatus
 from topazbank.core.net import Address, parse_address
-from topazbank.planning.forwarder import Forwarding
+from topazbank.planning.forwarder import PlanningClient
 from topazbank.planning.server import PlannerServer
 
 NODES = 15
@@ -54,7 +54,9 @@
 
         def followed(rig: Rig = rig, name: str = f"p-{1 - first}") -> bool:
             found = [rig.following(each) for each in range(len(rig.processes))]
-            return all(each is not None and each.planner == name and each.age is not None for each in found)
+            return all(
+                each is not None and each.planner == name and each.plan_age_us is not None for each in found
+            )
 
         await until(followed)
         took.append(time.monotonic() - began)
@@ -103,7 +105,7 @@
 
 async def planner_part() -> None:
     server = PlannerServer("p", Fixed, None)
-    server.lead(1)
+    server.set_leadership(1)
     await server.start()
     print(json.dumps("{}:{}".format(*server.address)), flush=True)
     while True:
@@ -116,8 +118,8 @@
                     "in": server.bytes_in,
                     "out": server.bytes_out,
                     "connections": len(server.connections),
-                    "shed": server.planner.shed,
-                    "period_s": server.planner.period() / 1e6,
+                    "shed": server.planner.summaries_shed,
+                    "period_s": server.planner.summary_period_us() / 1e6,
                     "mb": usage.ru_maxrss / 1024,
                 }
             ),
@@ -132,7 +134,7 @@
     servers = [ServerDescription(f"n-{each:02}") for each in range(NODES)]
     made = []
     for number in range(first, first + count):
-        each = Forwarding(f"f-{number}", [planner], now, number)
+        each = PlanningClient(f"f-{number}", [planner], now, number)
         each.listed(servers)
         each.start(list, lambda: None)
         made.append(each)
@@ -147,7 +149,7 @@
             each.ended(servers[chance].name, True, 50_000, {"inflight": 2.0, "queue": 0.0, "util": 0.5})
             each.answered("check", True)
         chance = (chance + 1) % 10
-        followed = sum(each.follower.trust(now()) > 0.0 for each in made)
+        followed = sum(each.follower.confidence(now()) > 0.0 for each in made)
         print(json.dumps({"followed": followed}), flush=True)
 
 
--- a/testbed/fleet/harness.py
+++ b/testbed/fleet/harness.py
@@ -25,13 +25,20 @@
 from topazbank.discovery.registrar import Standing as NodeStanding
 from topazbank.discovery.roster import Registration
 from topazbank.discovery.zkclient import Ensemble as Where
-from topazbank.operator_config import ZOOKEEPER, Membership, MsgpackRpc, OperatorConfig, Planning, ZooKeeper
+from topazbank.operator_config import (
+    ZOOKEEPER,
+    DiscoveryConfig,
+    MsgpackRpcConfig,
+    OperatorConfig,
+    PlanningConfig,
+    ZooKeeperConfig,
+)
 from topazbank.planning.election import Election
-from topazbank.planning.forwarder import Forwarding
-from topazbank.planning.plan import Following
+from topazbank.planning.forwarder import PlanningClient
+from topazbank.planning.plan import FollowerStatus
 from topazbank.planning.server import PlannerServer
 from topazbank.platform_names import settings_from_wire
-from topazbank.wiring import membership_source, wire
+from topazbank.wiring import build_components, build_endpoint_source
 
 EXAMPLE = Path(__file__).parent.parent.parent / "deploy" / "example.json"
 PATH = "/lodge/nodes"
@@ -224,12 +231,12 @@
     async def start_sidecar(self, number: int, known: list[DiscoveredServer]) -> None:
         ways = [await self._way(number, planner) for planner in range(len(self.planners))]
         operator = OperatorConfig(
-            MsgpackRpc(clients=True, nodes=True),
-            membership=self._membership(),
-            planning=Planning(tuple(ways), f"f-{number}"),
-            show_roster=True,
+            MsgpackRpcConfig(accepts_clients=True, calls_servers=True),
+            discovery=self._membership(),
+            planning=PlanningConfig(tuple(ways), f"f-{number}"),
+            status_page_enabled=True,
         )
-        wiring = wire(operator)
+        wiring = build_components(operator)
         if self.fixed:
             wiring = replace(wiring, source=lambda config, told: Silent())
         wiring = self.ears.overhear(wiring, number)
@@ -291,9 +298,9 @@
         several = [each.sidecar.server_list.source for each in self.processes if each is not None]
         return [each._sources[ZOOKEEPER] for each in several if not isinstance(each, Silent)]  # type: ignore[attr-defined]
 
-    def _membership(self) -> Membership:
-        return Membership(
-            (ZOOKEEPER,), ZooKeeper(self.ensemble.addresses, PATH, "", max(self._session_s, 2.0))
+    def _membership(self) -> DiscoveryConfig:
+        return DiscoveryConfig(
+            (ZOOKEEPER,), ZooKeeperConfig(self.ensemble.addresses, PATH, "", max(self._session_s, 2.0))
         )
 
     # -- Planners --------------------------------------------------------------------------------------
@@ -303,7 +310,7 @@
         name, membership = f"p-{number}", self._membership()
         server = PlannerServer(
             name,
-            lambda told: membership_source(membership, None, told),
+            lambda told: build_endpoint_source(membership, None, told),
             number if self._by_rank else None,
         )
         await server.start(self._planner_addresses[number])
@@ -311,7 +318,11 @@
         self.planners[number] = server
         if not self._by_rank:
             election = Election(
-                Where(self.ensemble.addresses, self._session_s), "/lodge/planners", name, server.lead, number
+                Where(self.ensemble.addresses, self._session_s),
+                "/lodge/planners",
+                name,
+                server.set_leadership,
+                number,
             )
             election.start()
             self.elections[number] = election
@@ -337,16 +348,16 @@
             self.ways[sidecar, planner] = way
         return self.ways[sidecar, planner].address
 
-    def following(self, number: int) -> Following | None:
+    def following(self, number: int) -> FollowerStatus | None:
         """What a sidecar follows; None while it is not there."""
         process = self.processes[number]
-        if process is None or not isinstance(process.sidecar._observer, Forwarding):
+        if process is None or not isinstance(process.sidecar._observer, PlanningClient):
             return None
-        return process.sidecar._observer.follower.following(process.sidecar._clock.now())
+        return process.sidecar._observer.follower.status(process.sidecar._clock.now())
 
     def trusts(self) -> list[float]:
         found = [self.following(number) for number in range(len(self.processes))]
-        return [each.trust for each in found if each is not None]
+        return [each.confidence for each in found if each is not None]
 
     # -- Calls -----------------------------------------------------------------------------------------
 
--- a/testbed/fleet/simulated.py
+++ b/testbed/fleet/simulated.py
@@ -27,9 +27,9 @@
     UpdateKind,
 )
 from topazbank.balancing.settings import Settings
-from topazbank.planning.plan import Follower, Plan
-from topazbank.planning.planner import Member, Planner
-from topazbank.planning.summary import Collector, Summary
+from topazbank.planning.plan import Plan, PlanFollower
+from topazbank.planning.planner import PlannedServer, Planner
+from topazbank.planning.summary import SummaryCollector, SummaryReport
 
 S = 1_000_000
 MS = 1_000
@@ -146,8 +146,8 @@
         self.name = f"f-{number:04}"
         self.fleet = fleet
         self.life = f"{self.name}-{seed}"
-        self.follower = Follower(self.name, self.life) if planned else None
-        self.collector = Collector()
+        self.follower = PlanFollower(self.name, self.life) if planned else None
+        self.collector = SummaryCollector()
         self.balancer = Balancer(fleet.settings, seed, self.follower)
         self.asked: dict[int, Asked] = {}
         self.ready: set[str] = set()
@@ -157,13 +157,13 @@
         for line in lines:
             (self.ready.add if line.state is ServerState.READY else self.ready.discard)(line.name)
         if self.follower is not None:
-            self.follower.listed(self.ready)
+            self.follower.update_ready_servers(self.ready)
         self.play(EndpointsUpdated(kind, lines, 1))
 
     def ask(self, asked: Asked) -> None:
         ident = next(self._idents)
         self.asked[ident] = asked
-        self.collector.arrived(asked.kind)
+        self.collector.request_arrived(asked.kind)
         self.fleet.at(asked.sent_at + asked.budget, self._time_up, ident)
         self.play(RequestArrived(ident, asked.kind, None, None, asked.budget, None, False))
 
@@ -200,13 +200,15 @@
 
     def _answer(self, asked: Asked, verdict: str) -> None:
         asked.verdict, asked.ended_at = verdict, self.fleet.now
-        (self.collector.served if verdict == "served" else self.collector.turned_away)(asked.kind)
+        (self.collector.request_served if verdict == "served" else self.collector.request_rejected)(
+            asked.kind
+        )
 
     def _send(self, action: SendAttempt) -> None:
         asked = self.asked[action.request]
         index, asked.attempts = asked.attempts, asked.attempts + 1
         asked.out.add(index)
-        self.collector.sent(action.server)
+        self.collector.attempt_sent(action.server)
         sent_at = self.fleet.now
 
         def ended(outcome: Outcome, report: dict[str, float] | None) -> None:
@@ -220,7 +222,9 @@
                 return
             asked.out.discard(index)
             elapsed = self.fleet.now - sent_at
-            self.collector.ended(self.fleet.now, action.server, outcome is Outcome.DELIVERED, elapsed, report)
+            self.collector.attempt_ended(
+                self.fleet.now, action.server, outcome is Outcome.DELIVERED, elapsed, report
+            )
             if outcome is Outcome.DELIVERED and not asked.verdict:
                 self._answer(asked, "served")
             self.play(
@@ -246,9 +250,9 @@
         """Send a summary to every planner that it reaches, and come back after the period that one said."""
         fleet, follower = self.fleet, self.follower
         assert follower is not None
-        following = follower.following(fleet.now)
+        following = follower.status(fleet.now)
         ejected = frozenset(each.name for each in self.balancer.ejected if each.ejected_until is not None)
-        summary = self.collector.take(
+        summary = self.collector.collect(
             fleet.now, self.name, self.life, (following.epoch, following.planner, following.sequence), ejected
         )
         for place in fleet.planners:
@@ -280,7 +284,7 @@
         self.planners = [Planner(f"p-{number}", str(seed)) for number in range(planners)]
         self.cut: set[tuple[str, str]] = set()  # forwarder (or "*") and planner that don't reach one another
         self.stalled: set[str] = set()  # planners that stand still: what comes meanwhile they get afterwards
-        self._held: list[tuple[Planner, Forwarder, Summary, int]] = []
+        self._held: list[tuple[Planner, Forwarder, SummaryReport, int]] = []
         self.done: list[Asked] = []
         self._agenda: list[tuple[int, int, Callable[..., object], tuple[object, ...]]] = []
         self._order = itertools.count()
@@ -293,17 +297,17 @@
             if planners:
                 self.at(self.now + self.random.randrange(S // 4), forwarder.tell)
         for planner in self.planners:
-            planner.members(self.now, self._members())
+            planner.update_servers(self.now, self._members())
         if self.planners:
-            self.planners[0].lead(1)
+            self.planners[0].start_leading(1)
 
     def _line(self, node: Node) -> ServerDescription:
         state = ServerState.READY if node.up else ServerState.REMOVED
         return ServerDescription(node.name, "a", "std", node.pod, state, node.speed, node.began)
 
-    def _members(self) -> dict[str, Member]:
+    def _members(self) -> dict[str, PlannedServer]:
         return {
-            node.name: Member(node.name, node.speed, 0 if node.began is None else node.began + COLD)
+            node.name: PlannedServer(node.name, node.speed, 0 if node.began is None else node.began + COLD)
             for node in self.nodes.values()
             if node.up
         }
@@ -325,7 +329,7 @@
             for forwarder in self.forwarders:
                 forwarder.listed(lines)
             for planner in self.planners:
-                planner.members(self.now, self._members())
+                planner.update_servers(self.now, self._members())
 
         self.at(self.now + after, tell)
 
@@ -347,20 +351,20 @@
     # -- Between forwarders and planners ---------------------------------------------------------------
 
     def period(self) -> int:
-        return max(each.period() for each in self.planners)
+        return max(each.summary_period_us() for each in self.planners)
 
     def _reach(self, forwarder: Forwarder, planner: Planner) -> bool:
         return not {("*", planner.name), (forwarder.name, planner.name)} & self.cut
 
-    def carry(self, forwarder: Forwarder, planner: Planner, summary: Summary) -> None:
+    def carry(self, forwarder: Forwarder, planner: Planner, summary: SummaryReport) -> None:
         if self._reach(forwarder, planner):
             self.at(self.now + LINK, self._arrive, planner, forwarder, summary, self.now)
 
-    def _arrive(self, planner: Planner, forwarder: Forwarder, summary: Summary, asked_at: int) -> None:
+    def _arrive(self, planner: Planner, forwarder: Forwarder, summary: SummaryReport, asked_at: int) -> None:
         if planner.name in self.stalled:
             self._held.append((planner, forwarder, summary, asked_at))
             return
-        plan = planner.heard(self.now, summary)
+        plan = planner.handle_summary(self.now, summary)
         if plan is not None and self._reach(forwarder, planner):
             self.at(self.now + LINK, forwarder.hear, asked_at, plan)
 
--- a/testbed/fleet/synthetic_peers.py
+++ b/testbed/fleet/synthetic_peers.py
@@ -41,7 +41,7 @@
 from topazbank.discovery.list_format import parse_list
 from topazbank.operator_config import OperatorConfig
 from topazbank.platform_names import settings_from_wire
-from topazbank.wiring import wire
+from topazbank.wiring import build_components
 
 SOCKETS = 256  # of each sidecar
 WORK_S = 0.01  # of a call, on a standard machine
@@ -105,7 +105,9 @@
 
     async def start(self, known: dict[str, Any]) -> None:
         """All at once, each with this list."""
-        counted = replace(wire(OperatorConfig()), trace=lambda balancer: Counting(balancer, self.counts))
+        counted = replace(
+            build_components(OperatorConfig()), trace=lambda balancer: Counting(balancer, self.counts)
+        )
         told = parse_list(known)
         for number in range(self.given.first, self.given.first + self.given.count):
             config = SidecarConfig(
--- a/testbed/fleet/wide.py
+++ b/testbed/fleet/wide.py
@@ -35,7 +35,7 @@
 from testbed.ports import free, own_host
 from testbed.registry import Registry
 from testbed.wire import Address, Asked, place
-from topazbank.plan import ask_planner
+from topazbank.plan import fetch_planner_status
 
 SLOTS, QUEUE = 2, 30  # of a node
 COLD_S = 22.0
@@ -86,7 +86,7 @@
             if process is None:
                 continue
             with contextlib.suppress(OSError, ValueError):
-                told = await asyncio.to_thread(ask_planner, self.addresses[number])
+                told = await asyncio.to_thread(fetch_planner_status, self.addresses[number])
                 if told["epoch"] is not None:
                     found[number] = told["epoch"]
         return max(found, key=found.__getitem__) if found else None
@@ -192,7 +192,7 @@
             self.trusts.append((now() - self._began, await self.trust()))
             if self._planner_count and (leader := await self.planners.leader()) is not None:
                 with contextlib.suppress(OSError, ValueError):
-                    told = await asyncio.to_thread(ask_planner, self.planners.addresses[leader])
+                    told = await asyncio.to_thread(fetch_planner_status, self.planners.addresses[leader])
                     self.records.append({"at_s": round(now() - self._began, 3), **told})
             await asyncio.sleep(LOOK_S)
 
--- a/testbed/fleet/worker.py
+++ b/testbed/fleet/worker.py
@@ -18,10 +18,10 @@
 from testbed.wire import Address
 from topazbank.core.driver import Sidecar, SidecarConfig
 from topazbank.discovery.list_format import parse_list
-from topazbank.operator_config import MsgpackRpc, OperatorConfig, Planning
-from topazbank.planning.forwarder import Forwarding
+from topazbank.operator_config import MsgpackRpcConfig, OperatorConfig, PlanningConfig
+from topazbank.planning.forwarder import PlanningClient
 from topazbank.platform_names import settings_from_wire
-from topazbank.wiring import wire
+from topazbank.wiring import build_components
 
 SOCKETS = 256  # of each forwarder
 
@@ -57,9 +57,9 @@
     def start(self) -> None:
         settings, known = settings_from_wire(self.spec.settings), parse_list(self.spec.known)
         for number in range(self.spec.first, self.spec.first + self.spec.count):
-            planning = Planning(tuple(self.spec.planners), f"f-{number}")
+            planning = PlanningConfig(tuple(self.spec.planners), f"f-{number}")
             wiring = self.ears.overhear(
-                wire(OperatorConfig(MsgpackRpc(True, True), planning=planning)), number
+                build_components(OperatorConfig(MsgpackRpcConfig(True, True), planning=planning)), number
             )
             seed = self.spec.seed * 1_000_003 + number
             config = SidecarConfig(("127.0.0.1", 0), self.spec.registry, seed, SOCKETS, settings, known)
@@ -86,8 +86,8 @@
         found = []
         for sidecar in self.sidecars:
             watching = sidecar._observer
-            if isinstance(watching, Forwarding):
-                found.append(watching.follower.following(sidecar._clock.now()).trust)
+            if isinstance(watching, PlanningClient):
+                found.append(watching.follower.status(sidecar._clock.now()).confidence)
         return found
 
     async def finish(self) -> dict[str, Any]:
--- a/tests/cluster/test_service.py
+++ b/tests/cluster/test_service.py
@@ -18,10 +18,10 @@
 from topazbank.core.gossip_transport import GossipAddresses
 from topazbank.core.net import Address
 from topazbank.estimation.fleet_size import FleetSize
-from topazbank.operator_config import Tiering
+from topazbank.operator_config import ClusterConfig
 
 MEMBERS = 5
-QUICK = Tiering(True, period_ms=50, pause_ms=100, forget_s=60)
+QUICK = ClusterConfig(True, probe_period_ms=50, tolerated_pause_ms=100, forget_after_s=60)
 HOUR_MS = 3_600_000
 WALL = 1_800_000_000_000
 
@@ -39,7 +39,7 @@
         self.wall = WALL
 
     def start(
-        self, number: int, given: Tiering = QUICK, at: Address | None = None, wall: int | None = None
+        self, number: int, given: ClusterConfig = QUICK, at: Address | None = None, wall: int | None = None
     ) -> ClusterService:
         here = at or address_of(number)
         members = tuple(address_of(each) for each in range(MEMBERS))
@@ -108,10 +108,10 @@
 
 def test_with_a_key_strangers_that_have_it_may_join_and_others_may_not(network: Network) -> None:
     async def scene() -> None:
-        keyed = Tiering(True, "desk-a", 50, 100, 60, key="secret")
+        keyed = ClusterConfig(True, "desk-a", 50, 100, 60, key="secret")
         a = network.start(0, keyed)
-        b = network.start(1, Tiering(True, "desk-b", 50, 100, 60, key="secret"), at=("127.0.0.1", 7900))
-        c = network.start(2, Tiering(True, "desk-c", 50, 100, 60, key="another"))
+        b = network.start(1, ClusterConfig(True, "desk-b", 50, 100, 60, key="secret"), at=("127.0.0.1", 7900))
+        c = network.start(2, ClusterConfig(True, "desk-c", 50, 100, 60, key="another"))
         await until(lambda: a.view.here() == 2 and b.view.here() == 2)
         await until(lambda: a.dropped["unreadable"] > 0)
         assert c.view.here() == 1 and c.view.cut_off
@@ -180,8 +180,8 @@
 
 def test_of_two_processes_with_one_name_the_later_keeps_it_and_the_older_says_so(network: Network) -> None:
     async def scene() -> None:
-        def named(name: str) -> Tiering:
-            return Tiering(True, name, 50, 100, 60, key="k")
+        def named(name: str) -> ClusterConfig:
+            return ClusterConfig(True, name, 50, 100, 60, key="k")
 
         first = network.start(0, named("desk"))
         other, third = network.start(1, named("b")), network.start(2, named("c"))
--- a/tests/discovery/test_zookeeper.py
+++ b/tests/discovery/test_zookeeper.py
@@ -24,9 +24,9 @@
 from topazbank.discovery.zkclient import Ensemble as Where
 from topazbank.discovery.zkwire import OPEN_ACL
 from topazbank.discovery.zookeeper import ZooKeeperSource
-from topazbank.operator_config import REGISTRY, ZOOKEEPER, Membership, OperatorConfig, ZooKeeper
+from topazbank.operator_config import REGISTRY, ZOOKEEPER, DiscoveryConfig, OperatorConfig, ZooKeeperConfig
 from topazbank.roster import table
-from topazbank.wiring import wire
+from topazbank.wiring import build_components
 
 pytestmark = pytest.mark.usefixtures("each_node")
 PATH = "/lodge/nodes"
@@ -50,9 +50,9 @@
     return Where(members, timeout_s)
 
 
-def membership(ensemble: Ensemble, *sources: str, timeout_s: float = 20.0) -> Membership:
+def membership(ensemble: Ensemble, *sources: str, timeout_s: float = 20.0) -> DiscoveryConfig:
     at = where(ensemble, timeout_s)
-    return Membership(sources or (ZOOKEEPER,), ZooKeeper(at.members, PATH, "", timeout_s))
+    return DiscoveryConfig(sources or (ZOOKEEPER,), ZooKeeperConfig(at.members, PATH, "", timeout_s))
 
 
 def registrar(ensemble: Ensemble, server: FakeServer, life: str = "life-1", **changes: Any) -> Registrar:
@@ -357,8 +357,8 @@
                 count = len(statuses)
                 if REGISTRY in sources:
                     s.w.discovery.say(50, [each.entry() for each in s.w.servers], snapshot=True)
-                operator = OperatorConfig(membership=membership(s.ensemble, *sources))
-                s.w.sidecar.replace_source(config, wire(operator))
+                operator = OperatorConfig(discovery=membership(s.ensemble, *sources))
+                s.w.sidecar.replace_source(config, build_components(operator))
                 await until(partial(more_than, statuses, count + 50))
                 assert s.ready == {"s-0", "s-1"}
             stop.set()
--- a/tests/fleet/test_planners.py
+++ b/tests/fleet/test_planners.py
@@ -11,7 +11,7 @@
 from testbed.fleet.simulated import START, Fleet, Node, S, service
 from topazbank.balancing.settings import Settings
 from topazbank.planning import leadership
-from topazbank.planning.plan import Share
+from topazbank.planning.plan import ServerShare
 from topazbank.platform_names import settings_from_wire
 
 
@@ -23,9 +23,9 @@
 
 
 def test_planners_that_tell_by_rank_who_leads_fail_as_well(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(leadership, "PATIENCE", S // 2)
-    monkeypatch.setattr(leadership, "PATIENCE_RANK", S // 2)
-    monkeypatch.setattr(leadership, "FRESH", S // 2)
+    monkeypatch.setattr(leadership, "TAKEOVER_DELAY_US", S // 2)
+    monkeypatch.setattr(leadership, "TAKEOVER_DELAY_PER_RANK_US", S // 2)
+    monkeypatch.setattr(leadership, "FRESH_PLAN_AGE_US_MAX", S // 2)
     rig = asyncio.run(asyncio.wait_for(play("planners_die", 0.5, 120.0, seed=2, by_rank=True), 60.0))
     verdicts = rig.verdicts()
     assert not verdicts.broken and verdicts.served > 0.9
@@ -57,7 +57,7 @@
 def test_a_fleet_whose_planners_are_all_gone_serves_as_independent_sidecars_do() -> None:
     gone, alone = (loaded(fleet(200, planners), 0.6, 30.0) for planners in (2, 0))
     gone.run(START + 10 * S)
-    assert min(each.follower.trust(gone.now) for each in gone.forwarders if each.follower) > 0.8
+    assert min(each.follower.confidence(gone.now) for each in gone.forwarders if each.follower) > 0.8
     gone.cut |= {("*", "p-0"), ("*", "p-1")}
     for made in (gone, alone):
         made.run(START + 33 * S)
@@ -70,9 +70,9 @@
 def wrong(made: Fleet) -> None:
     """The leader puts all on one slow node, and says so with every plan."""
 
-    def shares(now: int, name: str, forwarder: object) -> dict[str, Share]:
+    def shares(now: int, name: str, forwarder: object) -> dict[str, ServerShare]:
         return {
-            each: Share(1e6 if each == "n-00" else 1e-6, 0.0 if each == "n-00" else 9.0)
+            each: ServerShare(1e6 if each == "n-00" else 1e-6, 0.0 if each == "n-00" else 9.0)
             for each in made.nodes
         }
 
@@ -93,10 +93,10 @@
     made.nodes["n-02"].stop()
     made.relist("n-02")
     made.run(START + 14 * S)
-    assert max(each.follower.trust(made.now) for each in made.forwarders if each.follower) == 0.0
+    assert max(each.follower.confidence(made.now) for each in made.forwarders if each.follower) == 0.0
     made.resume(made.planners[0])
     made.run(START + 33 * S)
-    refused = {name for each in made.forwarders if each.follower for name in each.follower.refused}
+    refused = {name for each in made.forwarders if each.follower for name in each.follower.rejected}
     assert "LAPSED" in refused
     assert service(made, START, START + 30 * S).served > 0.97
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -21,8 +21,8 @@
 from topazbank.core.driver import Sidecar, SidecarConfig
 from topazbank.core.net import Address
 from topazbank.discovery.list_format import parse_list
-from topazbank.operator_config import Membership, MsgpackRpc, OperatorConfig
-from topazbank.wiring import wire
+from topazbank.operator_config import DiscoveryConfig, MsgpackRpcConfig, OperatorConfig
+from topazbank.wiring import build_components
 
 PATIENCE_S = 20.0  # for what must come; no test takes it as proof of anything
 
@@ -271,7 +271,7 @@
 async def world(
     *scripts: Callable[[str, Head, bytes], bytes | None],
     sockets: int = 256,
-    membership: Membership | None = None,
+    membership: DiscoveryConfig | None = None,
     **changes: Any,
 ) -> AsyncIterator[World]:
     """A world with one server for each script; with other membership than the registry none is known at first."""
@@ -285,9 +285,11 @@
     known = parse_list({"index": 41, "snapshot": True, "endpoints": entries})
     config = SidecarConfig(("127.0.0.1", 0), discovery.address, 7, sockets, given, known)
     operator = OperatorConfig(
-        MsgpackRpc(clients=True, nodes=True), membership=membership or Membership(), show_roster=True
+        MsgpackRpcConfig(accepts_clients=True, calls_servers=True),
+        discovery=membership or DiscoveryConfig(),
+        status_page_enabled=True,
     )
-    made = World(Sidecar(config, wire(operator)), servers, discovery)
+    made = World(Sidecar(config, build_components(operator)), servers, discovery)
     running = asyncio.create_task(made.sidecar.run(made.stop))
     await until(lambda: made.sidecar._balancer._started)
     try:
--- a/tests/msgpackrpc/test_third_party.py
+++ b/tests/msgpackrpc/test_third_party.py
@@ -13,8 +13,8 @@
 from testbed.wire import HTTP, MSGPACK_RPC
 from topazbank.core.driver import Sidecar, SidecarConfig
 from topazbank.discovery.list_format import parse_list
-from topazbank.operator_config import MsgpackRpc, OperatorConfig
-from topazbank.wiring import wire
+from topazbank.operator_config import MsgpackRpcConfig, OperatorConfig
+from topazbank.wiring import build_components
 
 
 def envelope(ident: str, **more: Any) -> dict[str, Any]:
@@ -79,7 +79,10 @@
         known = parse_list({"index": 1, "snapshot": True, "endpoints": [line]})
         given = settings(classes=CLASSES, limits=LIMITS)
         config = SidecarConfig(("127.0.0.1", 0), ("127.0.0.1", 9), 7, 256, given, known)
-        sidecar = Sidecar(config, wire(OperatorConfig(MsgpackRpc(clients=True, nodes=True))))
+        sidecar = Sidecar(
+            config,
+            build_components(OperatorConfig(MsgpackRpcConfig(accepts_clients=True, calls_servers=True))),
+        )
         running = asyncio.create_task(sidecar.run(asyncio.Event()))
         await until(lambda: sidecar._balancer._started)
         where = sidecar.frontend.address
--- a/tests/operations/test_admin_api.py
+++ b/tests/operations/test_admin_api.py
@@ -10,8 +10,8 @@
 import pytest
 
 from topazbank.core.net import Address
-from topazbank.operations.admin_api import CALLERS_MOST, LINE_MOST, AdminApi, Calls
-from topazbank.operations.drain import Drain, Stage
+from topazbank.operations.admin_api import CONNECTIONS_MAX, LINE_BYTES_MAX, AdminCommands, AdminServer
+from topazbank.operations.drain import Drain, DrainState
 
 PATIENCE_S = 10.0
 
@@ -19,8 +19,8 @@
 @contextlib.contextmanager
 def desk(drain: Drain | None = None) -> Iterator[Address]:
     drain = drain or Drain(1.0)
-    drain.serve()
-    made = AdminApi(("127.0.0.1", 0), Calls(drain, lambda: None).answer)
+    drain.mark_started()
+    made = AdminServer(("127.0.0.1", 0), AdminCommands(drain, lambda: None).answer)
     made.start()
     try:
         yield made.address
@@ -45,19 +45,19 @@
         assert call(address, b"status\n") == b"200 serving\n"
         assert call(address, b"standby\r\n") == b"200 emptying\n"
         assert call(address, b"standby\n") == b"200 emptying\n"
-        drain.look(time.monotonic() + 9.0, 0)
+        drain.decide(time.monotonic() + 9.0, 0)
         assert call(address, b"status\n") == b"200 empty\n"
         assert call(address, b"active\n") == b"200 serving\n"
-        drain.end(0.0, succeeded=False)
+        drain.terminate(0.0, succeeded=False)
         assert call(address, b"standby\n") == b"200 ending\n"
         assert call(address, b"active\n") == b"400 ending\n"
 
 
 def test_status_says_no_before_this_process_can_serve() -> None:
     drain = Drain(1.0)
-    assert Calls(drain, lambda: None).answer(b"status").startswith("400")
-    drain.serve()
-    assert Calls(drain, lambda: None).answer(b"status").startswith("200")
+    assert AdminCommands(drain, lambda: None).answer(b"status").startswith("400")
+    drain.mark_started()
+    assert AdminCommands(drain, lambda: None).answer(b"status").startswith("200")
 
 
 @pytest.mark.parametrize(
@@ -69,7 +69,7 @@
         b"status now\n",
         b"STATUS\n",
         b"\x00\xff\x80\n",
-        b"x" * LINE_MOST + b"y\n",
+        b"x" * LINE_BYTES_MAX + b"y\n",
     ],
 )
 def test_what_is_no_call_is_answered_by_400(line: bytes) -> None:
@@ -94,7 +94,7 @@
 
 def test_more_callers_that_hold_their_connection_than_there_is_room_for_delay_nobody() -> None:
     with desk() as address, contextlib.ExitStack() as held:
-        for _ in range(10 * CALLERS_MOST):
+        for _ in range(10 * CONNECTIONS_MAX):
             sock = held.enter_context(socket.create_connection(address, PATIENCE_S))
             sock.sendall(b"stat")
             began = time.monotonic()
@@ -104,9 +104,9 @@
 
 def test_an_order_wakes_the_loop_and_changes_the_machine_before_it_is_answered() -> None:
     drain, woken = Drain(1.0), []
-    drain.serve()
-    calls = Calls(drain, lambda: woken.append(drain.stage))
+    drain.mark_started()
+    calls = AdminCommands(drain, lambda: woken.append(drain.state))
     calls.answer(b"standby")
     calls.answer(b"status")
     calls.answer(b"active")
-    assert woken == [Stage.EMPTYING, Stage.SERVING]
+    assert woken == [DrainState.DRAINING, DrainState.SERVING]
--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -19,7 +19,7 @@
 from test_life import ROOT, SETTINGS
 
 from topazbank.core.net import Address
-from topazbank.operations.handover import inherit
+from topazbank.operations.handover import take_over
 
 
 def kept_port() -> socket.socket:
@@ -262,10 +262,10 @@
 
 
 def test_a_path_that_cannot_be_connected_to_gives_nothing(tmp_path: Path) -> None:
-    assert inherit(None).clients is None
-    assert inherit(tmp_path / "none.sock").clients is None
+    assert take_over(None).client_socket is None
+    assert take_over(tmp_path / "none.sock").client_socket is None
     (tmp_path / "file.sock").write_text("x", encoding="utf-8")
-    assert inherit(tmp_path / "file.sock").clients is None
+    assert take_over(tmp_path / "file.sock").client_socket is None
     deep = tmp_path / ("d" * 100) / ("e" * 100)
     deep.mkdir(parents=True)
     with socket.socket(socket.AF_UNIX) as sock:
@@ -273,4 +273,4 @@
         sock.bind(f"/proc/self/fd/{folder}/hung.sock")
         os.close(folder)
         sock.listen(1)
-        assert inherit(deep / "hung.sock").clients is None  # nobody answers there
+        assert take_over(deep / "hung.sock").client_socket is None  # nobody answers there
--- a/tests/planning/test_leadership.py
+++ b/tests/planning/test_leadership.py
@@ -12,69 +12,78 @@
 from testbed.zookeeper import Ensemble
 from topazbank.discovery.zkclient import Ensemble as Where
 from topazbank.planning.election import Election
-from topazbank.planning.leadership import FRESH, PATIENCE, PATIENCE_RANK, StaticLead
-from topazbank.planning.plan import S
-from topazbank.planning.summary import Summary
+from topazbank.planning.leadership import (
+    FRESH_PLAN_AGE_US_MAX,
+    TAKEOVER_DELAY_PER_RANK_US,
+    TAKEOVER_DELAY_US,
+    RankedLeadership,
+)
+from topazbank.planning.plan import US_PER_S
+from topazbank.planning.summary import SummaryReport
 
 UNIX = 1_764_583_200
-SUMMARY = Summary("f", "life", 1, S // 10, -1, "", -1)
+SUMMARY = SummaryReport("f", "life", 1, US_PER_S // 10, -1, "", -1)
 
 
-def following(planner: str, epoch: int, age: int = 0) -> Summary:
-    return replace(SUMMARY, planner=planner, epoch=epoch, age=age)
+def following(planner: str, epoch: int, age: int = 0) -> SummaryReport:
+    return replace(SUMMARY, planner=planner, epoch=epoch, plan_age_us=age)
 
 
-def hear(lead: StaticLead, summary: Summary, since: int, until: int) -> int:
-    for at in range(since, until, S // 10):
-        lead.heard(at, summary)
-        if lead.look(at, UNIX) is not None:
+def hear(lead: RankedLeadership, summary: SummaryReport, since: int, until: int) -> int:
+    for at in range(since, until, US_PER_S // 10):
+        lead.observe_summary(at, summary)
+        if lead.current_epoch(at, UNIX) is not None:
             return at
     return until
 
 
 def test_the_first_rank_leads_after_its_patience_and_the_next_waits_longer() -> None:
-    first, second = StaticLead("p", 0, START), StaticLead("q", 1, START)
-    at = hear(first, SUMMARY, START, START + 20 * S)
-    assert START + PATIENCE <= at < START + PATIENCE + S // 5 and first.epoch is not None
-    later = hear(second, SUMMARY, START, START + 20 * S)
-    assert later >= at + PATIENCE_RANK - S // 5
+    first, second = RankedLeadership("p", 0, START), RankedLeadership("q", 1, START)
+    at = hear(first, SUMMARY, START, START + 20 * US_PER_S)
     assert (
-        hear(StaticLead("q", 1, START), following("p", first.epoch), START, START + 20 * S) == START + 20 * S
+        START + TAKEOVER_DELAY_US <= at < START + TAKEOVER_DELAY_US + US_PER_S // 5
+        and first.epoch is not None
+    )
+    later = hear(second, SUMMARY, START, START + 20 * US_PER_S)
+    assert later >= at + TAKEOVER_DELAY_PER_RANK_US - US_PER_S // 5
+    assert (
+        hear(RankedLeadership("q", 1, START), following("p", first.epoch), START, START + 20 * US_PER_S)
+        == START + 20 * US_PER_S
     )
 
 
 def test_nobody_leads_whom_no_forwarder_tells_of_anything() -> None:
-    lead = StaticLead("p", 0, START)
-    assert lead.look(START + 60 * S, UNIX) is None
+    lead = RankedLeadership("p", 0, START)
+    assert lead.current_epoch(START + 60 * US_PER_S, UNIX) is None
 
 
 def test_one_that_starts_anew_comes_out_above_its_former_self_whatever_its_clock_says() -> None:
-    first = StaticLead("p", 0, START)
-    hear(first, SUMMARY, START, START + 20 * S)
+    first = RankedLeadership("p", 0, START)
+    hear(first, SUMMARY, START, START + 20 * US_PER_S)
     assert first.epoch is not None
-    again = StaticLead("p", 0, START)
-    old = following("p", first.epoch, age=FRESH * 10)
-    for at in range(START, START + 4 * S, S // 10):
-        again.heard(at, old)
-        again.look(at, UNIX - 600)  # ten minutes behind
+    again = RankedLeadership("p", 0, START)
+    old = following("p", first.epoch, age=FRESH_PLAN_AGE_US_MAX * 10)
+    for at in range(START, START + 4 * US_PER_S, US_PER_S // 10):
+        again.observe_summary(at, old)
+        again.current_epoch(at, UNIX - 600)  # ten minutes behind
     assert again.epoch is not None and again.epoch > first.epoch
 
 
 def test_two_that_lead_at_once_differ_and_the_lower_one_is_deposed_when_they_meet() -> None:
-    pair = [StaticLead("p", 0, START), StaticLead("q", 1, START)]
+    pair = [RankedLeadership("p", 0, START), RankedLeadership("q", 1, START)]
     for each in pair:
-        hear(each, SUMMARY, START, START + 20 * S)
+        hear(each, SUMMARY, START, START + 20 * US_PER_S)
     epochs = [each.epoch for each in pair]
     assert epochs[0] is not None and epochs[1] is not None and epochs[0] > epochs[1]
-    pair[1].heard(START + 21 * S, following("p", epochs[0]))
-    assert pair[1].epoch is None and pair[1].look(START + 21 * S, UNIX) is None
-    pair[0].heard(START + 21 * S, following("q", epochs[1]))
+    pair[1].observe_summary(START + 21 * US_PER_S, following("p", epochs[0]))
+    assert pair[1].epoch is None and pair[1].current_epoch(START + 21 * US_PER_S, UNIX) is None
+    pair[0].observe_summary(START + 21 * US_PER_S, following("q", epochs[1]))
     assert pair[0].epoch == epochs[0]
 
 
 def test_a_rank_out_of_bounds_is_named() -> None:
     with pytest.raises(ValueError, match="rank"):
-        StaticLead("p", 256, START)
+        RankedLeadership("p", 256, START)
 
 
 # -- By an ensemble ----------------------------------------------------------------------------------
--- a/tests/planning/test_links.py
+++ b/tests/planning/test_links.py
@@ -18,10 +18,10 @@
 from topazbank.planning import link as links
 from topazbank.planning import server as serving
 from topazbank.planning.link import PlannerLink
-from topazbank.planning.plan import Plan, S
-from topazbank.planning.wire import SUMMARY, encode_plan
+from topazbank.planning.plan import US_PER_S, Plan
+from topazbank.planning.wire import SUMMARY_METHOD, encode_plan
 
-PLAN = Plan("f", "life", 1, "p", 1, S, 0)
+PLAN = Plan("f", "life", 1, "p", 1, US_PER_S, 0)
 
 
 class FakePlanner:
@@ -84,9 +84,9 @@
 
         async with linked(twice) as (planner, link, heard):
             await until(lambda: len(heard) >= 5)
-            assert len(heard) == link.answered <= len(planner.calls)
-            assert all(each[2:] == [SUMMARY, [b"summary"]] for each in planner.calls)
-            assert heard[0] == PLAN and link.period == 20_000 and not link.bad
+            assert len(heard) == link.responses <= len(planner.calls)
+            assert all(each[2:] == [SUMMARY_METHOD, [b"summary"]] for each in planner.calls)
+            assert heard[0] == PLAN and link.period_us == 20_000 and not link.invalid_responses
 
     play(scene())
 
@@ -106,15 +106,15 @@
 def test_a_planner_that_makes_no_sense_is_counted_and_nothing_of_it_is_followed(answered: Any) -> None:
     async def scene() -> None:
         async with linked(answered) as (_, link, heard):
-            await until(lambda: link.bad >= 1 or link._backoff_s > links.BACKOFF_S)
+            await until(lambda: link.invalid_responses >= 1 or link._backoff_s > links.BACKOFF_MIN_S)
             assert not heard
 
     play(scene())
 
 
 def test_a_silent_planner_is_dialled_again_less_and_less_often(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(links, "UNANSWERED_S", 0.05)
-    monkeypatch.setattr(links, "BACKOFF_S", 0.02)
+    monkeypatch.setattr(links, "RESPONSE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(links, "BACKOFF_MIN_S", 0.02)
 
     async def scene() -> None:
         async with linked(lambda message: None) as (planner, link, heard):
@@ -123,7 +123,7 @@
             assert link._backoff_s >= 0.16 and not heard
             planner.script = lambda message: answer(message, encode_plan(PLAN))
             await until(lambda: heard)
-            assert link._backoff_s == links.BACKOFF_S
+            assert link._backoff_s == links.BACKOFF_MIN_S
 
     play(scene())
 
@@ -138,7 +138,7 @@
         for junk in (
             b"\xc1",
             msgpack.packb([1, 2]),
-            msgpack.packb([0, "x", SUMMARY, [b""]]),
+            msgpack.packb([0, "x", SUMMARY_METHOD, [b""]]),
             b"GET / HTTP/1.1\r\n\r\n",
         ):
             reader, writer = await asyncio.open_connection(*server.address)
@@ -146,7 +146,7 @@
             assert await reader.read() == b""
             writer.close()
         reader, writer = await asyncio.open_connection(*server.address)
-        for method, params in ((SUMMARY, [b"junk"]), (SUMMARY, []), ("nothing", [])):
+        for method, params in ((SUMMARY_METHOD, [b"junk"]), (SUMMARY_METHOD, []), ("nothing", [])):
             writer.write(msgpack.packb([0, 1, method, params]))
             _, _, error, result = msgpack.unpackb(await reader.read(65536))
             assert error and result is None
@@ -166,12 +166,12 @@
         server = rig.planners[0]
         assert server is not None
         await until(lambda: len(server.connections) == 1)
-        monkeypatch.setattr(serving, "CONNECTIONS_MOST", 2)
+        monkeypatch.setattr(serving, "CONNECTIONS_MAX", 2)
         one = await asyncio.open_connection(*server.address)
         await until(lambda: len(server.connections) == 2)
         other = await asyncio.open_connection(*server.address)
         assert await other[0].read() == b""
-        monkeypatch.setattr(serving, "IDLE_S", 0.3)
+        monkeypatch.setattr(serving, "IDLE_TIMEOUT_S", 0.3)
         assert await one[0].read() == b""
         await until(lambda: min(rig.trusts()) > 0.05)  # a forwarder is never silent for so long
         for _, writer in (one, other):
--- a/tests/planning/test_record.py
+++ b/tests/planning/test_record.py
@@ -30,25 +30,27 @@
 
 
 def test_shares_are_parts_of_what_stood_in_the_same_record() -> None:
-    given = record.read(text(told(5.0, a=(6.0, 1.0, 0.0), b=(2.0, 3.0, 0.0)), told(6.0, a=(1.0, 1.0, 4.0))))
-    course = record.moments(given)
-    assert course["a"] == [record.Moment(0.0, 0.75, 0.25, 0.0), record.Moment(1.0, 1.0, 1.0, 1.0)]
-    assert course["b"] == [record.Moment(0.0, 0.25, 0.75, 0.0)]
+    given = record.read_records(
+        text(told(5.0, a=(6.0, 1.0, 0.0), b=(2.0, 3.0, 0.0)), told(6.0, a=(1.0, 1.0, 4.0)))
+    )
+    course = record.samples_by_server(given)
+    assert course["a"] == [record.ServerSample(0.0, 0.75, 0.25, 0.0), record.ServerSample(1.0, 1.0, 1.0, 1.0)]
+    assert course["b"] == [record.ServerSample(0.0, 0.25, 0.75, 0.0)]
 
 
 def test_a_planner_that_did_not_lead_says_nothing_of_shares() -> None:
-    given = record.read(text(told(0.0, None, a=(1.0, 1.0, 1.0)), told(9.0, 4, b=(1.0, 1.0, 1.0))))
-    assert record.moments(given) == {"b": [record.Moment(0.0, 1.0, 1.0, 1.0)]}
+    given = record.read_records(text(told(0.0, None, a=(1.0, 1.0, 1.0)), told(9.0, 4, b=(1.0, 1.0, 1.0))))
+    assert record.samples_by_server(given) == {"b": [record.ServerSample(0.0, 1.0, 1.0, 1.0)]}
 
 
 def test_the_node_that_is_furthest_off_comes_first() -> None:
-    courses = record.moments(
-        record.read(text(told(0.0, a=(1.0, 1.0, 1.0), b=(2.0, 1.0, 1.0), c=(1.0, 2.0, 1.0))))
+    courses = record.samples_by_server(
+        record.read_records(text(told(0.0, a=(1.0, 1.0, 1.0), b=(2.0, 1.0, 1.0), c=(1.0, 2.0, 1.0))))
     )
-    found = record.fits(courses)
-    assert [each.node for each in found] == ["b", "c", "a"]
-    assert found[0].off == pytest.approx(0.25) and found[0].worst == pytest.approx(0.25)
-    assert len(record.table(found)) == 4
+    found = record.share_accuracy(courses)
+    assert [each.server for each in found] == ["b", "c", "a"]
+    assert found[0].error == pytest.approx(0.25) and found[0].error_max == pytest.approx(0.25)
+    assert len(record.accuracy_table(found)) == 4
 
 
 @pytest.mark.parametrize(
@@ -62,24 +64,26 @@
         ('{"at_s": 1, "nodes": [{"name": 7}]}', "nodes.name is a text"),
         ('{"at_s": 1, "nodes": [{"name": "a", "odds": 1, "capacity": "2"}]}', "capacity is a number"),
         ('{"at_s": 1, "nodes": [7]}', "line 2"),
-        (" " * record.LINE_MOST + "{}", "characters at most"),
+        (" " * record.LINE_CHARACTERS_MAX + "{}", "characters at most"),
     ],
 )
 def test_a_line_that_is_no_record_is_named(line: str, wanted: str) -> None:
-    with pytest.raises(record.BadRecord, match=wanted):
-        record.read([*text(told(0.0, a=(1.0, 1.0, 1.0))), line])
+    with pytest.raises(record.InvalidRecord, match=wanted):
+        record.read_records([*text(told(0.0, a=(1.0, 1.0, 1.0))), line])
 
 
 def test_a_large_fleet_is_drawn_with_the_panels_of_those_furthest_off(tmp_path: Path) -> None:
-    names = {f"n{each}": (1.0 + each, 1.0, 1.0) for each in range(plot.PANELS_MOST + 10)}
+    names = {f"n{each}": (1.0 + each, 1.0, 1.0) for each in range(plot.PANELS_MAX + 10)}
     out = tmp_path / "run.png"
-    plot.draw(record.moments(record.read(text(told(0.0, **names), told(1.0, **names)))), out)
+    plot.draw_run(
+        record.samples_by_server(record.read_records(text(told(0.0, **names), told(1.0, **names)))), out
+    )
     assert out.read_bytes().startswith(b"\x89PNG")
 
 
 def test_a_time_without_records_is_a_gap_and_not_a_slope() -> None:
-    given = record.read(text(*(told(at, a=(1.0, 1.0, 1.0)) for at in (0.0, 1.0, 9.0))))
-    times, parts = plot.line(record.moments(given)["a"], lambda each: each.dealt)
+    given = record.read_records(text(*(told(at, a=(1.0, 1.0, 1.0)) for at in (0.0, 1.0, 9.0))))
+    times, parts = plot.series(record.samples_by_server(given)["a"], lambda each: each.planned)
     assert times == [0.0, 1.0, 1.0, 9.0]
     assert [math.isnan(each) for each in parts] == [False, False, True, False]
 
@@ -116,5 +120,5 @@
 
 def test_a_planner_that_is_not_there_leaves_a_gap_and_no_error(tmp_path: Path) -> None:
     out = tmp_path / "run.jsonl"
-    assert command.keep_record(("127.0.0.1", 9), out, 0.1) == 0
+    assert command.record_run(("127.0.0.1", 9), out, 0.1) == 0
     assert out.read_text(encoding="utf-8") == ""
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -562,11 +562,11 @@
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request()[:30])
             await until(lambda: w.sidecar.frontend.connections)
-            w.sidecar.drain.standby(asyncio.get_running_loop().time())
+            w.sidecar.drain.start_drain(asyncio.get_running_loop().time())
             w.sidecar.carry_out()
             assert await is_closed(reader)
             assert not w.sidecar.drain.is_ready()
-            w.sidecar.drain.active()
+            w.sidecar.drain.cancel_drain()
             w.sidecar.carry_out()
             assert (await w.ask())[0] == 200
             writer.close()
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -31,7 +31,7 @@
 
 from testbed.ports import free, own_host
 from testbed.wire import HTTP
-from topazbank.__main__ import Flood
+from topazbank.__main__ import LogRateLimiter
 from topazbank.core.net import Address
 from topazbank.operations import drain
 
@@ -122,7 +122,7 @@
 
 
 def test_a_flood_of_log_lines_is_cut() -> None:
-    flood = Flood(3)
+    flood = LogRateLimiter(3)
     lines = [logging.makeLogRecord({"created": at}) for at in (7.0, 7.1, 7.2, 7.3, 7.9, 8.0)]
     assert [flood.filter(each) for each in lines] == [True, True, True, False, False, True]
 
@@ -253,7 +253,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards the 0.4 s in which connections still come; made long, so that a slow machine can't miss them.
-    monkeypatch.setattr(drain, "ACCEPT_S", 600.0)
+    monkeypatch.setattr(drain, "ACCEPT_AFTER_DRAIN_S", 600.0)
 
     async def scene() -> None:
         async with world(lambda *_: answer(200, b"served")) as w:
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -14,7 +14,7 @@
 from helpers import settings
 
 from topazbank.balancing.events import ServerDescription
-from topazbank.config import check_tier
+from topazbank.config import check_cluster_config
 from topazbank.core.driver import SidecarConfig
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, ProtocolDefaults
 from topazbank.core.endpoints import HTTP, MSGPACK_RPC
@@ -25,7 +25,7 @@
 
 
 def test_the_file_that_is_deployed_is_good_and_no_file_means_the_defaults() -> None:
-    assert read_operator_config(str(ROOT / "deploy" / "operator.toml")).msgpack_rpc.clients
+    assert read_operator_config(str(ROOT / "deploy" / "operator.toml")).msgpack_rpc.accepts_clients
     assert read_operator_config(None) == operator_config_from({}) == OperatorConfig()
 
 
@@ -108,10 +108,10 @@
     )
     given = operator_config_from({"tier": {"on": True, "name": name}})
     if complaint is None:
-        check_tier(replace(config, **changes), given)
+        check_cluster_config(replace(config, **changes), given)
         return
     with pytest.raises(ValueError, match=complaint):
-        check_tier(replace(config, **changes), given)
+        check_cluster_config(replace(config, **changes), given)
 
 
 def test_a_keeper_that_no_member_is_is_told_at_the_start() -> None:
@@ -122,8 +122,10 @@
     )
     budget = {"of": "retries", "whole": 1, "burst": 2, "keepers": ["1", "2"]}
     with pytest.raises(ValueError, match=r"budgets\.b\.keepers: '2' is no number in peers"):
-        check_tier(config, operator_config_from({"tier": {"on": True}, "budgets": {"b": budget}}))
-    check_tier(config, operator_config_from({"tier": {"on": True, "name": "a"}, "budgets": {"b": budget}}))
+        check_cluster_config(config, operator_config_from({"tier": {"on": True}, "budgets": {"b": budget}}))
+    check_cluster_config(
+        config, operator_config_from({"tier": {"on": True, "name": "a"}, "budgets": {"b": budget}})
+    )
 
 
 def test_a_bad_tier_ends_the_start_with_one_line_and_code_2(tmp_path: Path) -> None:
@@ -140,7 +142,7 @@
 def test_an_entry_s_word_goes_before_its_pod_s_and_that_before_the_default() -> None:
     text = "[msgpack_rpc]\nnodes = true\n[nodes.pods]\n7 = 'msgpack-rpc'"
     operator = operator_config_from(tomllib.loads(text))
-    dialects = ProtocolDefaults(operator.protocol, operator.pods)
+    dialects = ProtocolDefaults(operator.default_protocol, operator.pod_protocols)
     in_pod, elsewhere = ServerDescription("a", cell=7), ServerDescription("b", cell=8)
     assert dialects.of(DiscoveredServer(in_pod, None)) == MSGPACK_RPC
     assert dialects.of(DiscoveredServer(elsewhere, None)) == HTTP
@@ -157,4 +159,4 @@
     good = operator_config_from(
         tomllib.loads("[membership.zookeeper]\nsecret = 'me:hush'\nmembers = ['a:1']")
     )
-    assert good.membership.zookeeper.secret == "me:hush" and "hush" not in repr(good)
+    assert good.discovery.zookeeper.credentials == "me:hush" and "hush" not in repr(good)
--- a/topazbank/__main__.py
+++ b/topazbank/__main__.py
@@ -16,11 +16,11 @@
 from collections.abc import Sequence
 from types import FrameType
 
-from topazbank.config import BAD_CONFIG, check_tier, read_config
+from topazbank.config import CONFIG_ERRORS, check_cluster_config, read_config
 from topazbank.core.driver import Components, Sidecar, SidecarConfig
-from topazbank.operations.service import Service
+from topazbank.operations.service import SidecarService
 from topazbank.operator_config import OperatorConfig, read_operator_config
-from topazbank.wiring import wire
+from topazbank.wiring import build_components
 
 log = logging.getLogger(__name__)
 
@@ -30,7 +30,7 @@
 _LOG_LINES = 50  # a second at most
 
 
-class Flood(logging.Filter):
+class LogRateLimiter(logging.Filter):
     """Lets through so many lines a second: guards against junk from outside that would fill the log."""
 
     def __init__(self, most: int) -> None:
@@ -49,7 +49,7 @@
 def start_log() -> None:
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter("%(asctime)s %(name)s %(message)s"))
-    handler.addFilter(Flood(_LOG_LINES))
+    handler.addFilter(LogRateLimiter(_LOG_LINES))
     logging.basicConfig(level=logging.INFO, handlers=[handler])
 
 
@@ -74,7 +74,7 @@
     loop = asyncio.get_running_loop()
     for each in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(each, stop.set)
-    service = Service(config, wiring)
+    service = SidecarService(config, wiring)
     running = Running(service.sidecar, operator, operator_file)
     loop.add_signal_handler(signal.SIGHUP, running.reread_soon)
     if early.came:
@@ -109,13 +109,13 @@
         try:
             operator = read_operator_config(self._operator_file)
             config = read_config(os.environ)
-        except BAD_CONFIG as bad:
+        except CONFIG_ERRORS as bad:
             log.error("the configuration stays as it was: %s", str(bad).replace("\n", " "))
             return
-        if operator.membership == self._operator.membership:
+        if operator.discovery == self._operator.discovery:
             self.sidecar.move_discovery(config.discovery)
         else:
-            self.sidecar.replace_source(config, wire(operator))
+            self.sidecar.replace_source(config, build_components(operator))
         self._operator = operator
 
 
@@ -133,9 +133,9 @@
     try:
         operator = read_operator_config(given.operator)
         config = read_config(os.environ)
-        wiring = wire(operator)
-        check_tier(config, operator)
-    except (*BAD_CONFIG, ImportError) as bad:  # of a part that is on, and whose library is not installed
+        wiring = build_components(operator)
+        check_cluster_config(config, operator)
+    except (*CONFIG_ERRORS, ImportError) as bad:  # of a part that is on, and whose library is not installed
         print(f"bad configuration: {bad}".replace("\n", " "), file=sys.stderr)
         return 2
     gc.freeze()  # what is loaded by now stays; collections look at requests alone
--- a/topazbank/cluster/service.py
+++ b/topazbank/cluster/service.py
@@ -19,7 +19,7 @@
 from topazbank.core.driver import SidecarConfig
 from topazbank.core.net import Address
 from topazbank.estimation.fleet_size import FleetSize
-from topazbank.operator_config import Tiering
+from topazbank.operator_config import ClusterConfig
 from topazbank.quota.service import QuotaService, is_word
 
 log = logging.getLogger(__name__)
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        given: Tiering,
+        given: ClusterConfig,
         config: SidecarConfig,
         others: FleetSize,
         known: Mapping[str, Any],
@@ -66,7 +66,10 @@
         # Who has a name of its own need not be one of `peers`, and then has no number there.
         seeds = [each for n, each in enumerate(members) if each != listen and (given.name or n != number)]
         rules = Rules(
-            given.period_ms * 1000, given.pause_ms * 1000, given.forget_s * 1_000_000, given.datagram
+            given.probe_period_ms * 1000,
+            given.tolerated_pause_ms * 1000,
+            given.forget_after_s * 1_000_000,
+            given.datagram_bytes_max,
         )
         before = before_from(known)
         me = ident_of(self.name)
--- a/topazbank/config.py
+++ b/topazbank/config.py
@@ -14,7 +14,7 @@
 from topazbank.operator_config import OperatorConfig
 from topazbank.platform_names import settings_from_wire
 
-BAD_CONFIG = (OSError, ValueError, RecursionError)  # what reading one may raise
+CONFIG_ERRORS = (OSError, ValueError, RecursionError)  # what reading one may raise
 _SOCKETS = 1024  # unless the configuration tells
 
 
@@ -41,10 +41,10 @@
     )
 
 
-def check_tier(config: SidecarConfig, operator: OperatorConfig) -> None:
+def check_cluster_config(config: SidecarConfig, operator: OperatorConfig) -> None:
     """Whether membership among the sidecars, where it is on, has what it needs; raise ValueError, naming the field."""
-    given = operator.tier
-    if not given.on:
+    given = operator.cluster
+    if not given.enabled:
         return
     if config.tier is None:
         raise ValueError("tier.on: the configuration names no peer_listen, where other sidecars are heard")
--- a/topazbank/core/driver.py
+++ b/topazbank/core/driver.py
@@ -306,7 +306,7 @@
             self._observer.start(lambda: [each.name for each in self._balancer.ejected], lives)
         lag = asyncio.get_running_loop().create_task(self._watch_lag())
         began()
-        self.drain.serve()
+        self.drain.mark_started()
         self.carry_out()  # an operator may have called already
         await stop.wait()
         await self._end(succeeded())
@@ -358,20 +358,20 @@
 
     def carry_out(self) -> None:
         """Carry out what holds of the sidecar as a whole, and look again while it is emptied."""
-        orders = self.drain.look(asyncio.get_running_loop().time(), self.frontend.held)
+        orders = self.drain.decide(asyncio.get_running_loop().time(), self.frontend.held)
         self.frontend.follow(orders)
         if self._looking is not None:
             self._looking.cancel()
             self._looking = None
-        if orders.over:
+        if orders.finished:
             self._over.set()
-        elif orders.closes:
+        elif orders.closes_idle:
             self._looking = asyncio.get_running_loop().call_later(_DRAIN_STEP_S, self.carry_out)
 
     async def _end(self, succeeded: bool) -> None:
         """Answer all that is held, in the time that the platform gives."""
         log.info("draining: %d requests held", len(self._by_call))
-        self.drain.end(asyncio.get_running_loop().time(), succeeded)
+        self.drain.terminate(asyncio.get_running_loop().time(), succeeded)
         self.carry_out()
         await self._over.wait()
         for live in list(self._by_call.values()):
--- a/topazbank/core/listener.py
+++ b/topazbank/core/listener.py
@@ -23,7 +23,7 @@
 )
 from topazbank.core.counters import Counters, Event, Violation
 from topazbank.core.net import Address, Reader, has_ended, is_quiet
-from topazbank.operations.drain import Orders
+from topazbank.operations.drain import DrainDecision
 
 log = logging.getLogger(__name__)
 
@@ -406,13 +406,13 @@
     def lost(self, connection: ClientConnection) -> None:
         self._by_state[connection.state].pop(connection, None)
 
-    def follow(self, orders: Orders) -> None:
+    def follow(self, orders: DrainDecision) -> None:
         """Carry out what holds while the sidecar is emptied, or is not any more: a request that crosses comes again."""
-        self.draining, self.stopped = orders.closes, orders.closes_new
-        if not orders.listens:
+        self.draining, self.stopped = orders.closes_idle, orders.closes_unused
+        if not orders.accepts_connections:
             self.stop(orders.ready)
-        if orders.closes:
-            self.close_idle(used=not orders.closes_new)
+        if orders.closes_idle:
+            self.close_idle(used=not orders.closes_unused)
 
     def close_idle(self, used: bool) -> None:
         """Close what is at rest; with `used`, not what was just opened for a request still on its way.
--- a/topazbank/operations/admin_api.py
+++ b/topazbank/operations/admin_api.py
@@ -18,12 +18,12 @@
 from dataclasses import dataclass
 
 from topazbank.core.net import Address
-from topazbank.operations.drain import Drain, Stage
+from topazbank.operations.drain import Drain, DrainState
 
 log = logging.getLogger(__name__)
 
-LINE_MOST = 256  # bytes of a call; a longer one is none
-CALLERS_MOST = (
+LINE_BYTES_MAX = 256  # bytes of a call; a longer one is none
+CONNECTIONS_MAX = (
     16  # connections held: the newest are served, and the oldest that have called nothing make room
 )
 _HELD_S = 10.0  # and none is held for longer with nothing called
@@ -38,7 +38,7 @@
     return word.decode() if word in (b"status", b"standby", b"active") else None
 
 
-class Calls:
+class AdminCommands:
     """What the operators' words do to the drain's machine."""
 
     def __init__(self, drain: Drain, changed: Callable[[], None]) -> None:
@@ -52,11 +52,11 @@
         if word is None:
             return "400 not known: status, standby or active"
         if word == "status":
-            stage = self._drain.stage
-            return f"{400 if stage is Stage.STARTING else 200} {stage.value}"
-        stage = self._drain.standby(time.monotonic()) if word == "standby" else self._drain.active()
+            stage = self._drain.state
+            return f"{400 if stage is DrainState.STARTING else 200} {stage.value}"
+        stage = self._drain.start_drain(time.monotonic()) if word == "standby" else self._drain.cancel_drain()
         self._changed()
-        refused = word == "active" and stage is Stage.ENDING
+        refused = word == "active" and stage is DrainState.TERMINATING
         return f"{400 if refused else 200} {stage.value}"
 
 
@@ -70,7 +70,7 @@
     answered: bool = False
 
 
-class AdminApi:
+class AdminServer:
     """Listens for operators, in a thread."""
 
     def __init__(self, address: Address, answer: Callable[[bytes], str]) -> None:
@@ -128,7 +128,7 @@
             sock, _ = self._sock.accept()
         except OSError:
             return
-        if len(self._callers) >= CALLERS_MOST:
+        if len(self._callers) >= CONNECTIONS_MAX:
             self._end(next(iter(self._callers.values())))
         sock.setblocking(False)
         self._callers[sock] = Caller(sock, time.monotonic() + _HELD_S)
@@ -148,8 +148,8 @@
                 self._end(caller)  # what comes after the line is read and dropped
             return
         line, ended, _ = (caller.line + data).partition(b"\n")
-        if ended or (not data and line) or len(line) > LINE_MOST:
-            self._reply(caller, self._answer(line) if len(line) <= LINE_MOST else "400 too long")
+        if ended or (not data and line) or len(line) > LINE_BYTES_MAX:
+            self._reply(caller, self._answer(line) if len(line) <= LINE_BYTES_MAX else "400 too long")
         elif not data:
             self._end(caller)
         else:
--- a/topazbank/operations/drain.py
+++ b/topazbank/operations/drain.py
@@ -17,35 +17,35 @@
 from dataclasses import dataclass
 from enum import Enum, unique
 
-ACCEPT_S = (
+ACCEPT_AFTER_DRAIN_S = (
     0.5  # after the order, how long connections still come: 0.2 s after the first no, 0.4 s after SIGTERM
 )
-LINGER_S = (
+TERMINATION_GRACE_S = (
     0.65  # how much longer than the longest deadline an ending process may last: it is killed 0.7 s after
 )
-DEADLINE_MOST_S = 3.0  # the platform waits for no longer deadline than this
+REQUEST_DEADLINE_MAX_S = 3.0  # the platform waits for no longer deadline than this
 
 
 @unique
-class Stage(Enum):
+class DrainState(Enum):
     """What a sidecar is about, as operators are told."""
 
     STARTING = "starting"
     SERVING = "serving"
-    EMPTYING = "emptying"
-    EMPTY = "empty"
-    ENDING = "ending"
+    DRAINING = "emptying"
+    DRAINED = "empty"
+    TERMINATING = "ending"
 
 
 @dataclass(frozen=True, slots=True)
-class Orders:
+class DrainDecision:
     """What holds at a moment."""
 
     ready: bool  # whether the front is told to send clients here, be it for another process that listens too
-    listens: bool  # whether new connections are taken
-    closes: bool  # whether connections end after their answer, and those at rest now
-    closes_new: bool  # those that have carried nothing yet too
-    over: bool  # whether the process may end
+    accepts_connections: bool  # whether new connections are taken
+    closes_idle: bool  # whether connections end after their answer, and those at rest now
+    closes_unused: bool  # those that have carried nothing yet too
+    finished: bool  # whether the process may end
 
 
 class Drain:
@@ -54,57 +54,57 @@
     def __init__(self, longest_s: float) -> None:
         """`longest_s`: the longest deadline of a request, seconds."""
         self._lock = threading.Lock()
-        self._longest_s = min(longest_s, DEADLINE_MOST_S)
+        self._longest_s = min(longest_s, REQUEST_DEADLINE_MAX_S)
         self._since = 0.0  # when it was ordered to be emptied, or to end
         self._succeeded = False  # whether another process takes the new connections
-        self.stage = Stage.STARTING
+        self.state = DrainState.STARTING
 
-    def serve(self) -> None:
+    def mark_started(self) -> None:
         """It can take requests from now on; what was ordered before holds."""
         with self._lock:
-            if self.stage is Stage.STARTING:
-                self.stage = Stage.SERVING
+            if self.state is DrainState.STARTING:
+                self.state = DrainState.SERVING
 
-    def standby(self, now: float) -> Stage:
+    def start_drain(self, now: float) -> DrainState:
         """Empty it; give what holds from now on.  While it starts or ends it is empty soon anyway."""
         with self._lock:
-            if self.stage in (Stage.SERVING, Stage.STARTING):
-                self.stage, self._since = Stage.EMPTYING, now
-            return self.stage
+            if self.state in (DrainState.SERVING, DrainState.STARTING):
+                self.state, self._since = DrainState.DRAINING, now
+            return self.state
 
-    def active(self) -> Stage:
+    def cancel_drain(self) -> DrainState:
         """End of the drain; give what holds from now on.  SIGTERM is not taken back."""
         with self._lock:
-            if self.stage in (Stage.EMPTYING, Stage.EMPTY):
-                self.stage = Stage.SERVING
-            return self.stage
+            if self.state in (DrainState.DRAINING, DrainState.DRAINED):
+                self.state = DrainState.SERVING
+            return self.state
 
-    def end(self, now: float, succeeded: bool) -> None:
+    def terminate(self, now: float, succeeded: bool) -> None:
         """SIGTERM came; `succeeded`: a process beside this one takes what is new."""
         with self._lock:
-            if self.stage is not Stage.ENDING:
-                self.stage, self._since, self._succeeded = Stage.ENDING, now, succeeded
+            if self.state is not DrainState.TERMINATING:
+                self.state, self._since, self._succeeded = DrainState.TERMINATING, now, succeeded
 
     def is_ready(self) -> bool:
         """Whether the front is told to send clients here: also while another process takes over from this one."""
-        if self.stage is Stage.ENDING:
+        if self.state is DrainState.TERMINATING:
             return self._succeeded
-        return self.stage in (Stage.STARTING, Stage.SERVING)
+        return self.state in (DrainState.STARTING, DrainState.SERVING)
 
-    def look(self, now: float, held: int) -> Orders:
+    def decide(self, now: float, held: int) -> DrainDecision:
         """What holds now, with so many connections of clients."""
         with self._lock:
-            if self.stage in (Stage.STARTING, Stage.SERVING):
-                return Orders(True, True, False, False, False)
-            grown = now >= self._since + ACCEPT_S or self._succeeded
-            if self.stage is not Stage.ENDING:
+            if self.state in (DrainState.STARTING, DrainState.SERVING):
+                return DrainDecision(True, True, False, False, False)
+            grown = now >= self._since + ACCEPT_AFTER_DRAIN_S or self._succeeded
+            if self.state is not DrainState.TERMINATING:
                 if grown:
-                    self.stage = Stage.EMPTYING if held else Stage.EMPTY
-                return Orders(False, True, True, grown, False)
-            late = now >= self._since + self._longest_s + LINGER_S
+                    self.state = DrainState.DRAINING if held else DrainState.DRAINED
+                return DrainDecision(False, True, True, grown, False)
+            late = now >= self._since + self._longest_s + TERMINATION_GRACE_S
             lingers = (
-                now < self._since + LINGER_S
+                now < self._since + TERMINATION_GRACE_S
             )  # what was opened for a request on its way is spared so long
-            return Orders(
+            return DrainDecision(
                 self._succeeded, not grown, True, grown and not lingers, grown and (late or not held)
             )
--- a/topazbank/operations/handover.py
+++ b/topazbank/operations/handover.py
@@ -23,7 +23,13 @@
 from pathlib import Path
 from typing import Any
 
-from topazbank.operations.upgrade import HEAD, BadSnapshot, length_of, pack, unpack
+from topazbank.operations.upgrade import (
+    HEADER_BYTES,
+    InvalidSnapshot,
+    body_length,
+    decode_snapshot,
+    encode_snapshot,
+)
 
 log = logging.getLogger(__name__)
 
@@ -34,12 +40,12 @@
 
 
 @dataclass(slots=True)
-class Inherited:
+class InheritedState:
     """What a process got from the one before it; empty, it is the first."""
 
-    clients: socket.socket | None = None  # listens for clients
-    peers: socket.socket | None = None  # hears other sidecars
-    known: Mapping[str, Any] = field(default_factory=dict)
+    client_socket: socket.socket | None = None  # listens for clients
+    gossip_socket: socket.socket | None = None  # hears other sidecars
+    snapshot: Mapping[str, Any] = field(default_factory=dict)
     link: socket.socket | None = None  # open as long as the other lives
 
 
@@ -53,10 +59,10 @@
         os.close(folder)
 
 
-def inherit(path: Path | None) -> Inherited:
+def take_over(path: Path | None) -> InheritedState:
     """Take over from the process that serves at this path, if one does; wait for no longer than _ANSWER_S."""
     if path is None or not path.exists():
-        return Inherited()
+        return InheritedState()
     link = None
     try:
         link = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -66,11 +72,11 @@
         if _is_strange(link):
             raise PermissionError("another user's process listens there")
         return _receive(link)
-    except (OSError, BadSnapshot) as fault:
+    except (OSError, InvalidSnapshot) as fault:
         log.warning("nothing is taken over from the process before: %s", fault)
         if link is not None:
             link.close()
-        return Inherited()
+        return InheritedState()
 
 
 def _is_strange(link: socket.socket) -> bool:
@@ -78,22 +84,22 @@
     return bool(_CREDENTIALS.unpack(given)[1] != os.getuid())
 
 
-def _receive(link: socket.socket) -> Inherited:
+def _receive(link: socket.socket) -> InheritedState:
     """Sockets first, whatever becomes of the snapshot."""
     until = time.monotonic() + _ANSWER_S
-    head, fds, _, _ = socket.recv_fds(link, HEAD, _SOCKETS_MOST)
+    head, fds, _, _ = socket.recv_fds(link, HEADER_BYTES, _SOCKETS_MOST)
     socks = [socket.socket(fileno=fd) for fd in fds]
     try:
-        head += _exactly(link, HEAD - len(head), until)
-        known = unpack(head, _exactly(link, length_of(head), until))
+        head += _exactly(link, HEADER_BYTES - len(head), until)
+        known = decode_snapshot(head, _exactly(link, body_length(head), until))
         if known.get("sockets") != ["clients", "peers"][: len(socks)] or not socks:
-            raise BadSnapshot("not the sockets that it names")
-    except (OSError, BadSnapshot):
+            raise InvalidSnapshot("not the sockets that it names")
+    except (OSError, InvalidSnapshot):
         for each in socks:
             each.close()
         raise
     link.setblocking(False)
-    return Inherited(socks[0], socks[1] if len(socks) > 1 else None, known, link)
+    return InheritedState(socks[0], socks[1] if len(socks) > 1 else None, known, link)
 
 
 def _exactly(link: socket.socket, count: int, until: float) -> bytes:
@@ -102,12 +108,12 @@
         link.settimeout(max(until - time.monotonic(), 0.001))
         more = link.recv(count - len(data))
         if not more:
-            raise BadSnapshot("cut short")
+            raise InvalidSnapshot("cut short")
         data += more
     return data
 
 
-class Handover:
+class HandoverServer:
     """The side of the process that serves: hands over to the next, and hears whether that lives."""
 
     def __init__(
@@ -129,9 +135,9 @@
         self._shared = shared
         self._sock: socket.socket | None = None
         self._link: socket.socket | None = None  # to the process that comes; one at a time, the latest
-        self.succeeded = False  # whether it takes requests
+        self.has_successor = False  # whether it takes requests
 
-    def start(self, inherited: Inherited) -> None:
+    def start(self, inherited: InheritedState) -> None:
         """Serve at the path from now on; tell the process before that requests are taken."""
         self._listen()
         if inherited.link is not None:
@@ -145,7 +151,7 @@
             if each is not None:
                 loop.remove_reader(each)
                 each.close()
-        if self._sock is not None and not self.succeeded:
+        if self._sock is not None and not self.has_successor:
             self._path.unlink(missing_ok=True)
         self._sock = self._link = None
 
@@ -192,7 +198,7 @@
 
     def _hand(self, link: socket.socket) -> None:
         socks = self._sockets()
-        data = pack({"sockets": ["clients", "peers"][: len(socks)], **self._known()})
+        data = encode_snapshot({"sockets": ["clients", "peers"][: len(socks)], **self._known()})
         link.setsockopt(
             socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * len(data)
         )  # it is written at once, or not at all
@@ -209,7 +215,7 @@
         except OSError:
             word = b""
         if word:
-            self.succeeded = True
+            self.has_successor = True
             self._taken()
             return
         self._drop_link()
@@ -225,7 +231,7 @@
             asyncio.get_running_loop().remove_reader(self._link)
             self._link.close()
             self._link = None
-        self.succeeded = False
+        self.has_successor = False
 
     def _before_ended(self, link: socket.socket) -> None:
         """The process before has ended, and what it held is this one's."""
--- a/topazbank/operations/service.py
+++ b/topazbank/operations/service.py
@@ -11,50 +11,52 @@
 
 from topazbank.core.driver import Components, Sidecar, SidecarConfig
 from topazbank.discovery.list_format import list_to_json, parse_list
-from topazbank.operations.admin_api import AdminApi, Calls
-from topazbank.operations.handover import Handover, inherit
-from topazbank.operations.upgrade import parts
+from topazbank.operations.admin_api import AdminCommands, AdminServer
+from topazbank.operations.handover import HandoverServer, take_over
+from topazbank.operations.upgrade import split_connection_limit
 
 log = logging.getLogger(__name__)
 
 
-def path_of(config: SidecarConfig) -> Path | None:
+def handover_path(config: SidecarConfig) -> Path | None:
     """Where a sidecar at this address hands over; None: nowhere."""
     if not config.folder:
         return None
     return Path(config.folder) / f"topazbank-{config.listen[0]}-{config.listen[1]}.sock"
 
 
-class Service:
+class SidecarService:
     """One process of a sidecar, from its start to its end."""
 
     def __init__(self, config: SidecarConfig, wiring: Components) -> None:
         """Take over from the process before, if one is there; raise OSError where an address can't be listened at."""
-        path = path_of(config)
-        self._before = inherit(path)
-        known = self._before.known
+        path = handover_path(config)
+        self._before = take_over(path)
+        known = self._before.snapshot
         if known:
             config = _told(config, known)
         tier = known.get("tier")
         self.sidecar = Sidecar(
             config,
             wiring,
-            clients=self._before.clients,
-            peers=self._before.peers,
+            clients=self._before.client_socket,
+            peers=self._before.gossip_socket,
             tier=tier if isinstance(tier, dict) else None,
         )
         self._handover = None
         if path is not None:
-            self._handover = Handover(
+            self._handover = HandoverServer(
                 path, lambda: self.sidecar.listening, self._snapshot, self._share, self._taken
             )
         if self._before.link is not None:
             held = (known.get("clients"), known.get("nodes"))
-            self._bound([parts(self.sidecar.connections_most, _count(each)).new for each in held])
-        self._desk: AdminApi | None = None
+            self._bound(
+                [split_connection_limit(self.sidecar.connections_most, _count(each)).new for each in held]
+            )
+        self._desk: AdminServer | None = None
         if config.operator is not None:
             # Both clocks are the monotonic one; the desk's thread has no loop.
-            self._desk = AdminApi(config.operator, Calls(self.sidecar.drain, self._changed).answer)
+            self._desk = AdminServer(config.operator, AdminCommands(self.sidecar.drain, self._changed).answer)
         self._loop: asyncio.AbstractEventLoop | None = None
 
     async def run(self, stop: asyncio.Event) -> None:
@@ -75,7 +77,7 @@
             self._handover.start(self._before)
 
     def _is_succeeded(self) -> bool:
-        return self._handover is not None and self._handover.succeeded
+        return self._handover is not None and self._handover.has_successor
 
     def _changed(self) -> None:
         """An operator has ordered something; called in the desk's thread."""
@@ -92,7 +94,12 @@
     def _share(self, shared: bool) -> None:
         """Take a part of the limits, or all: another process of this sidecar has come, or ended."""
         if shared:
-            self._bound([parts(self.sidecar.connections_most, each).old for each in self.sidecar.open])
+            self._bound(
+                [
+                    split_connection_limit(self.sidecar.connections_most, each).old
+                    for each in self.sidecar.open
+                ]
+            )
         else:
             self.sidecar.bound(None, None)
             self.sidecar.resume_in_tier()
--- a/topazbank/operations/upgrade.py
+++ b/topazbank/operations/upgrade.py
@@ -14,59 +14,59 @@
 from typing import Any
 
 VERSION = 1
-SNAPSHOT_MOST = 4 * 1024 * 1024  # bytes: a list of thousands of nodes takes one
-HEAD = 20  # characters ahead of a snapshot's text: its version, its length and its check
+SNAPSHOT_BYTES_MAX = 4 * 1024 * 1024  # bytes: a list of thousands of nodes takes one
+HEADER_BYTES = 20  # characters ahead of a snapshot's text: its version, its length and its check
 _PLAIN = re.compile(rb"[0-9a-f]{20}")
 _MARGIN = 8  # connections that the old process may still open beyond those it has
 
 
-class BadSnapshot(ValueError):
+class InvalidSnapshot(ValueError):
     """A snapshot that is of another version, cut short or damaged."""
 
 
-def pack(known: Mapping[str, Any]) -> bytes:
+def encode_snapshot(known: Mapping[str, Any]) -> bytes:
     """A snapshot of what a process knows."""
     text = json.dumps(known, separators=(",", ":")).encode()
     return b"%04x%08x%08x" % (VERSION, len(text), zlib.crc32(text)) + text
 
 
-def length_of(head: bytes) -> int:
+def body_length(head: bytes) -> int:
     """How many bytes follow the head; raise BadSnapshot where that is none of this version."""
     if _PLAIN.fullmatch(head) is None:
-        raise BadSnapshot("no snapshot")
+        raise InvalidSnapshot("no snapshot")
     version, length = int(head[:4], 16), int(head[4:12], 16)
     if version != VERSION:
-        raise BadSnapshot(f"version {version}, not {VERSION}")
-    if length > SNAPSHOT_MOST:
-        raise BadSnapshot("too long")
+        raise InvalidSnapshot(f"version {version}, not {VERSION}")
+    if length > SNAPSHOT_BYTES_MAX:
+        raise InvalidSnapshot("too long")
     return length
 
 
-def unpack(head: bytes, text: bytes) -> dict[str, Any]:
+def decode_snapshot(head: bytes, text: bytes) -> dict[str, Any]:
     """Read a snapshot; raise BadSnapshot where it is not whole."""
-    if length_of(head) != len(text) or int(head[12:], 16) != zlib.crc32(text):
-        raise BadSnapshot("damaged")
+    if body_length(head) != len(text) or int(head[12:], 16) != zlib.crc32(text):
+        raise InvalidSnapshot("damaged")
     try:
         known = json.loads(text)
     except (ValueError, RecursionError):
-        raise BadSnapshot("damaged") from None
+        raise InvalidSnapshot("damaged") from None
     if not isinstance(known, dict):
-        raise BadSnapshot("not an object")
+        raise InvalidSnapshot("not an object")
     return known
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class ConnectionLimitSplit:
     """Each process's part of a bound on connections, while both live."""
 
     old: int
     new: int
 
 
-def parts(most: int, used: int) -> Parts:
+def split_connection_limit(most: int, used: int) -> ConnectionLimitSplit:
     """Half each, unless the old one holds more: it lets nothing go for the new one, and opens few more.
 
     The new one gets a quarter at least, or it could not take what comes: the old one closes what rests.
     """
     old = min(max(most // 2, used + _MARGIN), most - most // 4)
-    return Parts(old, max(most - old, 1))
+    return ConnectionLimitSplit(old, max(most - old, 1))
--- a/topazbank/operator_config.py
+++ b/topazbank/operator_config.py
@@ -14,47 +14,53 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MsgpackRpc:
+class MsgpackRpcConfig:
     """MessagePack-RPC: whether clients and nodes may speak it, and how many calls share a connection to a node."""
 
-    clients: bool = False
-    nodes: bool = False
-    lodges_per_connection: int = 32  # calls of unsafe classes: no other goes with them
-    others_per_connection: int = 4  # giving one up closes its connection under so many others, less one
-    connections_per_node: int = 64
+    accepts_clients: bool = False
+    calls_servers: bool = False
+    unsafe_calls_per_connection: int = 32  # calls of unsafe classes: no other goes with them
+    safe_calls_per_connection: int = 4  # giving one up closes its connection under so many others, less one
+    connections_per_server: int = 64
 
 
 REGISTRY, ZOOKEEPER = "registry", "zookeeper"
 SOURCES = (REGISTRY, ZOOKEEPER)
-PLANNERS_MOST = 7  # that a forwarder tells: each hears each summary
-TEXT_MOST = 200
-TRACE_LINES_MOST = 100_000  # a second
-TIER_DATAGRAM_LEAST, TIER_DATAGRAM_MOST = 256, 1200  # bytes: the platform's bound, and what passes everywhere
-TIER_KEY_MOST = 64  # bytes
+PLANNERS_MAX = 7  # that a forwarder tells: each hears each summary
+TEXT_CHARACTERS_MAX = 200
+TRACE_LINES_PER_SECOND_MAX = 100_000  # a second
+DATAGRAM_BYTES_MIN, DATAGRAM_BYTES_MAX = 256, 1200  # bytes: the platform's bound, and what passes everywhere
+CLUSTER_KEY_BYTES_MAX = 64  # bytes
 BUDGETS_MOST = 64
 AMOUNT_MOST = 10**9
+MSGPACK_RPC_KEYS = (
+    "clients", "nodes", "lodges_per_connection", "others_per_connection", "connections_per_node",
+)  # fmt: skip
+ZOOKEEPER_KEYS = ("members", "path", "chroot", "session_timeout_s", "secret")
+PLANNING_KEYS = ("planners", "name", "listen", "elect", "rank")
+CLUSTER_KEYS = ("on", "name", "period_ms", "pause_ms", "forget_s", "datagram", "key")
 BUDGET_FIELDS = (
     "of", "tenant", "whole", "burst", "floor", "members", "keepers", "lease_s", "silence_s", "drift_percent",
 )  # fmt: skip
 
 
 @dataclass(frozen=True, slots=True)
-class ZooKeeper:
+class ZooKeeperConfig:
     """The ensemble that keeps the roster."""
 
-    members: tuple[Address, ...] = ()
+    addresses: tuple[Address, ...] = ()
     path: str = "/lodge/nodes"
     chroot: str = ""
     session_timeout_s: float = 6.0
-    secret: str = field(default="", repr=False)  # digest authentication, user:password; never logged
+    credentials: str = field(default="", repr=False)  # digest authentication, user:password; never logged
 
 
 @dataclass(frozen=True, slots=True)
-class Membership:
+class DiscoveryConfig:
     """Where the list of nodes comes from."""
 
     sources: tuple[str, ...] = (REGISTRY,)  # in their precedence
-    zookeeper: ZooKeeper = field(default_factory=ZooKeeper)
+    zookeeper: ZooKeeperConfig = field(default_factory=ZooKeeperConfig)
 
     @property
     def needs_registry(self) -> bool:
@@ -62,13 +68,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Planning:
+class PlanningConfig:
     """Planners that this forwarder tells and follows; with none it decides alone."""
 
     planners: tuple[Address, ...] = ()
     name: str = ""  # of this forwarder among them; by default from the configuration's seed
     listen: Address | None = None  # of a planner: where it listens
-    elect: str = "static"  # how planners tell who leads: static, or zookeeper
+    election: str = "static"  # how planners tell who leads: static, or zookeeper
     rank: int = 0  # of a planner, with static: 0 leads first
 
 
@@ -76,15 +82,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tiering:
+class ClusterConfig:
     """Membership among the sidecars: docs/operators/cluster.md."""
 
-    on: bool = False
+    enabled: bool = False
     name: str = ""  # of this sidecar among them; by default its number in the configuration's `peers`
-    period_ms: int = 200  # between two probes
-    pause_ms: int = 1000  # a process that stands still for less is taken for gone by nobody
-    forget_s: int = 600  # how long the gone are remembered
-    datagram: int = 256
+    probe_period_ms: int = 200  # between two probes
+    tolerated_pause_ms: int = 1000  # a process that stands still for less is taken for gone by nobody
+    forget_after_s: int = 600  # how long the gone are remembered
+    datagram_bytes_max: int = 256
     key: str = field(
         default="", repr=False
     )  # shared by all; with it also those may join whom `peers` don't name
@@ -103,17 +109,17 @@
 class OperatorConfig:
     """All that the operator file sets."""
 
-    msgpack_rpc: MsgpackRpc = field(default_factory=MsgpackRpc)
-    protocol: str = HTTP  # of nodes whose entry and pod do not say
-    pods: Mapping[int, str] = field(default_factory=dict)
-    membership: Membership = field(default_factory=Membership)
-    planning: Planning = field(default_factory=Planning)
-    tier: Tiering = field(default_factory=Tiering)
+    msgpack_rpc: MsgpackRpcConfig = field(default_factory=MsgpackRpcConfig)
+    default_protocol: str = HTTP  # of nodes whose entry and pod do not say
+    pod_protocols: Mapping[int, str] = field(default_factory=dict)
+    discovery: DiscoveryConfig = field(default_factory=DiscoveryConfig)
+    planning: PlanningConfig = field(default_factory=PlanningConfig)
+    cluster: ClusterConfig = field(default_factory=ClusterConfig)
     budgets: tuple[Budgeted, ...] = ()  # BUDGETS_MOST
     ledger: str = ""  # a folder: what came of the budgets is written there
     store: str = ""  # a folder that lasts: what keepers gave is remembered there
-    trace_lines: int = 0  # a second, beside the log: what was decided, event by event; 0: none
-    show_roster: bool = False  # GET /admin/roster on the one listener
+    trace_lines_per_second: int = 0  # a second, beside the log: what was decided, event by event; 0: none
+    status_page_enabled: bool = False  # GET /admin/roster on the one listener
 
 
 def read_operator_config(path: str | None) -> OperatorConfig:
@@ -133,14 +139,14 @@
     top = _Table("", given, known)
     admin = top.table("admin", ("roster", "budgets_ledger", "budgets_store"))
     trace = top.table("trace", ("lines_per_second",))
-    rpc = top.table("msgpack_rpc", MsgpackRpc.__dataclass_fields__)
+    rpc = top.table("msgpack_rpc", MSGPACK_RPC_KEYS)
     nodes = top.table("nodes", ("protocol", "pods"))
-    made = MsgpackRpc(
-        clients=rpc.flag("clients"),
-        nodes=rpc.flag("nodes"),
-        lodges_per_connection=rpc.whole("lodges_per_connection", 32, 1, 1024),
-        others_per_connection=rpc.whole("others_per_connection", 4, 1, 1024),
-        connections_per_node=rpc.whole("connections_per_node", 64, 1, 4096),
+    made = MsgpackRpcConfig(
+        accepts_clients=rpc.flag("clients"),
+        calls_servers=rpc.flag("nodes"),
+        unsafe_calls_per_connection=rpc.whole("lodges_per_connection", 32, 1, 1024),
+        safe_calls_per_connection=rpc.whole("others_per_connection", 4, 1, 1024),
+        connections_per_server=rpc.whole("connections_per_node", 64, 1, 4096),
     )
     default, pods = nodes.protocol("protocol", HTTP), nodes.pods("pods")
     operator = OperatorConfig(
@@ -153,39 +159,39 @@
         _budgets(given.get("budgets", {})),
         admin.text("budgets_ledger", ""),
         admin.text("budgets_store", ""),
-        trace.whole("lines_per_second", 0, 0, TRACE_LINES_MOST),
-        show_roster=admin.flag("roster"),
+        trace.whole("lines_per_second", 0, 0, TRACE_LINES_PER_SECOND_MAX),
+        status_page_enabled=admin.flag("roster"),
     )
-    if operator.budgets and not operator.tier.on:
+    if operator.budgets and not operator.cluster.enabled:
         raise ValueError("budgets: tier.on is wanted, as parts go between members of a tier")
-    named = {operator.protocol, *operator.pods.values()}
-    if MSGPACK_RPC in named and not made.nodes:
+    named = {operator.default_protocol, *operator.pod_protocols.values()}
+    if MSGPACK_RPC in named and not made.calls_servers:
         raise ValueError(f"nodes: {MSGPACK_RPC} is named, but msgpack_rpc.nodes is not true")
     return operator
 
 
-def _membership(top: _Table) -> Membership:
+def _membership(top: _Table) -> DiscoveryConfig:
     given = top.table("membership", ("sources", "zookeeper"))
-    zookeeper = given.table("zookeeper", ZooKeeper.__dataclass_fields__)
+    zookeeper = given.table("zookeeper", ZOOKEEPER_KEYS)
     sources = given.texts("sources", (REGISTRY,))
     if not sources or len(set(sources)) != len(sources) or not set(sources) <= set(SOURCES):
         raise ValueError(
             f"membership.sources: each of {', '.join(SOURCES)} once at most is wanted, not {sources}"
         )
-    made = ZooKeeper(
+    made = ZooKeeperConfig(
         zookeeper.addresses("members"),
         zookeeper.path("path", "/lodge/nodes"),
         zookeeper.path("chroot", ""),
         zookeeper.number("session_timeout_s", 6.0, 0.5, 120.0),
         zookeeper.secret("secret"),
     )
-    if ZOOKEEPER in sources and not made.members:
+    if ZOOKEEPER in sources and not made.addresses:
         raise ValueError("membership.zookeeper.members: the ensemble's addresses are wanted")
-    return Membership(sources, made)
+    return DiscoveryConfig(sources, made)
 
 
-def _planning(top: _Table) -> Planning:
-    given = top.table("planning", Planning.__dataclass_fields__)
+def _planning(top: _Table) -> PlanningConfig:
+    given = top.table("planning", PLANNING_KEYS)
     listen = given.text("listen", "")
     try:
         address = parse_address(listen) if listen else None
@@ -194,26 +200,26 @@
     elect = given.text("elect", "static")
     if elect not in ELECTIONS:
         raise ValueError(f"planning.elect: {' or '.join(ELECTIONS)} is wanted, not {elect!r:.40}")
-    made = Planning(
+    made = PlanningConfig(
         given.addresses("planners"), given.text("name", ""), address, elect, given.whole("rank", 0, 0, 255)
     )
-    if len(made.planners) > PLANNERS_MOST:
-        raise ValueError(f"planning.planners: {PLANNERS_MOST} at most are wanted")
+    if len(made.planners) > PLANNERS_MAX:
+        raise ValueError(f"planning.planners: {PLANNERS_MAX} at most are wanted")
     return made
 
 
-def _tier(top: _Table) -> Tiering:
-    given = top.table("tier", Tiering.__dataclass_fields__)
-    made = Tiering(
+def _tier(top: _Table) -> ClusterConfig:
+    given = top.table("tier", CLUSTER_KEYS)
+    made = ClusterConfig(
         given.flag("on"),
         given.text("name", ""),
         given.whole("period_ms", 200, 50, 10_000),
         given.whole("pause_ms", 1000, 100, 60_000),
         given.whole("forget_s", 600, 60, 86_400),
-        given.whole("datagram", 256, TIER_DATAGRAM_LEAST, TIER_DATAGRAM_MOST),
-        given.hidden("key", TIER_KEY_MOST),
+        given.whole("datagram", 256, DATAGRAM_BYTES_MIN, DATAGRAM_BYTES_MAX),
+        given.hidden("key", CLUSTER_KEY_BYTES_MAX),
     )
-    if made.forget_s * 1000 < 20 * made.pause_ms:
+    if made.forget_after_s * 1000 < 20 * made.tolerated_pause_ms:
         raise ValueError("tier.forget_s: twenty times pause_ms at least is wanted")
     return made
 
@@ -309,8 +315,8 @@
 
     def text(self, name: str, default: str) -> str:
         value = self._given.get(name, default)
-        if not isinstance(value, str) or len(value) > TEXT_MOST:
-            raise self._wanted(name, f"a text of {TEXT_MOST} characters at most")
+        if not isinstance(value, str) or len(value) > TEXT_CHARACTERS_MAX:
+            raise self._wanted(name, f"a text of {TEXT_CHARACTERS_MAX} characters at most")
         return value
 
     def texts(self, name: str, default: tuple[str, ...] = ()) -> tuple[str, ...]:
--- a/topazbank/plan.py
+++ b/topazbank/plan.py
@@ -24,7 +24,7 @@
 _EVERY_S = 1.0  # between two records: a planner's own rates fade over as much
 
 
-def shown(plan: dict[str, Any]) -> list[str]:
+def plan_lines(plan: dict[str, Any]) -> list[str]:
     """What a forwarder follows and why, a line each."""
     age = "-" if plan["age_s"] is None else f"{plan['age_s']:.2f} s"
     lines = [
@@ -50,7 +50,7 @@
     return lines
 
 
-def status(told: dict[str, Any]) -> list[str]:
+def status_lines(told: dict[str, Any]) -> list[str]:
     """What a planner knows and does, a line each; the bars are each node's part of the coming requests."""
     leads = "does not lead" if told["epoch"] is None else f"leads by epoch {told['epoch']}"
     lines = [
@@ -78,7 +78,7 @@
     return lines
 
 
-def ask_forwarder(address: Address) -> dict[str, Any]:
+def fetch_followed_plan(address: Address) -> dict[str, Any]:
     """Raise OSError or ValueError where there is no plan to be had."""
     plan = ask(address).get("plan")
     if plan is None:
@@ -86,16 +86,16 @@
     return dict(plan)
 
 
-def ask_planner(address: Address) -> dict[str, Any]:
+def fetch_planner_status(address: Address) -> dict[str, Any]:
     """Raise OSError or ValueError where there is no status to be had."""
     import msgpack
 
-    from topazbank.planning.wire import STATUS
+    from topazbank.planning.wire import STATUS_METHOD
 
     unpacker = msgpack.Unpacker()
     with socket.create_connection(address, _WAIT_S) as sock:
         sock.settimeout(_WAIT_S)
-        sock.sendall(msgpack.packb([0, 1, STATUS, []]))
+        sock.sendall(msgpack.packb([0, 1, STATUS_METHOD, []]))
         while data := sock.recv(65536):
             unpacker.feed(data)
             for _, _, error, result in unpacker:
@@ -105,7 +105,7 @@
     raise ValueError("the connection ended")
 
 
-def keep_record(address: Address, out: Path, seconds: float) -> int:
+def record_run(address: Address, out: Path, seconds: float) -> int:
     """Ask a planner every second and keep what it tells; give the number of records.
 
     A planner that does not answer is left out for that second: a run's record shows its failures as gaps.
@@ -114,7 +114,7 @@
     with out.open("w", encoding="utf-8") as file:
         while (at := time.monotonic() - began) < seconds:
             try:
-                told = ask_planner(address)
+                told = fetch_planner_status(address)
             except (OSError, ValueError) as fault:
                 print(f"at {at:.0f} s: nothing from {address[0]}:{address[1]}: {fault}", file=sys.stderr)
             else:
@@ -125,26 +125,26 @@
     return kept
 
 
-def plot(source: Path, out: Path) -> list[str]:
+def plot_run(source: Path, out: Path) -> list[str]:
     """Draw a record, and give its table; raise ValueError or OSError where it holds none."""
     with source.open(encoding="utf-8") as file:
-        courses = record.moments(record.read(file))
-    from topazbank.planning.plot import draw
+        courses = record.samples_by_server(record.read_records(file))
+    from topazbank.planning.plot import draw_run
 
-    draw(courses, out)
-    return [*record.table(record.fits(courses)), "", f"drawn: {out}"]
+    draw_run(courses, out)
+    return [*record.accuracy_table(record.share_accuracy(courses)), "", f"drawn: {out}"]
 
 
 def _lines(given: argparse.Namespace) -> list[str]:
     if given.what == "plot":
-        return plot(Path(given.source), given.out or Path(given.source).with_suffix(".png"))
+        return plot_run(Path(given.source), given.out or Path(given.source).with_suffix(".png"))
     address = parse_address(given.source)
     if given.what == "show":
-        return shown(ask_forwarder(address))
+        return plan_lines(fetch_followed_plan(address))
     if given.what == "status":
-        return status(ask_planner(address))
+        return status_lines(fetch_planner_status(address))
     out = given.out or Path("planner.jsonl")
-    return [f"{keep_record(address, out, given.seconds)} records in {out}"]
+    return [f"{record_run(address, out, given.seconds)} records in {out}"]
 
 
 def main(argv: list[str] | None = None) -> int:
--- a/topazbank/planning/link.py
+++ b/topazbank/planning/link.py
@@ -15,14 +15,14 @@
 import msgpack
 
 from topazbank.core.net import Address
-from topazbank.planning.plan import Plan, S
-from topazbank.planning.wire import DOCUMENT_MOST, SUMMARY, BadDocument, decode_plan
+from topazbank.planning.plan import US_PER_S, Plan
+from topazbank.planning.wire import DOCUMENT_BYTES_MAX, SUMMARY_METHOD, InvalidDocument, decode_plan
 
 log = logging.getLogger(__name__)
 
-UNANSWERED_S = 1.0  # a planner that takes longer is dialled again
-BACKOFF_S, BACKOFF_MOST_S = 0.1, 5.0  # between dials of one that is not there, with jitter of as much
-PERIOD_LEAST, PERIOD_MOST = S // 50, 10 * S  # microseconds: what a planner may ask for
+RESPONSE_TIMEOUT_S = 1.0  # a planner that takes longer is dialled again
+BACKOFF_MIN_S, BACKOFF_MAX_S = 0.1, 5.0  # between dials of one that is not there, with jitter of as much
+PERIOD_US_MIN, PERIOD_US_MAX = US_PER_S // 50, 10 * US_PER_S  # microseconds: what a planner may ask for
 
 Hear = Callable[[int, Plan], None]  # when the plan was asked for, and the plan
 
@@ -32,15 +32,15 @@
 
     def __init__(self, address: Address, now: Callable[[], int], hear: Hear, seed: int) -> None:
         self.address = address
-        self.period: int | None = None  # microseconds that it asks to be left between summaries
-        self.answered = 0
-        self.bad = 0  # answers that were none
+        self.period_us: int | None = None  # microseconds that it asks to be left between summaries
+        self.responses = 0
+        self.invalid_responses = 0  # answers that were none
         self._now, self._hear = now, hear
         self._random = random.Random(seed)
         self._transport: asyncio.Transport | None = None
         self._unpacker: Any = None
         self._dial: asyncio.Task[None] | None = None
-        self._backoff_s = BACKOFF_S
+        self._backoff_s = BACKOFF_MIN_S
         self._dial_at = 0.0
         self._msgid = 0
         self._asked_at: int | None = None  # of the call that is out
@@ -57,13 +57,13 @@
             return
         self._msgid = (self._msgid + 1) & 0xFFFFFFFF
         self._asked_at = self._now()
-        self._late = loop.call_later(UNANSWERED_S, self._drop)
-        self._transport.write(msgpack.packb([0, self._msgid, SUMMARY, [summary]]))
+        self._late = loop.call_later(RESPONSE_TIMEOUT_S, self._drop)
+        self._transport.write(msgpack.packb([0, self._msgid, SUMMARY_METHOD, [summary]]))
 
     async def _open(self) -> None:
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(UNANSWERED_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await loop.create_connection(lambda: self, *self.address)
         except (OSError, TimeoutError):
             self._wait_longer()
@@ -73,12 +73,12 @@
     def _wait_longer(self) -> None:
         loop = asyncio.get_running_loop()
         self._dial_at = loop.time() + self._backoff_s * (1.0 + self._random.random())
-        self._backoff_s = min(2.0 * self._backoff_s, BACKOFF_MOST_S)
+        self._backoff_s = min(2.0 * self._backoff_s, BACKOFF_MAX_S)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._unpacker = msgpack.Unpacker(max_buffer_size=2 * DOCUMENT_MOST)
+        self._unpacker = msgpack.Unpacker(max_buffer_size=2 * DOCUMENT_BYTES_MAX)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
@@ -91,7 +91,7 @@
             for message in self._unpacker:
                 self._answer(message)
         except Exception as bad:  # msgpack raises what its parts do
-            self.bad += 1
+            self.invalid_responses += 1
             log.warning("planner %s:%d makes no sense: %r", *self.address, bad)
             self._drop()
 
@@ -102,19 +102,19 @@
         asked_at = self._asked_at
         self._over()
         if error is not None:
-            self.bad += 1
+            self.invalid_responses += 1
             log.warning("planner %s:%d does not take the summary: %.120r", *self.address, error)
             return
         document, period = result
-        self.answered += 1
-        self._backoff_s = BACKOFF_S
-        self.period = max(PERIOD_LEAST, min(int(period), PERIOD_MOST))
+        self.responses += 1
+        self._backoff_s = BACKOFF_MIN_S
+        self.period_us = max(PERIOD_US_MIN, min(int(period), PERIOD_US_MAX))
         if document is None:
             return  # a standby
         try:
             plan = decode_plan(document)
-        except BadDocument as bad:
-            self.bad += 1
+        except InvalidDocument as bad:
+            self.invalid_responses += 1
             log.warning("planner %s:%d sent no plan: %s", *self.address, bad)
             return
         self._hear(asked_at, plan)
--- a/topazbank/planning/planner.py
+++ b/topazbank/planning/planner.py
@@ -21,12 +21,12 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from topazbank.planning.plan import LEASE_LEAST, LEASE_MOST, Plan, S, Share
-from topazbank.planning.summary import NodeUse, Sketch, Summary
+from topazbank.planning.plan import LEASE_US_MAX, LEASE_US_MIN, US_PER_S, Plan, ServerShare
+from topazbank.planning.summary import QuantileSketch, ServerUsage, SummaryReport
 
 FORWARDERS_MOST = 20_000  # that a planner remembers; further ones get no plan
-FORGOTTEN = 30 * S  # a forwarder that says nothing for so long is forgotten
-PERIOD = S // 10  # between a forwarder's summaries, while there are few forwarders
+FORGOTTEN = 30 * US_PER_S  # a forwarder that says nothing for so long is forgotten
+PERIOD = US_PER_S // 10  # between a forwarder's summaries, while there are few forwarders
 SUMMARIES_A_SECOND = 2_000.0  # more than a planner's core can take: forwarders are asked less often then
 LEASES = (
     6.0  # periods that a lease holds: two answers may be lost before trust fades; longer, a plan that nobody
@@ -35,39 +35,44 @@
 PART_MOST = (
     0.9  # of the requests follow a plan: the others keep the own choice in practice, for when there is none
 )
-FRESH = 3 * S // 20  # a period up to which all requests follow the plan; played, plans of 0.25 s did harm
+FRESH = (
+    3 * US_PER_S // 20
+)  # a period up to which all requests follow the plan; played, plans of 0.25 s did harm
 SUBSET = 24  # nodes that a forwarder draws from; all where there are few more
 SUBSET_SLACK = 1.5
-SPAN = 2 * S  # over which rates and times of nodes are averaged
-STEP = S // 20  # between two deals
+SPAN = 2 * US_PER_S  # over which rates and times of nodes are averaged
+STEP = US_PER_S // 20  # between two deals
 # Requests of so long are dealt at a time.  Longer than a period: what a shorter deal gains by following each report
 # it loses by sending a period's requests where one report was low (herding; Mitzenmacher, How useful is old
 # information?, 2000).  Played at 0.8 of what 15 nodes can do: late 0.036 with 0.3 s, 0.027 with 0.6, 0.023 with 1.
-HORIZON = S
+HORIZON = US_PER_S
 PARTS = 128  # that they are dealt in
 LEAST_PART = 0.05  # of its proportional part a node gets at any rate
 FEW = 4.0  # answers: fewer say nothing of a node
 GAIN = 0.003  # a node that is e times as slow as explained loses this part of its weight a step
 FACTOR_LEAST, FACTOR_MOST = 0.1, 4.0  # of the nominal weight
-COLD_FROM, COLD = 0.14, 22 * S  # a node that starts can do this part of its work, and all of it so much later
+COLD_FROM, COLD = (
+    0.14,
+    22 * US_PER_S,
+)  # a node that starts can do this part of its work, and all of it so much later
 ROOM_SPARE = 3.0  # a forwarder's room is so many times its fair part of what nodes hold
 ROOM_LEAST = 2.0
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
+class PlannedServer:
     """A node as membership has it."""
 
     name: str
     weight: float = 1.0
-    cold_until: int = 0  # until when it is not warm yet
+    warm_at_us: int = 0  # until when it is not warm yet
 
 
 @dataclass(slots=True)
 class _Node:
     """What is known of a node, from all forwarders."""
 
-    member: Member
+    member: PlannedServer
     factor: float = 1.0
     answered: float = 0.0  # fading counts over SPAN
     time_us: float = 0.0
@@ -105,9 +110,9 @@
     heard_at: int = 0
     rate: float = 0.0  # requests a second
     member: tuple[int, int] | None = None  # its ident and life in the forwarders' tier, where it is in one
-    lease: int = LEASE_MOST  # of the plan that was sent last
+    lease: int = LEASE_US_MAX  # of the plan that was sent last
     sequence: int = 0  # of that plan
-    sent: dict[str, Share] = field(default_factory=dict)  # what it says
+    sent: dict[str, ServerShare] = field(default_factory=dict)  # what it says
     using: frozenset[str] = frozenset()
 
 
@@ -117,9 +122,9 @@
     def __init__(self, name: str, seed: str = "") -> None:
         self.name = name
         self.epoch: int | None = None  # while it leads
-        self.highest = -1  # epoch that any forwarder has seen
-        self.shed = 0  # summaries that were not taken, there being too many
-        self.times = Sketch()  # of all forwarders, since the last `status`
+        self.highest_epoch = -1  # epoch that any forwarder has seen
+        self.summaries_shed = 0  # summaries that were not taken, there being too many
+        self.response_times = QuantileSketch()  # of all forwarders, since the last `status`
         self._seed = seed
         self._nodes: dict[str, _Node] = {}
         self._forwarders: dict[str, _Forwarder] = {}  # FORWARDERS_MOST
@@ -130,20 +135,20 @@
         self._taken = 0.0  # summaries in hand: a bucket that empties by SUMMARIES_A_SECOND
         self._taken_at = 0
         self._odds: dict[str, float] = {}
-        self._unit = 0.1 * S  # time of a request alone at a node of weight 1
+        self._unit = 0.1 * US_PER_S  # time of a request alone at a node of weight 1
         self._waits: dict[str, float] = {}
 
     # -- Who leads -------------------------------------------------------------------------------------
 
-    def lead(self, epoch: int) -> None:
+    def start_leading(self, epoch: int) -> None:
         self.epoch = epoch
 
-    def depose(self) -> None:
+    def stop_leading(self) -> None:
         self.epoch = None
 
     # -- What is heard ---------------------------------------------------------------------------------
 
-    def members(self, now: int, members: Mapping[str, Member]) -> None:
+    def update_servers(self, now: int, members: Mapping[str, PlannedServer]) -> None:
         """The nodes that are ready, by membership's word."""
         for name in self._nodes.keys() - members.keys():
             del self._nodes[name]
@@ -155,24 +160,24 @@
                 self._nodes[name] = _Node(member, faded_at=now)  # another process: what is known is history
         self._weigh(now)
 
-    def heard(self, now: int, summary: Summary) -> Plan | None:
+    def handle_summary(self, now: int, summary: SummaryReport) -> Plan | None:
         """Take a summary; answer with the forwarder's plan, or None where this planner has none to give."""
-        self.highest = max(self.highest, summary.epoch)
-        if self.epoch is not None and self.highest > self.epoch:
-            self.depose()  # another leads by a later election, and forwarders follow it
+        self.highest_epoch = max(self.highest_epoch, summary.epoch)
+        if self.epoch is not None and self.highest_epoch > self.epoch:
+            self.stop_leading()  # another leads by a later election, and forwarders follow it
         if not self._has_room(now, summary):
-            self.shed += 1
+            self.summaries_shed += 1
             return None
         forwarder = self._forwarders.setdefault(summary.forwarder, _Forwarder())
         self._note_lives(now, summary, forwarder)
-        if (summary.life, summary.number) == (forwarder.life, forwarder.number):
+        if (summary.incarnation, summary.number) == (forwarder.life, forwarder.number):
             return self._plan(now, summary, forwarder)  # told twice: counted once
         self._note(now, summary, forwarder)
         return self._plan(now, summary, forwarder)
 
-    def _has_room(self, now: int, summary: Summary) -> bool:
+    def _has_room(self, now: int, summary: SummaryReport) -> bool:
         """Guards against falling behind: what is too much is left out, and all are asked less often."""
-        self._taken = max(self._taken - (now - self._taken_at) / S * SUMMARIES_A_SECOND, 0.0)
+        self._taken = max(self._taken - (now - self._taken_at) / US_PER_S * SUMMARIES_A_SECOND, 0.0)
         self._taken_at = now
         if self._taken >= SUMMARIES_A_SECOND / 2:
             return False
@@ -194,12 +199,12 @@
         for node in self._nodes.values():
             node.ejected_by.discard(name)
 
-    def _note_lives(self, now: int, summary: Summary, forwarder: _Forwarder) -> None:
+    def _note_lives(self, now: int, summary: SummaryReport, forwarder: _Forwarder) -> None:
         """Drop those that the tier knows to be gone, once no plan of theirs can hold any more.
 
         One that lives and reaches this planner is never dropped: its own word is newer than its lease.
         """
-        lives = summary.lives
+        lives = summary.generations
         if lives is None:
             return
         forwarder.member = lives.own
@@ -212,35 +217,35 @@
             if known.heard_at + known.lease < now:
                 self._drop(name)
 
-    def _note(self, now: int, summary: Summary, forwarder: _Forwarder) -> None:
-        if summary.life != forwarder.life:
+    def _note(self, now: int, summary: SummaryReport, forwarder: _Forwarder) -> None:
+        if summary.incarnation != forwarder.life:
             forwarder.sent, forwarder.rate = {}, 0.0
         elif summary.number < forwarder.number:
             return  # overtaken
-        arrived = sum(counts[0] for counts in summary.classes.values())
-        part = min(summary.period / SPAN, 1.0)
-        forwarder.rate += part * (arrived / (summary.period / S) - forwarder.rate)
-        forwarder.life, forwarder.number, forwarder.heard_at = summary.life, summary.number, now
+        arrived = sum(counts[0] for counts in summary.request_classes.values())
+        part = min(summary.period_us / SPAN, 1.0)
+        forwarder.rate += part * (arrived / (summary.period_us / US_PER_S) - forwarder.rate)
+        forwarder.life, forwarder.number, forwarder.heard_at = summary.incarnation, summary.number, now
         self._heard_at = now
-        self.times.merge(summary.times)
-        for name in forwarder.using - summary.nodes.keys():
+        self.response_times.merge(summary.response_times)
+        for name in forwarder.using - summary.servers.keys():
             if name in self._nodes:
                 self._nodes[name].ejected_by.discard(summary.forwarder)
-        forwarder.using = frozenset(summary.nodes)
-        for name, use in summary.nodes.items():
+        forwarder.using = frozenset(summary.servers)
+        for name, use in summary.servers.items():
             node = self._nodes.get(name)
             if node is not None:
                 self._note_use(now, node, summary.forwarder, use)
 
     @staticmethod
-    def _note_use(now: int, node: _Node, forwarder: str, use: NodeUse) -> None:
+    def _note_use(now: int, node: _Node, forwarder: str, use: ServerUsage) -> None:
         node.fade(now)
         node.answered += use.answered
-        node.time_us += use.time_us
+        node.time_us += use.response_time_us
         node.explained += use.answered * node.wait(max(node.held - 1.0, 0.0))
-        if use.held is not None and use.held_at > node.held_at:
-            node.held, node.held_at = use.held, min(use.held_at, now)
-            node.slots = max(node.slots, use.slots)
+        if use.reported_in_flight is not None and use.reported_at_us > node.held_at:
+            node.held, node.held_at = use.reported_in_flight, min(use.reported_at_us, now)
+            node.slots = max(node.slots, use.concurrency)
         if use.ejected:
             node.ejected_by.add(forwarder)
         else:
@@ -256,7 +261,7 @@
         dealt = dict.fromkeys(self._nodes, 0.0)
         held = {name: self._held_now(now, node) for name, node in usable.items()}
         self._waits = {name: node.wait(held[name]) for name, node in usable.items()}
-        coming = max(sum(each.rate for each in self._forwarders.values()) * HORIZON / S, 1.0)
+        coming = max(sum(each.rate for each in self._forwarders.values()) * HORIZON / US_PER_S, 1.0)
         part = coming / PARTS
         soonest = [(node.wait(held[name]), name) for name, node in usable.items()]
         heapq.heapify(soonest)
@@ -291,7 +296,7 @@
         explained = time = 0.0
         for node in self._nodes.values():
             node.fade(now)
-            left = max(node.member.cold_until - now, 0) / COLD
+            left = max(node.member.warm_at_us - now, 0) / COLD
             node.warmth = max(1.0 - (1.0 - COLD_FROM) * left, COLD_FROM)
             explained += node.explained
             time += node.time_us
@@ -306,11 +311,11 @@
 
     # -- Plans -----------------------------------------------------------------------------------------
 
-    def period(self) -> int:
+    def summary_period_us(self) -> int:
         """How long forwarders shall wait between two summaries: the more there are the longer."""
-        return max(PERIOD, int(len(self._forwarders) / (0.8 * SUMMARIES_A_SECOND) * S))
+        return max(PERIOD, int(len(self._forwarders) / (0.8 * SUMMARIES_A_SECOND) * US_PER_S))
 
-    def _plan(self, now: int, summary: Summary, forwarder: _Forwarder) -> Plan | None:
+    def _plan(self, now: int, summary: SummaryReport, forwarder: _Forwarder) -> Plan | None:
         if self.epoch is None or not self._nodes:
             return None
         if now >= self._stepped_at + STEP:
@@ -319,17 +324,17 @@
         whole = summary.epoch != self.epoch or summary.planner != self.name
         base = forwarder.sequence if not whole and summary.sequence == forwarder.sequence else None
         if base is None:
-            changes: dict[str, Share | None] = dict(shares)
+            changes: dict[str, ServerShare | None] = dict(shares)
         else:
             changes = {n: each for n, each in shares.items() if forwarder.sent.get(n) != each}
             changes |= dict.fromkeys(forwarder.sent.keys() - shares.keys())
         # Beyond what the forwarder follows, whoever sent that under this epoch: an earlier life of this planner.
         forwarder.sequence = max(forwarder.sequence, summary.sequence if not whole else -1) + 1
         forwarder.sent = shares
-        forwarder.lease = lease = max(LEASE_LEAST, min(int(LEASES * self.period()), LEASE_MOST))
+        forwarder.lease = lease = max(LEASE_US_MIN, min(int(LEASES * self.summary_period_us()), LEASE_US_MAX))
         return Plan(
             summary.forwarder,
-            summary.life,
+            summary.incarnation,
             self.epoch,
             self.name,
             forwarder.sequence,
@@ -337,10 +342,10 @@
             max(now - self._heard_at, 0),
             changes,
             base,
-            min(PART_MOST, FRESH / self.period()),
+            min(PART_MOST, FRESH / self.summary_period_us()),
         )
 
-    def _shares(self, now: int, name: str, forwarder: _Forwarder) -> dict[str, Share]:
+    def _shares(self, now: int, name: str, forwarder: _Forwarder) -> dict[str, ServerShare]:
         all_rates = sum(each.rate for each in self._forwarders.values())
         part = forwarder.rate / all_rates if all_rates > 0.0 else 1.0 / max(len(self._forwarders), 1)
         shares = {}
@@ -350,7 +355,7 @@
             # Each forwarder's own budget is by what it brings already; all use less while the node holds too much.
             cold = min(1.0, node.slots / max(node.held, 1.0)) if node.warmth < 1.0 else 1.0
             odds, wait = self._odds.get(each, 0.0), self._waits.get(each, 0.0)
-            shares[each] = Share(round(odds, 4), round(wait, 4), round(room, 1), round(cold, 4))
+            shares[each] = ServerShare(round(odds, 4), round(wait, 4), round(room, 1), round(cold, 4))
         return shares
 
     def _subset(self, forwarder: str) -> list[str]:
@@ -364,14 +369,14 @@
 
     def status(self, now: int) -> dict[str, object]:
         """What this planner knows and does, as plain data."""
-        times, self.times = self.times, Sketch()
+        times, self.response_times = self.response_times, QuantileSketch()
         return {
             "planner": self.name,
             "epoch": self.epoch,
-            "highest_epoch_seen": self.highest,
+            "highest_epoch_seen": self.highest_epoch,
             "forwarders": len(self._forwarders),
-            "period_us": self.period(),
-            "summaries_shed": self.shed,
+            "period_us": self.summary_period_us(),
+            "summaries_shed": self.summaries_shed,
             "p50_us": times.quantile(0.5),
             "p99_us": times.quantile(0.99),
             "nodes": [
@@ -382,9 +387,9 @@
                     "factor": round(node.factor, 4),
                     "capacity": round(node.weight(), 4),
                     "held": node.held,
-                    "answered_a_second": round(node.answered / (SPAN / S), 3),
+                    "answered_a_second": round(node.answered / (SPAN / US_PER_S), 3),
                     "ejected_by": len(node.ejected_by),
-                    "cold": now < node.member.cold_until,
+                    "cold": now < node.member.warm_at_us,
                 }
                 for name, node in sorted(self._nodes.items())
             ],
--- a/topazbank/planning/plot.py
+++ b/topazbank/planning/plot.py
@@ -9,14 +9,14 @@
 from collections.abc import Callable, Mapping, Sequence
 from pathlib import Path
 
-from topazbank.planning.record import Moment, fits
+from topazbank.planning.record import ServerSample, share_accuracy
 
-PANELS_MOST = 30  # nodes with a panel of their own; of a larger fleet those that are furthest off
+PANELS_MAX = 30  # nodes with a panel of their own; of a larger fleet those that are furthest off
 COLUMNS = 5
 GAP_S = 3.0  # without a record: they come each second
 
 
-def draw(courses: Mapping[str, Sequence[Moment]], out: Path) -> None:
+def draw_run(courses: Mapping[str, Sequence[ServerSample]], out: Path) -> None:
     """Write a picture, in the format of the file's ending; raise ValueError where there is nothing to draw."""
     import matplotlib
 
@@ -25,7 +25,7 @@
 
     if not courses:
         raise ValueError("no record of a planner that led")
-    shown = sorted(each.node for each in fits(courses)[:PANELS_MOST])
+    shown = sorted(each.server for each in share_accuracy(courses)[:PANELS_MAX])
     columns = min(COLUMNS, len(shown))
     rows = -(-len(shown) // columns)
     figure, panels = pyplot.subplots(
@@ -40,10 +40,10 @@
         course = courses[node]
         for label, color, part in (
             ("can do", "black", lambda each: each.capacity),
-            ("dealt", "tab:blue", lambda each: each.dealt),
-            ("answered", "tab:orange", lambda each: each.answered),
+            ("dealt", "tab:blue", lambda each: each.planned),
+            ("answered", "tab:orange", lambda each: each.served),
         ):
-            panel.plot(*line(course, part), color=color, lw=1.0, label=label)
+            panel.plot(*series(course, part), color=color, lw=1.0, label=label)
         panel.set_title(node, fontsize=8)
         panel.set_ylim(bottom=0.0)
         panel.tick_params(labelsize=7)
@@ -56,7 +56,9 @@
     pyplot.close(figure)
 
 
-def line(course: Sequence[Moment], part: Callable[[Moment], float]) -> tuple[list[float], list[float]]:
+def series(
+    course: Sequence[ServerSample], part: Callable[[ServerSample], float]
+) -> tuple[list[float], list[float]]:
     """Times and parts in %, broken where records are missing: a planner that was gone is a gap, not a slope."""
     times: list[float] = []
     parts: list[float] = []
@@ -69,15 +71,15 @@
     return times, parts
 
 
-def _overall(panel: object, courses: Mapping[str, Sequence[Moment]]) -> None:
+def _overall(panel: object, courses: Mapping[str, Sequence[ServerSample]]) -> None:
     """All nodes' means: on the diagonal a node is dealt just what it can do."""
     from matplotlib.axes import Axes
 
     assert isinstance(panel, Axes)
-    found = fits(courses)
-    most = 110 * max(max(each.dealt, each.capacity) for each in found) or 1.0
+    found = share_accuracy(courses)
+    most = 110 * max(max(each.planned, each.capacity) for each in found) or 1.0
     panel.plot([0, most], [0, most], color="grey", lw=0.7)
-    panel.scatter([100 * each.capacity for each in found], [100 * each.dealt for each in found], s=14)
+    panel.scatter([100 * each.capacity for each in found], [100 * each.planned for each in found], s=14)
     panel.set_xlabel("share of what all can do, %", fontsize=8)
     panel.set_ylabel("share dealt, %", fontsize=8)
     panel.tick_params(labelsize=7)
--- a/topazbank/planning/record.py
+++ b/topazbank/planning/record.py
@@ -13,55 +13,55 @@
 from dataclasses import dataclass
 from typing import Any
 
-RECORDS_MOST = 100_000  # of one file: a day at one a second; more would fill the memory of who reads it
-LINE_MOST = 1 << 20  # characters of a record
+RECORDS_MAX = 100_000  # of one file: a day at one a second; more would fill the memory of who reads it
+LINE_CHARACTERS_MAX = 1 << 20  # characters of a record
 
 
-class BadRecord(ValueError):
+class InvalidRecord(ValueError):
     """A line that is no record; says which, and what was wanted."""
 
 
 @dataclass(frozen=True, slots=True)
-class Moment:
+class ServerSample:
     """One node at one time, as parts of all nodes then."""
 
     at_s: float  # since the first record
-    dealt: float  # of the coming requests, by the plans
+    planned: float  # of the coming requests, by the plans
     capacity: (
         float  # of what all can do, as the planner has it: nominal weight, times its factor, while cold less
     )
-    answered: float  # of what all answered lately
+    served: float  # of what all answered lately
 
 
 @dataclass(frozen=True, slots=True)
-class Fit:
+class ShareAccuracy:
     """How far what a node is dealt lies from what it can do, over a run."""
 
-    node: str
-    dealt: float  # mean part
+    server: str
+    planned: float  # mean part
     capacity: float
-    answered: float
-    worst: float  # the largest distance between dealt and capacity
+    served: float
+    error_max: float  # the largest distance between dealt and capacity
 
     @property
-    def off(self) -> float:
-        return self.dealt - self.capacity
+    def error(self) -> float:
+        return self.planned - self.capacity
 
 
-def read(lines: Iterable[str]) -> list[dict[str, Any]]:
+def read_records(lines: Iterable[str]) -> list[dict[str, Any]]:
     """Read records; raise BadRecord with the line's number where one is none, or there are too many."""
     records: list[dict[str, Any]] = []
     for number, line in enumerate(lines, 1):
         if not line.strip():
             continue
-        if len(records) >= RECORDS_MOST:
-            raise BadRecord(f"line {number}: {RECORDS_MOST} records at most are wanted")
-        if len(line) > LINE_MOST:
-            raise BadRecord(f"line {number}: {LINE_MOST} characters at most are wanted")
+        if len(records) >= RECORDS_MAX:
+            raise InvalidRecord(f"line {number}: {RECORDS_MAX} records at most are wanted")
+        if len(line) > LINE_CHARACTERS_MAX:
+            raise InvalidRecord(f"line {number}: {LINE_CHARACTERS_MAX} characters at most are wanted")
         try:
             records.append(_record(json.loads(line)))
         except (ValueError, TypeError, KeyError) as bad:
-            raise BadRecord(f"line {number}: a planner's record is wanted ({bad})") from None
+            raise InvalidRecord(f"line {number}: a planner's record is wanted ({bad})") from None
     return records
 
 
@@ -84,9 +84,9 @@
     return float(value)
 
 
-def moments(records: Sequence[Mapping[str, Any]]) -> dict[str, list[Moment]]:
+def samples_by_server(records: Sequence[Mapping[str, Any]]) -> dict[str, list[ServerSample]]:
     """Each node's course; records of planners that did not lead say nothing of shares and are left out."""
-    courses: dict[str, list[Moment]] = {}
+    courses: dict[str, list[ServerSample]] = {}
     leading = [each for each in records if each.get("epoch") is not None]
     for record in leading:
         nodes = record["nodes"]
@@ -95,7 +95,7 @@
         )
         for each in nodes:
             courses.setdefault(each["name"], []).append(
-                Moment(
+                ServerSample(
                     record["at_s"] - leading[0]["at_s"],
                     each["odds"] / odds if odds > 0.0 else 0.0,
                     each["capacity"] / able if able > 0.0 else 0.0,
@@ -105,29 +105,29 @@
     return courses
 
 
-def fits(courses: Mapping[str, Sequence[Moment]]) -> list[Fit]:
+def share_accuracy(courses: Mapping[str, Sequence[ServerSample]]) -> list[ShareAccuracy]:
     """Each node's means, the furthest off first."""
     found = []
     for node, course in courses.items():
         count = len(course)
         found.append(
-            Fit(
+            ShareAccuracy(
                 node,
-                sum(each.dealt for each in course) / count,
+                sum(each.planned for each in course) / count,
                 sum(each.capacity for each in course) / count,
-                sum(each.answered for each in course) / count,
-                max(abs(each.dealt - each.capacity) for each in course),
+                sum(each.served for each in course) / count,
+                max(abs(each.planned - each.capacity) for each in course),
             )
         )
-    return sorted(found, key=lambda each: (-abs(each.off), each.node))
+    return sorted(found, key=lambda each: (-abs(each.error), each.server))
 
 
-def table(found: Sequence[Fit]) -> list[str]:
+def accuracy_table(found: Sequence[ShareAccuracy]) -> list[str]:
     """A line a node."""
     lines = [f"{'node':<20}{'dealt':>9}{'can do':>9}{'answered':>10}{'off':>8}{'worst':>8}"]
     lines += [
-        f"{each.node:<20}{each.dealt:>9.1%}{each.capacity:>9.1%}{each.answered:>10.1%}"
-        f"{each.off:>+8.1%}{each.worst:>8.1%}"
+        f"{each.server:<20}{each.planned:>9.1%}{each.capacity:>9.1%}{each.served:>10.1%}"
+        f"{each.error:>+8.1%}{each.error_max:>8.1%}"
         for each in found
     ]
     return lines
--- a/topazbank/planning/server.py
+++ b/topazbank/planning/server.py
@@ -23,15 +23,22 @@
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, EndpointSource
 from topazbank.core.net import Address
 from topazbank.operator_config import ZOOKEEPER, OperatorConfig, read_operator_config
-from topazbank.planning.leadership import StaticLead
-from topazbank.planning.planner import Member, Planner
-from topazbank.planning.wire import DOCUMENT_MOST, STATUS, SUMMARY, BadDocument, decode_summary, encode_plan
+from topazbank.planning.leadership import RankedLeadership
+from topazbank.planning.planner import PlannedServer, Planner
+from topazbank.planning.wire import (
+    DOCUMENT_BYTES_MAX,
+    STATUS_METHOD,
+    SUMMARY_METHOD,
+    InvalidDocument,
+    decode_summary,
+    encode_plan,
+)
 
 log = logging.getLogger(__name__)
 
-CONNECTIONS_MOST = 6_000  # of forwarders; further ones are closed at once
-IDLE_S = 60.0  # a connection that says nothing for so long is closed
-LOOK_S = 0.1  # how often it is looked at who leads
+CONNECTIONS_MAX = 6_000  # of forwarders; further ones are closed at once
+IDLE_TIMEOUT_S = 60.0  # a connection that says nothing for so long is closed
+LEADERSHIP_CHECK_S = 0.1  # how often it is looked at who leads
 COLD_US = 22_000_000  # a node is warm so long after its start
 
 MakeSource = Callable[[Callable[[EndpointList | None], None]], EndpointSource]
@@ -49,7 +56,7 @@
         self.address: Address = ("127.0.0.1", 0)
         self.connections: set[_Connection] = set()
         self.bytes_in = self.bytes_out = 0
-        self._static = StaticLead(name, rank, self.clock.now()) if rank is not None else None
+        self._static = RankedLeadership(name, rank, self.clock.now()) if rank is not None else None
         self._listed: dict[str, DiscoveredServer] = {}
         self._source = make_source(self._told)
         self._server: asyncio.Server | None = None
@@ -73,20 +80,20 @@
 
     # -- Who leads -------------------------------------------------------------------------------------
 
-    def lead(self, epoch: int | None) -> None:
+    def set_leadership(self, epoch: int | None) -> None:
         """By an election's word."""
         if epoch is None:
-            self.planner.depose()
+            self.planner.stop_leading()
         else:
-            self.planner.lead(epoch)
+            self.planner.start_leading(epoch)
 
     def _look(self) -> None:
         loop = asyncio.get_running_loop()
-        self._looking = loop.call_later(LOOK_S, self._look)
+        self._looking = loop.call_later(LEADERSHIP_CHECK_S, self._look)
         if self._static is not None:
-            self.lead(self._static.look(self.clock.now(), int(time.time())))
+            self.set_leadership(self._static.current_epoch(self.clock.now(), int(time.time())))
         now = loop.time()
-        for each in [one for one in self.connections if one.heard_at + IDLE_S < now]:
+        for each in [one for one in self.connections if one.last_received_at + IDLE_TIMEOUT_S < now]:
             each.drop()
 
     # -- Nodes -----------------------------------------------------------------------------------------
@@ -103,18 +110,18 @@
             else:
                 self._listed.pop(line.server.name, None)
         members = {name: _member(line) for name, line in self._listed.items()}
-        self.planner.members(self.clock.now(), members)
+        self.planner.update_servers(self.clock.now(), members)
 
     # -- Calls -----------------------------------------------------------------------------------------
 
-    def summary(self, document: object) -> list[Any]:
+    def handle_summary(self, document: object) -> list[Any]:
         """Answer a summary: the plan, nil of a standby, and the microseconds to wait before the next one."""
         summary = decode_summary(document)
         now = self.clock.now()
         if self._static is not None:
-            self._static.heard(now, summary)
-        plan = self.planner.heard(now, summary)
-        return [encode_plan(plan) if plan is not None else None, self.planner.period()]
+            self._static.observe_summary(now, summary)
+        plan = self.planner.handle_summary(now, summary)
+        return [encode_plan(plan) if plan is not None else None, self.planner.summary_period_us()]
 
     def status(self) -> dict[str, Any]:
         told = self.planner.status(self.clock.now())
@@ -125,9 +132,9 @@
         }
 
 
-def _member(line: DiscoveredServer) -> Member:
+def _member(line: DiscoveredServer) -> PlannedServer:
     started = line.server.started_at
-    return Member(
+    return PlannedServer(
         line.server.name, line.server.nominal_capacity, started + COLD_US if started is not None else 0
     )
 
@@ -138,14 +145,14 @@
     def __init__(self, server: PlannerServer) -> None:
         self._server = server
         self._transport: asyncio.Transport | None = None
-        self._unpacker = msgpack.Unpacker(max_buffer_size=2 * DOCUMENT_MOST)
-        self.heard_at = 0.0
+        self._unpacker = msgpack.Unpacker(max_buffer_size=2 * DOCUMENT_BYTES_MAX)
+        self.last_received_at = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self.heard_at = asyncio.get_running_loop().time()
-        if len(self._server.connections) >= CONNECTIONS_MOST:
+        self.last_received_at = asyncio.get_running_loop().time()
+        if len(self._server.connections) >= CONNECTIONS_MAX:
             transport.abort()
             return
         self._server.connections.add(self)
@@ -161,7 +168,7 @@
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        self.heard_at = asyncio.get_running_loop().time()
+        self.last_received_at = asyncio.get_running_loop().time()
         self._server.bytes_in += len(data)
         try:
             self._unpacker.feed(data)
@@ -178,13 +185,13 @@
         error: str | None = None
         result: Any = None
         try:
-            if method == SUMMARY:
-                result = self._server.summary(params[0])
-            elif method == STATUS:
+            if method == SUMMARY_METHOD:
+                result = self._server.handle_summary(params[0])
+            elif method == STATUS_METHOD:
                 result = self._server.status()
             else:
                 error = f"{method!r:.40} is not known"
-        except (BadDocument, LookupError, TypeError) as bad:
+        except (InvalidDocument, LookupError, TypeError) as bad:
             error = str(bad)
         answer = msgpack.packb([1, msgid, error, result])
         self._server.bytes_out += len(answer)
@@ -196,14 +203,14 @@
 
 
 async def serve(operator: OperatorConfig, name: str, registry: Address | None) -> int:
-    from topazbank.wiring import membership_source
+    from topazbank.wiring import build_endpoint_source
 
     given = operator.planning
     assert given.listen is not None
-    by_rank = given.elect != ZOOKEEPER
+    by_rank = given.election != ZOOKEEPER
     server = PlannerServer(
         name,
-        lambda told: membership_source(operator.membership, registry, told),
+        lambda told: build_endpoint_source(operator.discovery, registry, told),
         given.rank if by_rank else None,
     )
     await server.start(given.listen)
@@ -212,9 +219,9 @@
         from topazbank.discovery.zkclient import Ensemble
         from topazbank.planning.election import Election
 
-        place = operator.membership.zookeeper
-        ensemble = Ensemble(place.members, place.session_timeout_s, place.chroot, place.secret)
-        election = Election(ensemble, "/lodge/planners", name, server.lead)
+        place = operator.discovery.zookeeper
+        ensemble = Ensemble(place.addresses, place.session_timeout_s, place.chroot, place.credentials)
+        election = Election(ensemble, "/lodge/planners", name, server.set_leadership)
         election.start()
     stop = asyncio.Event()
     for each in (signal.SIGTERM, signal.SIGINT):
@@ -245,7 +252,7 @@
         registry = parse_address(given.registry) if given.registry else None
         if operator.planning.listen is None:
             raise ValueError("planning.listen: where this planner listens is wanted")
-        if operator.membership.needs_registry and registry is None:
+        if operator.discovery.needs_registry and registry is None:
             raise ValueError("--registry: where the registry is is wanted, since membership.sources name it")
     except (ValueError, OSError) as bad:
         print(f"bad configuration: {bad}".replace("\n", " "), file=sys.stderr)
--- a/topazbank/planning/summary.py
+++ b/topazbank/planning/summary.py
@@ -8,13 +8,13 @@
 
 from topazbank.cluster.member import Generations
 
-NODES_MOST = 64  # nodes that a summary tells of: those that were most used; 40 bytes or so each
-BUCKETS = 32  # of a sketch of times
+SERVERS_MAX = 64  # nodes that a summary tells of: those that were most used; 40 bytes or so each
+BUCKETS_MAX = 32  # of a sketch of times
 _FIRST_US = 500.0  # the upper end of a sketch's first bucket; each next is _GROWTH times as far
 _GROWTH = 1.5
 
 
-class Sketch:
+class QuantileSketch:
     """Times in buckets that grow by a constant factor, so that sketches add up; off by a quarter at the most.
 
     After DDSketch (Masson, Rim, Lee: DDSketch, VLDB 2019), with a fixed range: 0.5 ms to 140 s.
@@ -27,10 +27,10 @@
 
     def add(self, elapsed_us: float) -> None:
         bucket = 0 if elapsed_us <= _FIRST_US else math.ceil(math.log(elapsed_us / _FIRST_US, _GROWTH))
-        bucket = min(bucket, BUCKETS - 1)
+        bucket = min(bucket, BUCKETS_MAX - 1)
         self.counts[bucket] = self.counts.get(bucket, 0) + 1
 
-    def merge(self, other: Sketch) -> None:
+    def merge(self, other: QuantileSketch) -> None:
         for bucket, count in other.counts.items():
             self.counts[bucket] = self.counts.get(bucket, 0) + count
 
@@ -45,91 +45,97 @@
 
 
 @dataclass(slots=True)
-class NodeUse:
+class ServerUsage:
     """One node as a forwarder saw it over a period."""
 
     sent: int = 0
     answered: int = 0
     failed: int = 0  # attempts that ended without an answer, those given up included
-    time_us: int = 0  # of what was answered, summed
+    response_time_us: int = 0  # of what was answered, summed
     in_flight: int = 0  # at the period's end
-    held: float | None = None  # requests that the node held by its newest report, queued ones included
-    held_at: int = 0  # when that came
-    slots: float = 0.0  # requests that it runs at once, by the same report; 0: it does not say
+    reported_in_flight: float | None = (
+        None  # requests that the node held by its newest report, queued ones included
+    )
+    reported_at_us: int = 0  # when that came
+    concurrency: float = 0.0  # requests that it runs at once, by the same report; 0: it does not say
     ejected: bool = False
 
 
 @dataclass(slots=True)
-class Summary:
+class SummaryReport:
     """One forwarder over one period."""
 
     forwarder: str
-    life: str
+    incarnation: str
     number: int  # counts the forwarder's summaries
-    period: int
+    period_us: int
     epoch: int  # the highest seen
     planner: str
     sequence: int  # of the plan that is followed; -1: none
-    age: int | None = None  # of that plan; None: none is followed
-    classes: dict[str, tuple[int, int, int]] = field(default_factory=dict)  # arrived, served, turned away
-    nodes: dict[str, NodeUse] = field(default_factory=dict)  # NODES_MOST
-    times: Sketch = field(default_factory=Sketch)
-    lives: Generations | None = None  # None: it takes no part in a tier
+    plan_age_us: int | None = None  # of that plan; None: none is followed
+    request_classes: dict[str, tuple[int, int, int]] = field(
+        default_factory=dict
+    )  # arrived, served, turned away
+    servers: dict[str, ServerUsage] = field(default_factory=dict)  # NODES_MOST
+    response_times: QuantileSketch = field(default_factory=QuantileSketch)
+    generations: Generations | None = None  # None: it takes no part in a tier
 
 
-class Collector:
+class SummaryCollector:
     """Gathers one forwarder's summaries as events pass."""
 
     def __init__(self) -> None:
         self._began = 0
         self._number = 0
         self._classes: dict[str, list[int]] = {}  # as many as the settings name
-        self._nodes: dict[str, NodeUse] = {}  # nodes used in this period, and those with something in flight
-        self._times = Sketch()
+        self._nodes: dict[
+            str, ServerUsage
+        ] = {}  # nodes used in this period, and those with something in flight
+        self._times = QuantileSketch()
 
-    def arrived(self, kind: str) -> None:
+    def request_arrived(self, kind: str) -> None:
         self._classes.setdefault(kind, [0, 0, 0])[0] += 1
 
-    def served(self, kind: str) -> None:
+    def request_served(self, kind: str) -> None:
         self._classes.setdefault(kind, [0, 0, 0])[1] += 1
 
-    def turned_away(self, kind: str) -> None:
+    def request_rejected(self, kind: str) -> None:
         self._classes.setdefault(kind, [0, 0, 0])[2] += 1
 
-    def sent(self, node: str) -> None:
-        use = self._nodes.setdefault(node, NodeUse())
+    def attempt_sent(self, node: str) -> None:
+        use = self._nodes.setdefault(node, ServerUsage())
         use.sent += 1
         use.in_flight += 1
 
-    def ended(
+    def attempt_ended(
         self, now: int, node: str, answered: bool, elapsed_us: int, report: Mapping[str, float] | None
     ) -> None:
-        use = self._nodes.setdefault(node, NodeUse())
+        use = self._nodes.setdefault(node, ServerUsage())
         use.in_flight = max(use.in_flight - 1, 0)
         if answered:
             use.answered += 1
-            use.time_us += elapsed_us
+            use.response_time_us += elapsed_us
             self._times.add(elapsed_us)
         else:
             use.failed += 1
         if report and "inflight" in report:
-            use.held = max(report["inflight"] + report.get("queue", 0.0), 0.0)
-            use.held_at = now
+            use.reported_in_flight = max(report["inflight"] + report.get("queue", 0.0), 0.0)
+            use.reported_at_us = now
             util = report.get("util", 0.0)
-            use.slots = report["inflight"] / util if util > 0.0 else 0.0
+            use.concurrency = report["inflight"] / util if util > 0.0 else 0.0
 
-    def take(
+    def collect(
         self, now: int, forwarder: str, life: str, following: tuple[int, str, int], ejected: frozenset[str]
-    ) -> Summary:
+    ) -> SummaryReport:
         """The summary of what passed since the last one."""
         self._number += 1
         for name in ejected:
-            self._nodes.setdefault(name, NodeUse())
+            self._nodes.setdefault(name, ServerUsage())
         used = sorted(self._nodes.items(), key=lambda each: -(each[1].sent + each[1].in_flight))
         for name, use in used:
             use.ejected = name in ejected
         epoch, planner, sequence = following
-        summary = Summary(
+        summary = SummaryReport(
             forwarder,
             life,
             self._number,
@@ -139,11 +145,11 @@
             sequence,
             None,
             {kind: (counts[0], counts[1], counts[2]) for kind, counts in self._classes.items()},
-            dict(used[:NODES_MOST]),
+            dict(used[:SERVERS_MAX]),
             self._times,
         )
-        self._began, self._classes, self._times = now, {}, Sketch()
+        self._began, self._classes, self._times = now, {}, QuantileSketch()
         self._nodes = {
-            name: NodeUse(in_flight=use.in_flight) for name, use in self._nodes.items() if use.in_flight
+            name: ServerUsage(in_flight=use.in_flight) for name, use in self._nodes.items() if use.in_flight
         }
         return summary
--- a/topazbank/wiring.py
+++ b/topazbank/wiring.py
@@ -19,51 +19,62 @@
 from topazbank.estimation.fleet_size import FleetSize
 from topazbank.http.client import HttpUpstreamClient
 from topazbank.http.server import HttpConnection
-from topazbank.operator_config import REGISTRY, ZOOKEEPER, Membership, OperatorConfig, Planning, ZooKeeper
+from topazbank.operator_config import (
+    REGISTRY,
+    ZOOKEEPER,
+    DiscoveryConfig,
+    OperatorConfig,
+    PlanningConfig,
+    ZooKeeperConfig,
+)
 
 
-def wire(operator: OperatorConfig) -> Components:
+def build_components(operator: OperatorConfig) -> Components:
     """The parts that the operator file asks for; raise ImportError where one's library is not installed."""
     rpc = operator.msgpack_rpc
     binary: ConnectionFactory | None = None
-    if rpc.clients:
+    if rpc.accepts_clients:
         from topazbank.msgpackrpc.server import RpcConnection
 
         binary = RpcConnection
 
-    if rpc.nodes:
+    if rpc.calls_servers:
         import topazbank.msgpackrpc.client  # noqa: F401  # now, so that a library that lacks ends the start
 
     def carriers(settings: Settings, slots: ConnectionLimit) -> Mapping[str, UpstreamClient]:
         limits, columns = settings.limits, settings.report_columns
         dial_s, idle_s = limits.connect_timeout_us / 1e6, limits.idle_timeout_us / 1e6
         made: dict[str, UpstreamClient] = {HTTP: HttpUpstreamClient(dial_s, idle_s, slots, columns)}
-        if rpc.nodes:
+        if rpc.calls_servers:
             from topazbank.msgpackrpc.client import RpcUpstreamClient, Sharing
 
-            sharing = Sharing(rpc.lodges_per_connection, rpc.others_per_connection, rpc.connections_per_node)
+            sharing = Sharing(
+                rpc.unsafe_calls_per_connection, rpc.safe_calls_per_connection, rpc.connections_per_server
+            )
             made[MSGPACK_RPC] = RpcUpstreamClient(dial_s, idle_s, slots, columns, sharing)
         return made
 
-    dialects = ProtocolDefaults(operator.protocol, operator.pods)
+    dialects = ProtocolDefaults(operator.default_protocol, operator.pod_protocols)
     return Components(
         HttpConnection,
         binary,
         carriers,
-        partial(_source, operator.membership),
-        operator.show_roster,
+        partial(_source, operator.discovery),
+        operator.status_page_enabled,
         dialects,
         partial(_forwarding, operator.planning) if operator.planning.planners else None,
-        partial(Trace, lines_per_second=operator.trace_lines) if operator.trace_lines else None,
-        partial(_tier_part, operator) if operator.tier.on else None,
+        partial(Trace, lines_per_second=operator.trace_lines_per_second)
+        if operator.trace_lines_per_second
+        else None,
+        partial(_tier_part, operator) if operator.cluster.enabled else None,
     )
 
 
-def _forwarding(given: Planning, config: SidecarConfig, now: Callable[[], int]) -> RequestObserver:
-    from topazbank.planning.forwarder import Forwarding
+def _forwarding(given: PlanningConfig, config: SidecarConfig, now: Callable[[], int]) -> RequestObserver:
+    from topazbank.planning.forwarder import PlanningClient
 
     name = given.name or f"f-{config.seed & 0xFFFFFFFFFFFFFFFF:016x}"
-    return Forwarding(name, given.planners, now, config.seed)
+    return PlanningClient(name, given.planners, now, config.seed)
 
 
 def _tier_part(
@@ -71,7 +82,7 @@
 ) -> ClusterMembership:
     from topazbank.cluster.service import ClusterService
 
-    service = ClusterService(given.tier, config, others, known)
+    service = ClusterService(given.cluster, config, others, known)
     if given.budgets:
         from topazbank.quota.service import QuotaService
 
@@ -81,7 +92,7 @@
             service.address_of,
             lambda: time.monotonic_ns() // 1000,
             config.folder,
-            given.tier.key.encode(),
+            given.cluster.key.encode(),
             given.ledger,
             given.store,
         )
@@ -91,14 +102,14 @@
 Hear = Callable[[EndpointList | None], None]
 
 
-def _source(membership: Membership, config: SidecarConfig, told: Hear) -> EndpointSource:
-    return membership_source(
+def _source(membership: DiscoveryConfig, config: SidecarConfig, told: Hear) -> EndpointSource:
+    return build_endpoint_source(
         membership, config.discovery, told, config.known.version, config.seed, config.others
     )
 
 
-def membership_source(
-    membership: Membership,
+def build_endpoint_source(
+    membership: DiscoveryConfig,
     registry: Address | None,
     told: Hear,
     version: int = 0,
@@ -122,9 +133,9 @@
     return RegistrySource(address, version, told, others, seed)
 
 
-def _zookeeper(given: ZooKeeper, seed: int | None, told: Hear) -> EndpointSource:
+def _zookeeper(given: ZooKeeperConfig, seed: int | None, told: Hear) -> EndpointSource:
     from topazbank.discovery.zkclient import Ensemble
     from topazbank.discovery.zookeeper import ZooKeeperSource
 
-    ensemble = Ensemble(given.members, given.session_timeout_s, given.chroot, given.secret)
+    ensemble = Ensemble(given.addresses, given.session_timeout_s, given.chroot, given.credentials)
     return ZooKeeperSource(ensemble, given.path, told, seed)
