--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes that are one sidecar, as the platform starts and ends them, with clients that go on meanwhile."""
+"""Upgrades and drains of real processes, as the platform starts and ends them, under load."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 from topazbank.operations.handover import take_over
 
 
-def kept_port() -> socket.socket:
-    """Bound and not listening: a program may listen there, and no connection is given the port meanwhile."""
+def reserved_port() -> socket.socket:
+    """Return a bound socket that doesn't listen: the port is reserved, and a program may listen at it."""
     sock = socket.socket()
-    for each in (socket.SO_REUSEADDR, socket.SO_REUSEPORT):
-        sock.setsockopt(socket.SOL_SOCKET, each, 1)
+    for option in (socket.SO_REUSEADDR, socket.SO_REUSEPORT):
+        sock.setsockopt(socket.SOL_SOCKET, option, 1)
     sock.bind(("127.0.0.1", 0))
     return sock
 
 
 class Sidecars:
-    """The processes of one sidecar, by number; each has an operators' address of its own."""
+    """The processes of one sidecar, by number; each has an admin address of its own."""
 
     def __init__(self, folder: Path, server: FakeServer, discovery: FakeDiscovery) -> None:
         self._folder = folder
-        self._kept = [kept_port()]
-        self.listen: Address = self._kept[0].getsockname()
-        self._given = {
+        self._reserved = [reserved_port()]
+        self.listen: Address = self._reserved[0].getsockname()
+        self._config = {
             "listen": f"127.0.0.1:{self.listen[1]}",
             "discovery": "{}:{}".format(*discovery.address),
             "seed": "8c1f",
@@ -46,222 +46,230 @@
             "settings": SETTINGS,
         }
         self.processes: list[asyncio.subprocess.Process] = []
-        self.desks: list[Address] = []
+        self.admin_addresses: list[Address] = []
 
-    async def start(self, **given: Any) -> asyncio.subprocess.Process:
-        self._kept.append(kept_port())
-        desk: Address = self._kept[-1].getsockname()
+    async def start(self, **changes: Any) -> asyncio.subprocess.Process:
+        self._reserved.append(reserved_port())
+        admin: Address = self._reserved[-1].getsockname()
         path = self._folder / f"config{len(self.processes)}.json"
-        path.write_text(json.dumps(self._given | given), encoding="utf-8")
+        path.write_text(json.dumps(self._config | changes), encoding="utf-8")
         environ = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
         environ |= {
             "RELAY_CONFIG": str(path),
-            "RELAY_OPERATOR": f"127.0.0.1:{desk[1]}",
+            "RELAY_OPERATOR": f"127.0.0.1:{admin[1]}",
             "TMPDIR": str(self._folder),
         }
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "topazbank", cwd=ROOT, env=environ, stderr=asyncio.subprocess.DEVNULL
         )
         self.processes.append(process)
-        self.desks.append(desk)
+        self.admin_addresses.append(admin)
         return process
 
     def stop(self) -> None:
-        for each in self._kept:
-            each.close()
+        for sock in self._reserved:
+            sock.close()
 
-    async def call(self, number: int, word: str) -> str:
-        reader, writer = await asyncio.open_connection(*self.desks[number])
-        writer.write(word.encode() + b"\n")
+    async def command(self, number: int, name: str) -> str:
+        reader, writer = await asyncio.open_connection(*self.admin_addresses[number])
+        writer.write(name.encode() + b"\n")
         line = await asyncio.wait_for(reader.read(), PATIENCE_S)
         writer.close()
         return line.decode()
 
-    async def serves(self, number: int) -> None:
-        """Wait for this process's yes."""
+    async def wait_until_serving(self, number: int) -> None:
+        """Wait until this process answers its status with 200."""
         async with asyncio.timeout(PATIENCE_S):
             while True:
                 with contextlib.suppress(OSError):
-                    if (await self.call(number, "status")).startswith("200"):
+                    if (await self.command(number, "status")).startswith("200"):
                         return
                 await asyncio.sleep(0.01)
 
 
 class Load:
-    """Clients that go on asking, on kept connections and on new ones; whatever goes wrong at the door is counted."""
+    """Clients that send requests without pause, on persistent and on new connections; failures are recorded."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
         self._stopped = False
         self.served = 0
-        self.lost: list[str] = []
+        self.failures: list[str] = []
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        self._tasks = [asyncio.create_task(self._ask(number)) for number in range(8)]
+        self._tasks = [asyncio.create_task(self._send_requests(number)) for number in range(8)]
 
     async def stop(self) -> None:
         self._stopped = True
         await asyncio.gather(*self._tasks)
 
-    async def _ask(self, number: int) -> None:
-        """Every other client keeps its connection; a close that crosses a request is asked again once, as told."""
+    async def _send_requests(self, number: int) -> None:
+        """Every other client reuses its connection; a request that crosses the close of a reused one is sent again."""
         count = 0
-        link: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
+        connection: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
         while not self._stopped:
             count += 1
             data = request("pay", body=b"x", X_Call_Id=f"{number}-{count}")
-            fresh = link is None
+            is_new = connection is None
             try:
-                link = link or await asyncio.open_connection(*self._address)
-                link[1].write(data)
-                status, headers, _ = await read_answer(link[0])
+                connection = connection or await asyncio.open_connection(*self._address)
+                connection[1].write(data)
+                status, headers, _ = await read_answer(connection[0])
             except (OSError, asyncio.IncompleteReadError) as broken:
-                link = None
-                if fresh:
-                    self.lost.append(f"{number}-{count}: {broken!r}")
-                count -= not fresh
+                connection = None
+                if is_new:
+                    self.failures.append(f"{number}-{count}: {broken!r}")
+                count -= not is_new
                 continue
             self.served += status == 200
             if status != 200:
-                self.lost.append(f"{number}-{count}: {status}")
+                self.failures.append(f"{number}-{count}: {status}")
             if number % 2 or headers.get("connection") == "close":
-                link[1].close()
-                link = None
+                connection[1].close()
+                connection = None
             await asyncio.sleep(0.002)
-        if link is not None:
-            link[1].close()
+        if connection is not None:
+            connection[1].close()
 
 
 @contextlib.asynccontextmanager
-async def sidecars(folder: Path) -> AsyncIterator[tuple[Sidecars, Load, FakeServer]]:
+async def running(folder: Path) -> AsyncIterator[tuple[Sidecars, Load, FakeServer]]:
     server, discovery = FakeServer("s-0", lambda *_: answer(200, b"served")), FakeDiscovery()
     await server.start()
     await discovery.start()
-    made = Sidecars(folder, server, discovery)
-    load = Load(made.listen)
+    sidecars = Sidecars(folder, server, discovery)
+    load = Load(sidecars.listen)
     try:
-        yield made, load, server
+        yield sidecars, load, server
     finally:
-        for each in made.processes:
+        for process in sidecars.processes:
             with contextlib.suppress(ProcessLookupError):
-                each.send_signal(signal.SIGCONT)
-                each.kill()
-            await each.wait()
-        made.stop()
+                process.send_signal(signal.SIGCONT)
+                process.kill()
+            await process.wait()
+        sidecars.stop()
         server.stop()
         discovery.stop()
 
 
-def test_upgrades_in_a_row_lose_nothing_and_run_nothing_twice(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with sidecars(tmp_path) as (made, load, server):
-            await made.start()
-            await made.serves(0)
+def test_no_request_fails_or_runs_twice_over_upgrades_in_a_row(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running(tmp_path) as (sidecars, load, server):
+            await sidecars.start()
+            await sidecars.wait_until_serving(0)
             load.start()
             for number in range(1, 4):
-                await made.start()
-                await made.serves(number)
-                before = made.processes[number - 1]
+                await sidecars.start()
+                await sidecars.wait_until_serving(number)
+                before = sidecars.processes[number - 1]
                 before.send_signal(signal.SIGTERM)
                 assert await asyncio.wait_for(before.wait(), PATIENCE_S) == 0
                 reached = load.served + 50
                 await until(lambda reached=reached: load.served > reached)  # type: ignore[misc]
             await load.stop()
-            assert not load.lost
+            assert not load.failures
             ran = [headers["x-call-id"] for _, headers, _ in server.requests]
             assert len(ran) == len(set(ran)) == load.served
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.1, 0.25, 0.4])
-def test_a_new_process_that_is_killed_leaves_the_old_one_whole_and_the_next_takes_over(
+def test_a_new_process_killed_during_its_start_does_not_harm_the_old_one(
     tmp_path: Path, after_s: float
 ) -> None:
-    async def scene() -> None:
-        async with sidecars(tmp_path) as (made, load, _):
-            await made.start()
-            await made.serves(0)
+    """A second process starts and is killed at some point of its start, perhaps when it holds the listening socket.
+
+    The old process goes on alone.  A third process takes over from the old one, which then exits by SIGTERM.
+    """
+    async def scenario() -> None:
+        async with running(tmp_path) as (sidecars, load, _):
+            await sidecars.start()
+            await sidecars.wait_until_serving(0)
             load.start()
-            killed = await made.start()
+            killed = await sidecars.start()
             await asyncio.sleep(after_s + 0.05 * random.Random(after_s).random())
             killed.kill()
             await killed.wait()
-            await made.start()
-            await made.serves(2)
-            made.processes[0].send_signal(signal.SIGTERM)
-            assert await asyncio.wait_for(made.processes[0].wait(), PATIENCE_S) == 0
+            await sidecars.start()
+            await sidecars.wait_until_serving(2)
+            sidecars.processes[0].send_signal(signal.SIGTERM)
+            assert await asyncio.wait_for(sidecars.processes[0].wait(), PATIENCE_S) == 0
             reached = load.served + 50
             await until(lambda: load.served > reached)
             await load.stop()
-            # What the killed process had accepted breaks with it; nothing else may.
-            assert len(load.lost) <= 8
+            # The connections that the killed process had accepted fail with it, and no others: one per client.
+            assert len(load.failures) <= 8
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_new_process_with_a_bad_configuration_changes_nothing(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with sidecars(tmp_path) as (made, load, _):
-            await made.start()
-            await made.serves(0)
+    async def scenario() -> None:
+        async with running(tmp_path) as (sidecars, load, _):
+            await sidecars.start()
+            await sidecars.wait_until_serving(0)
             load.start()
-            bad = await made.start(settings=None)
+            bad = await sidecars.start(settings=None)
             assert await asyncio.wait_for(bad.wait(), PATIENCE_S) == 2
             reached = load.served + 50
             await until(lambda: load.served > reached)
             await load.stop()
-            assert not load.lost and (await made.call(0, "status")) == "200 serving\n"
-
-    play(scene())
-
-
-def test_a_hung_old_process_and_a_stale_path_are_done_without(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with sidecars(tmp_path) as (made, _, _):
-            await made.start()
-            await made.serves(0)
-            made.processes[0].send_signal(signal.SIGSTOP)
-            await made.start()
-            await made.serves(1)  # it listens beside the hung one
-            made.processes[0].send_signal(signal.SIGCONT)
-            for each in made.processes:
-                each.kill()
-                await each.wait()
+            assert not load.failures and (await sidecars.command(0, "status")) == "200 serving\n"
+
+    play(scenario())
+
+
+def test_a_hung_old_process_and_a_stale_socket_do_not_stop_a_start(tmp_path: Path) -> None:
+    """The old process is stopped, so that it never answers at the hand-over socket; a second one starts beside it.
+
+    Then both are killed, and the socket's path is left behind; a third one starts.
+    """
+    async def scenario() -> None:
+        async with running(tmp_path) as (sidecars, _, _):
+            await sidecars.start()
+            await sidecars.wait_until_serving(0)
+            sidecars.processes[0].send_signal(signal.SIGSTOP)
+            await sidecars.start()
+            await sidecars.wait_until_serving(1)  # by SO_REUSEPORT, beside the hung one
+            sidecars.processes[0].send_signal(signal.SIGCONT)
+            for process in sidecars.processes:
+                process.kill()
+                await process.wait()
             assert list(tmp_path.glob("*.sock"))  # left behind by both
-            await made.start()
-            await made.serves(2)
-            assert (await ask(made.listen, request()))[0] == 200
+            await sidecars.start()
+            await sidecars.wait_until_serving(2)
+            assert (await ask(sidecars.listen, request()))[0] == 200
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_drain_by_standby_is_over_in_time_and_active_ends_it(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with sidecars(tmp_path) as (made, load, _):
-            await made.start()
-            await made.serves(0)
-            reader, writer = await asyncio.open_connection(*made.listen)
+def test_a_drain_by_standby_ends_in_time_and_active_cancels_it(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running(tmp_path) as (sidecars, load, _):
+            await sidecars.start()
+            await sidecars.wait_until_serving(0)
+            reader, writer = await asyncio.open_connection(*sidecars.listen)
             writer.write(request())
             assert (await read_answer(reader))[0] == 200
             load.start()
-            assert await made.call(0, "standby") == "200 emptying\n"
-            assert (await ask(made.listen, request(path="/health/ready")))[0] == 503
-            assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b""  # one that sits idle is let go
+            assert await sidecars.command(0, "standby") == "200 emptying\n"
+            assert (await ask(sidecars.listen, request(path="/health/ready")))[0] == 503
+            assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b""  # an idle connection is closed
             await load.stop()
             async with asyncio.timeout(4.0):
-                while await made.call(0, "status") != "200 empty\n":
+                while await sidecars.command(0, "status") != "200 empty\n":
                     await asyncio.sleep(0.02)
-            assert await made.call(0, "active") == "200 serving\n"
-            assert (await ask(made.listen, request(path="/health/ready")))[0] == 200
-            assert made.processes[0].returncode is None and not load.lost
+            assert await sidecars.command(0, "active") == "200 serving\n"
+            assert (await ask(sidecars.listen, request(path="/health/ready")))[0] == 200
+            assert sidecars.processes[0].returncode is None and not load.failures
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_path_that_cannot_be_connected_to_gives_nothing(tmp_path: Path) -> None:
+def test_a_socket_that_cannot_be_connected_to_gives_an_empty_state(tmp_path: Path) -> None:
     assert take_over(None).client_socket is None
     assert take_over(tmp_path / "none.sock").client_socket is None
     (tmp_path / "file.sock").write_text("x", encoding="utf-8")
@@ -273,4 +281,4 @@
         sock.bind(f"/proc/self/fd/{folder}/hung.sock")
         os.close(folder)
         sock.listen(1)
-        assert take_over(deep / "hung.sock").client_socket is None  # nobody answers there
+        assert take_over(deep / "hung.sock").client_socket is None  # it accepts and never answers
--- a/topazbank/operations/__init__.py
+++ b/topazbank/operations/__init__.py
@@ -1,1 +1,1 @@
-"""In service: the operators' desk, drains, and two processes that are one sidecar for the time of an upgrade."""
+"""Operations: the admin API, draining, and the hand-over between two processes of one sidecar during an upgrade."""
--- a/topazbank/operations/admin_api.py
+++ b/topazbank/operations/admin_api.py
@@ -1,8 +1,8 @@
-"""Where operators call: one line to a connection, one line back that begins with 200 or 400.
+"""The admin API: one command line per connection (`status`, `standby` or `active`), one line back.
 
-It runs in a thread of its own: an answer is owed in a second under any load, and a loop that is behind with requests
-comes too late.  docs/design/operations.md weighs that.  What an order changes is changed at once, under the machine's
-lock; the loop is woken to carry it out.
+The answer begins with 200, or with 400 for a refused or unknown command, and comes within a second under any load.
+Therefore the server runs in a thread of its own: an event loop that is behind with requests would answer too late.  A
+command changes the drain's state machine at once, under its lock; the event loop is woken to act on it.
 """
 
 from __future__ import annotations
@@ -16,160 +16,189 @@
 import time
 from collections.abc import Callable
 from dataclasses import dataclass
+from enum import Enum, unique
 
 from topazbank.core.net import Address
 from topazbank.operations.drain import Drain, DrainState
 
 log = logging.getLogger(__name__)
 
-LINE_BYTES_MAX = 256  # bytes of a call; a longer one is none
-CONNECTIONS_MAX = (
-    16  # connections held: the newest are served, and the oldest that have called nothing make room
-)
-_HELD_S = 10.0  # and none is held for longer with nothing called
-_LINGER_S = 1.0  # after its answer a caller may take this long to end its side
-_STACK = 256 * 1024  # bytes of the thread's stack: the platform's default is 8 MB of addresses
+LINE_BYTES_MAX = 256  # a longer command is answered with 400
+CONNECTIONS_MAX = 16  # a further one closes the oldest
+_COMMAND_TIMEOUT_S = 10.0  # a connection without a command is closed after this
+_CLOSE_TIMEOUT_S = 1.0  # after the answer, for the client to close its side
+_READ_BYTES = 4096
+_SELECT_TIMEOUT_S = 0.5  # while connections are open, so that their timeouts are checked
+_STOP_TIMEOUT_S = 1.0
+_STACK_BYTES = 256 * 1024  # the platform's default of 8 MB would count against the memory limit
 _BACKLOG = 128
 
 
-def understand(line: bytes) -> str | None:
-    """The word of a call; None where nobody knows it."""
-    word = line.strip(b" \t\r\n")
-    return word.decode() if word in (b"status", b"standby", b"active") else None
+@unique
+class Command(Enum):
+    """A command of the admin API, by its word on the wire."""
+
+    STATUS = "status"
+    STANDBY = "standby"
+    ACTIVE = "active"
+
+
+def parse_command(line: bytes) -> Command | None:
+    """Parse one line, with or without its line end; None where it is no command."""
+    try:
+        return Command(line.strip(b" \t\r\n").decode("ascii"))
+    except ValueError:
+        return None
 
 
 class AdminCommands:
-    """What the operators' words do to the drain's machine."""
+    """Executes commands on the drain's state machine."""
 
-    def __init__(self, drain: Drain, changed: Callable[[], None]) -> None:
-        """`changed` is called, from any thread, once an order has been taken."""
+    def __init__(self, drain: Drain, on_change: Callable[[], None]) -> None:
+        """`on_change` is called after each order, in the caller's thread."""
         self._drain = drain
-        self._changed = changed
+        self._on_change = on_change
 
     def answer(self, line: bytes) -> str:
-        """Carry an order out and say what holds from now on."""
-        word = understand(line)
-        if word is None:
+        """Execute a command; return the status code and the state afterwards."""
+        command = parse_command(line)
+        if command is None:
             return "400 not known: status, standby or active"
-        if word == "status":
-            stage = self._drain.state
-            return f"{400 if stage is DrainState.STARTING else 200} {stage.value}"
-        stage = self._drain.start_drain(time.monotonic()) if word == "standby" else self._drain.cancel_drain()
-        self._changed()
-        refused = word == "active" and stage is DrainState.TERMINATING
-        return f"{400 if refused else 200} {stage.value}"
+        if command is Command.STATUS:
+            state = self._drain.state
+            return _answer(state, refused=state is DrainState.STARTING)
+        if command is Command.STANDBY:
+            state, refused = self._drain.start_drain(time.monotonic()), False
+        else:
+            state = self._drain.cancel_drain()
+            refused = state is DrainState.TERMINATING
+        self._on_change()
+        return _answer(state, refused)
+
+
+def _answer(state: DrainState, refused: bool) -> str:
+    return f"{400 if refused else 200} {state.value}"
 
 
 @dataclass(slots=True, eq=False)
-class Caller:
-    """One operator's connection."""
+class _AdminConnection:
+    """One client's connection."""
 
     sock: socket.socket
-    until: float
+    close_at_s: float
     line: bytes = b""
     answered: bool = False
 
 
 class AdminServer:
-    """Listens for operators, in a thread."""
+    """Listens for clients of the admin API, in a thread.
+
+    Connections are bounded by CONNECTIONS_MAX.  Clients that connect and send nothing can't lock others out: the newest
+    connection is always accepted, and the oldest one makes way for it.
+    """
 
     def __init__(self, address: Address, answer: Callable[[bytes], str]) -> None:
-        """Raise OSError where the address can't be listened at."""
+        """Listen at `address`; raise OSError where that fails.  `answer` is called in the server's thread."""
         self._answer = answer
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self._sock = socket.create_server(address, family=family, backlog=_BACKLOG)
         self._sock.setblocking(False)
         self.address: Address = self._sock.getsockname()[:2]
-        self._callers: dict[socket.socket, Caller] = {}  # the longest held first; at most CALLERS_MOST
+        self._connections: dict[socket.socket, _AdminConnection] = {}  # the oldest first
         self._selector = selectors.DefaultSelector()
         self._selector.register(self._sock, selectors.EVENT_READ)
         self._wake_read, self._wake_write = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
         self._selector.register(self._wake_read, selectors.EVENT_READ)
         self._stopping = False
-        self._thread = threading.Thread(target=self._run, name="desk", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="admin-api", daemon=True)
 
     def start(self) -> None:
-        before = threading.stack_size(_STACK)
+        """Start the thread."""
+        default_bytes = threading.stack_size(_STACK_BYTES)
         try:
             self._thread.start()
         finally:
-            threading.stack_size(before)
+            threading.stack_size(default_bytes)
 
     def stop(self) -> None:
-        """End it; a call that waits gets no answer any more."""
+        """Stop the thread and close all connections; commands under way get no answer."""
         self._stopping = True
         os.write(self._wake_write, b"x")
-        self._thread.join(timeout=1.0)
+        self._thread.join(timeout=_STOP_TIMEOUT_S)
 
     def _run(self) -> None:
         while not self._stopping:
-            for key, _ in self._selector.select(timeout=0.5 if self._callers else None):
+            for key, _ in self._selector.select(timeout=_SELECT_TIMEOUT_S if self._connections else None):
                 try:
-                    self._turn(key.fileobj)
+                    self._handle_readable(key.fileobj)
                 except Exception:
-                    log.exception("the operators' desk failed on a call")  # a defect: the others go on
-            self._sweep(time.monotonic())
-        for caller in list(self._callers.values()):
-            self._end(caller)
+                    log.exception("the admin API failed on a command")  # a defect: other connections go on
+            self._close_expired(time.monotonic())
+        for connection in list(self._connections.values()):
+            self._close(connection)
         self._selector.close()
         self._sock.close()
         os.close(self._wake_read)
         os.close(self._wake_write)
 
-    def _turn(self, what: object) -> None:
-        if what is self._sock:
+    def _handle_readable(self, readable: object) -> None:
+        if readable is self._sock:
             self._accept()
-        elif isinstance(what, socket.socket) and what in self._callers:
-            self._read(self._callers[what])
+        elif isinstance(readable, socket.socket) and readable in self._connections:
+            self._read(self._connections[readable])
 
     def _accept(self) -> None:
-        """Take one caller: those that hold their connection and call nothing make room for it."""
         try:
             sock, _ = self._sock.accept()
         except OSError:
             return
-        if len(self._callers) >= CONNECTIONS_MAX:
-            self._end(next(iter(self._callers.values())))
+        if len(self._connections) >= CONNECTIONS_MAX:
+            self._close(next(iter(self._connections.values())))
         sock.setblocking(False)
-        self._callers[sock] = Caller(sock, time.monotonic() + _HELD_S)
+        connection = _AdminConnection(sock, time.monotonic() + _COMMAND_TIMEOUT_S)
+        self._connections[sock] = connection
         self._selector.register(sock, selectors.EVENT_READ)
-        self._read(self._callers[sock])  # most calls are here already
+        self._read(connection)  # the command has usually arrived with the connection
 
-    def _read(self, caller: Caller) -> None:
+    def _read(self, connection: _AdminConnection) -> None:
         try:
-            data = caller.sock.recv(4096)
+            data = connection.sock.recv(_READ_BYTES)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
-            self._end(caller)
+            self._close(connection)
             return
-        if caller.answered:
+        if connection.answered:
             if not data:
-                self._end(caller)  # what comes after the line is read and dropped
+                self._close(connection)  # data after the first line is discarded
             return
-        line, ended, _ = (caller.line + data).partition(b"\n")
-        if ended or (not data and line) or len(line) > LINE_BYTES_MAX:
-            self._reply(caller, self._answer(line) if len(line) <= LINE_BYTES_MAX else "400 too long")
+        line, line_end, _ = (connection.line + data).partition(b"\n")
+        if line_end or (not data and line) or len(line) > LINE_BYTES_MAX:
+            self._reply(connection, self._answer(line) if len(line) <= LINE_BYTES_MAX else "400 too long")
         elif not data:
-            self._end(caller)
+            self._close(connection)
         else:
-            caller.line = line
+            connection.line = line
+
+    def _reply(self, connection: _AdminConnection, answer: str) -> None:
+        """Send the answer and close the write side only.
 
-    def _reply(self, caller: Caller, answer: str) -> None:
-        """Answer and end our side; closing on unread bytes would reset the answer away."""
-        caller.answered, caller.until = True, time.monotonic() + _LINGER_S
+        Closing the socket with unread bytes would send a reset, by which the client could lose the answer.
+        """
+        connection.answered, connection.close_at_s = True, time.monotonic() + _CLOSE_TIMEOUT_S
         try:
-            caller.sock.send(answer.encode() + b"\n")  # an empty buffer takes so short a line
-            caller.sock.shutdown(socket.SHUT_WR)
+            connection.sock.send(answer.encode() + b"\n")  # one short line always fits the empty send buffer
+            connection.sock.shutdown(socket.SHUT_WR)
         except OSError:
-            self._end(caller)
+            self._close(connection)
 
-    def _sweep(self, now: float) -> None:
-        for caller in [each for each in self._callers.values() if each.until <= now]:
-            self._end(caller)
+    def _close_expired(self, now_s: float) -> None:
+        expired = [connection for connection in self._connections.values() if connection.close_at_s <= now_s]
+        for connection in expired:
+            self._close(connection)
 
-    def _end(self, caller: Caller) -> None:
-        del self._callers[caller.sock]
+    def _close(self, connection: _AdminConnection) -> None:
+        del self._connections[connection.sock]
         with contextlib.suppress(KeyError, ValueError):
-            self._selector.unregister(caller.sock)
-        caller.sock.close()
+            self._selector.unregister(connection.sock)
+        connection.sock.close()
--- a/topazbank/operations/drain.py
+++ b/topazbank/operations/drain.py
@@ -1,14 +1,13 @@
-"""How a sidecar is emptied and filled again; no I/O, and the time is an argument.
+"""The state machine of draining and graceful shutdown; no I/O, the time (monotonic seconds) is an argument.
 
-SIGTERM and an operator's `standby` are two ways into one machine:
+    SERVING --start_drain--> DRAINING --no connections--> DRAINED --cancel_drain--> SERVING
+       \\                        |                            |
+        `------- terminate ------+----------------------------'--> TERMINATING, finished once no connection is open
+                                                                    or the time limit is reached
 
-    serving --standby--> emptying --all gone--> empty --active--> serving
-       \\                    |                     |
-        `------ SIGTERM -----+---------------------'--> ending, and over once nothing is held or the time is up
-
-From the first no on, new connections come for a little longer; then none.  Kept connections go on for as long as they
-are open, so they are closed as they come to rest: first those that have carried requests, and once nothing new comes
-also those that have not.
+The readiness check fails as soon as a drain starts, yet load balancers react late: new connections are accepted for
+ACCEPT_AFTER_DRAIN_S longer.  Persistent connections are closed while idle: from the start those that have carried a
+request, after ACCEPT_AFTER_DRAIN_S also those that have carried none.
 """
 
 from __future__ import annotations
@@ -17,18 +16,16 @@
 from dataclasses import dataclass
 from enum import Enum, unique
 
-ACCEPT_AFTER_DRAIN_S = (
-    0.5  # after the order, how long connections still come: 0.2 s after the first no, 0.4 s after SIGTERM
-)
-TERMINATION_GRACE_S = (
-    0.65  # how much longer than the longest deadline an ending process may last: it is killed 0.7 s after
-)
-REQUEST_DEADLINE_MAX_S = 3.0  # the platform waits for no longer deadline than this
+# The platform opens connections up to 0.2 s after the first failed readiness check and 0.4 s after SIGTERM.
+ACCEPT_AFTER_DRAIN_S = 0.5
+# The platform kills a terminating process 0.7 s after the longest deadline of a request.
+TERMINATION_GRACE_S = 0.65
+REQUEST_DEADLINE_MAX_S = 3.0  # the platform waits no longer than this for a request
 
 
 @unique
 class DrainState(Enum):
-    """What a sidecar is about, as operators are told."""
+    """Where a sidecar is between start and end; the values are the admin API's answers."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -39,72 +36,92 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainDecision:
-    """What holds at a moment."""
+    """What the sidecar does with its connections at one moment."""
+
+    ready: bool  # the readiness check passes, on behalf of a successor too
+    accepts_connections: bool
+    closes_idle: bool  # connections are closed after their response, and at once while idle
+    closes_unused: bool  # so are those that have carried no request
+    finished: bool  # the process may exit
 
-    ready: bool  # whether the front is told to send clients here, be it for another process that listens too
-    accepts_connections: bool  # whether new connections are taken
-    closes_idle: bool  # whether connections end after their answer, and those at rest now
-    closes_unused: bool  # those that have carried nothing yet too
-    finished: bool  # whether the process may end
+
+_OPEN = DrainDecision(
+    ready=True, accepts_connections=True, closes_idle=False, closes_unused=False, finished=False
+)
 
 
 class Drain:
-    """The machine.  Orders come from the loop's thread and from the operators' desk's, so each step takes a lock."""
+    """The state machine; the event loop's thread and the admin API's both use it, so that each step takes a lock."""
 
-    def __init__(self, longest_s: float) -> None:
-        """`longest_s`: the longest deadline of a request, seconds."""
+    def __init__(self, longest_deadline_s: float) -> None:
+        """`longest_deadline_s`: the longest deadline that a request may have."""
         self._lock = threading.Lock()
-        self._longest_s = min(longest_s, REQUEST_DEADLINE_MAX_S)
-        self._since = 0.0  # when it was ordered to be emptied, or to end
-        self._succeeded = False  # whether another process takes the new connections
+        self._longest_deadline_s = min(longest_deadline_s, REQUEST_DEADLINE_MAX_S)
+        self._started_at_s = 0.0  # of the drain or the termination
+        self._has_successor = False  # another process accepts the new connections
         self.state = DrainState.STARTING
 
     def mark_started(self) -> None:
-        """It can take requests from now on; what was ordered before holds."""
+        """The sidecar can take requests from now on; a drain ordered during the start stays in force."""
         with self._lock:
             if self.state is DrainState.STARTING:
                 self.state = DrainState.SERVING
 
-    def start_drain(self, now: float) -> DrainState:
-        """Empty it; give what holds from now on.  While it starts or ends it is empty soon anyway."""
+    def start_drain(self, now_s: float) -> DrainState:
+        """Start a drain, unless one runs or the process terminates; return the state afterwards."""
         with self._lock:
             if self.state in (DrainState.SERVING, DrainState.STARTING):
-                self.state, self._since = DrainState.DRAINING, now
+                self.state, self._started_at_s = DrainState.DRAINING, now_s
             return self.state
 
     def cancel_drain(self) -> DrainState:
-        """End of the drain; give what holds from now on.  SIGTERM is not taken back."""
+        """End the drain and serve again; a termination can't be cancelled.  Return the state afterwards."""
         with self._lock:
             if self.state in (DrainState.DRAINING, DrainState.DRAINED):
                 self.state = DrainState.SERVING
             return self.state
 
-    def terminate(self, now: float, succeeded: bool) -> None:
-        """SIGTERM came; `succeeded`: a process beside this one takes what is new."""
+    def terminate(self, now_s: float, has_successor: bool) -> None:
+        """SIGTERM was received; `has_successor`: another process of this sidecar accepts new connections."""
         with self._lock:
             if self.state is not DrainState.TERMINATING:
-                self.state, self._since, self._succeeded = DrainState.TERMINATING, now, succeeded
+                self.state, self._started_at_s = DrainState.TERMINATING, now_s
+                self._has_successor = has_successor
 
     def is_ready(self) -> bool:
-        """Whether the front is told to send clients here: also while another process takes over from this one."""
+        """Whether the readiness check passes: also while a successor takes over from this process."""
         if self.state is DrainState.TERMINATING:
-            return self._succeeded
+            return self._has_successor
         return self.state in (DrainState.STARTING, DrainState.SERVING)
 
-    def decide(self, now: float, held: int) -> DrainDecision:
-        """What holds now, with so many connections of clients."""
+    def decide(self, now_s: float, open_connections: int) -> DrainDecision:
+        """Advance the state machine; `open_connections`: those of clients."""
         with self._lock:
             if self.state in (DrainState.STARTING, DrainState.SERVING):
-                return DrainDecision(True, True, False, False, False)
-            grown = now >= self._since + ACCEPT_AFTER_DRAIN_S or self._succeeded
-            if self.state is not DrainState.TERMINATING:
-                if grown:
-                    self.state = DrainState.DRAINING if held else DrainState.DRAINED
-                return DrainDecision(False, True, True, grown, False)
-            late = now >= self._since + self._longest_s + TERMINATION_GRACE_S
-            lingers = (
-                now < self._since + TERMINATION_GRACE_S
-            )  # what was opened for a request on its way is spared so long
+                return _OPEN
+            accept_time_over = now_s >= self._started_at_s + ACCEPT_AFTER_DRAIN_S or self._has_successor
+            if self.state is DrainState.TERMINATING:
+                return self._decide_termination(now_s, open_connections, accept_time_over)
+            if accept_time_over:
+                self.state = DrainState.DRAINING if open_connections else DrainState.DRAINED
             return DrainDecision(
-                self._succeeded, not grown, True, grown and not lingers, grown and (late or not held)
+                ready=False,
+                accepts_connections=True,
+                closes_idle=True,
+                closes_unused=accept_time_over,
+                finished=False,
             )
+
+    def _decide_termination(
+        self, now_s: float, open_connections: int, accept_time_over: bool
+    ) -> DrainDecision:
+        time_limit_s = self._started_at_s + self._longest_deadline_s + TERMINATION_GRACE_S
+        # A connection opened just before the end may have a request on its way: it is spared for the grace time.
+        spares_unused = now_s < self._started_at_s + TERMINATION_GRACE_S
+        return DrainDecision(
+            ready=self._has_successor,
+            accepts_connections=not accept_time_over,
+            closes_idle=True,
+            closes_unused=accept_time_over and not spares_unused,
+            finished=accept_time_over and (now_s >= time_limit_s or not open_connections),
+        )
--- a/topazbank/operations/handover.py
+++ b/topazbank/operations/handover.py
@@ -1,57 +1,57 @@
-"""One process of a sidecar takes over from another: what listens, and what is known, through a Unix socket.
+"""Takes over the listening sockets and the snapshot of the process that serves as this sidecar now.
 
-The old process listens at a path in $TMPDIR that only its user may open.  The new one connects before it listens for
-clients, and is sent the listening sockets themselves with a snapshot: both then take connections from one queue, so
-none is ever refused, reset or left unread when the old one closes.  The connection stays open as long as both live,
-and its end tells each of the other's.  Where that does not work (no such path, a hung or another version's process, a
-platform without Unix sockets) the new process listens beside the old one by SO_REUSEPORT.
+The old process listens on a Unix socket in $TMPDIR that only its user may open (topazbank.operations.handover_server).
+The new one connects before it listens for clients and receives the listening sockets themselves (SCM_RIGHTS) with a
+snapshot.  Both then accept from one queue, so that no connection is refused or reset when the old process closes its
+copy.  The connection between the two stays open while both run: its end tells each of them that the other has ended.
 
-docs/design/operations.md weighs the ways.
+Where that fails (no socket, a hung process or one of another version, no Unix sockets) the new process starts without a
+hand-over and listens beside the old one by SO_REUSEPORT.  docs/design/operations.md compares the ways.
 """
 
 from __future__ import annotations
 
-import asyncio
 import contextlib
 import logging
 import os
 import socket
 import struct
 import time
-from collections.abc import Callable, Mapping, Sequence
+from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
 
-from topazbank.operations.upgrade import (
-    HEADER_BYTES,
-    InvalidSnapshot,
-    body_length,
-    decode_snapshot,
-    encode_snapshot,
-)
+from topazbank.operations.snapshot import HEADER_BYTES, InvalidSnapshot, body_length, decode_snapshot
 
 log = logging.getLogger(__name__)
 
-_ANSWER_S = 1.0  # what the old process may take to hand over: a hung one is gone without
-_SERVING = b"s"  # the new process's word that it takes requests
-_SOCKETS_MOST = 4
-_CREDENTIALS = struct.Struct("3i")  # SO_PEERCRED's: process, user, group
+SERVING_MESSAGE = b"s"  # the new process tells the old one that it takes requests
+SOCKETS_KEY = "sockets"
+SOCKET_NAMES = ["clients", "peers"]  # in the snapshot, in the order in which the sockets are sent
+_RESPONSE_TIMEOUT_S = 1.0  # a process that hangs is started beside
+_SOCKETS_MAX = 4
+_CREDENTIALS = struct.Struct("3i")  # SO_PEERCRED: process, user, group
+_SOCKET_TIMEOUT_MIN_S = 0.001  # 0 would make the socket non-blocking
 
 
 @dataclass(slots=True)
 class InheritedState:
-    """What a process got from the one before it; empty, it is the first."""
+    """What a process has from its predecessor; empty where there is none."""
 
     client_socket: socket.socket | None = None  # listens for clients
-    gossip_socket: socket.socket | None = None  # hears other sidecars
+    gossip_socket: socket.socket | None = None  # receives other sidecars' datagrams
     snapshot: Mapping[str, Any] = field(default_factory=dict)
-    link: socket.socket | None = None  # open as long as the other lives
+    link: socket.socket | None = None  # open while the predecessor runs
+
+
+class ForeignProcess(PermissionError):
+    """The process at the other end of the Unix socket belongs to another user."""
 
 
 @contextlib.contextmanager
-def _within(path: Path) -> Any:
-    """A name for the path that a Unix socket's address has room for, however long the folder's is."""
+def short_path(path: Path) -> Iterator[str]:
+    """Yield a name of `path` that fits a Unix socket's address (108 bytes), however long the folder's name is."""
     folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{folder}/{path.name}"
@@ -59,182 +59,60 @@
         os.close(folder)
 
 
+def check_same_user(link: socket.socket) -> None:
+    """Raise ForeignProcess unless the process at the other end belongs to this process's user."""
+    credentials = link.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _CREDENTIALS.size)
+    _, user, _ = _CREDENTIALS.unpack(credentials)
+    if user != os.getuid():
+        raise ForeignProcess("the process at the hand-over socket belongs to another user")
+
+
 def take_over(path: Path | None) -> InheritedState:
-    """Take over from the process that serves at this path, if one does; wait for no longer than _ANSWER_S."""
+    """Take over from the process that listens at `path`; return an empty state where none does or it fails.
+
+    Blocks for at most about _RESPONSE_TIMEOUT_S.
+    """
     if path is None or not path.exists():
         return InheritedState()
     link = None
     try:
         link = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        link.settimeout(_ANSWER_S)
-        with _within(path) as name:
+        link.settimeout(_RESPONSE_TIMEOUT_S)
+        with short_path(path) as name:
             link.connect(name)
-        if _is_strange(link):
-            raise PermissionError("another user's process listens there")
+        check_same_user(link)
         return _receive(link)
-    except (OSError, InvalidSnapshot) as fault:
-        log.warning("nothing is taken over from the process before: %s", fault)
+    except (OSError, InvalidSnapshot) as error:
+        log.warning("started without a hand-over from the former process: %s", error)
         if link is not None:
             link.close()
         return InheritedState()
 
 
-def _is_strange(link: socket.socket) -> bool:
-    given = link.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _CREDENTIALS.size)
-    return bool(_CREDENTIALS.unpack(given)[1] != os.getuid())
-
-
 def _receive(link: socket.socket) -> InheritedState:
-    """Sockets first, whatever becomes of the snapshot."""
-    until = time.monotonic() + _ANSWER_S
-    head, fds, _, _ = socket.recv_fds(link, HEADER_BYTES, _SOCKETS_MOST)
-    socks = [socket.socket(fileno=fd) for fd in fds]
+    """Receive the sockets and the snapshot; close the sockets where the snapshot is refused."""
+    deadline_s = time.monotonic() + _RESPONSE_TIMEOUT_S
+    header, descriptors, _, _ = socket.recv_fds(link, HEADER_BYTES, _SOCKETS_MAX)
+    sockets = [socket.socket(fileno=descriptor) for descriptor in descriptors]
     try:
-        head += _exactly(link, HEADER_BYTES - len(head), until)
-        known = decode_snapshot(head, _exactly(link, body_length(head), until))
-        if known.get("sockets") != ["clients", "peers"][: len(socks)] or not socks:
-            raise InvalidSnapshot("not the sockets that it names")
+        header += _read_exactly(link, HEADER_BYTES - len(header), deadline_s)
+        snapshot = decode_snapshot(header, _read_exactly(link, body_length(header), deadline_s))
+        if snapshot.get(SOCKETS_KEY) != SOCKET_NAMES[: len(sockets)] or not sockets:
+            raise InvalidSnapshot("the sockets received are not those that it names")
     except (OSError, InvalidSnapshot):
-        for each in socks:
-            each.close()
+        for sock in sockets:
+            sock.close()
         raise
     link.setblocking(False)
-    return InheritedState(socks[0], socks[1] if len(socks) > 1 else None, known, link)
+    return InheritedState(sockets[0], sockets[1] if len(sockets) > 1 else None, snapshot, link)
 
 
-def _exactly(link: socket.socket, count: int, until: float) -> bytes:
+def _read_exactly(link: socket.socket, count: int, deadline_s: float) -> bytes:
     data = b""
     while len(data) < count:
-        link.settimeout(max(until - time.monotonic(), 0.001))
-        more = link.recv(count - len(data))
-        if not more:
+        link.settimeout(max(deadline_s - time.monotonic(), _SOCKET_TIMEOUT_MIN_S))
+        chunk = link.recv(count - len(data))
+        if not chunk:
             raise InvalidSnapshot("cut short")
-        data += more
+        data += chunk
     return data
-
-
-class HandoverServer:
-    """The side of the process that serves: hands over to the next, and hears whether that lives."""
-
-    def __init__(
-        self,
-        path: Path,
-        sockets: Callable[[], Sequence[socket.socket]],
-        known: Callable[[], Mapping[str, Any]],
-        shared: Callable[[bool], None],
-        taken: Callable[[], None] = lambda: None,
-    ) -> None:
-        """`sockets`: those that listen, clients' first; `shared`: whether another process shares the limits now.
-
-        `taken` is called once that process takes requests.
-        """
-        self._taken = taken
-        self._path = path
-        self._sockets = sockets
-        self._known = known
-        self._shared = shared
-        self._sock: socket.socket | None = None
-        self._link: socket.socket | None = None  # to the process that comes; one at a time, the latest
-        self.has_successor = False  # whether it takes requests
-
-    def start(self, inherited: InheritedState) -> None:
-        """Serve at the path from now on; tell the process before that requests are taken."""
-        self._listen()
-        if inherited.link is not None:
-            with contextlib.suppress(OSError):
-                inherited.link.send(_SERVING)
-            asyncio.get_running_loop().add_reader(inherited.link, self._before_ended, inherited.link)
-
-    def stop(self) -> None:
-        loop = asyncio.get_running_loop()
-        for each in (self._sock, self._link):
-            if each is not None:
-                loop.remove_reader(each)
-                each.close()
-        if self._sock is not None and not self.has_successor:
-            self._path.unlink(missing_ok=True)
-        self._sock = self._link = None
-
-    def _listen(self) -> None:
-        """Listen at the path, in place of whoever did; silently not, where the platform has no Unix sockets."""
-        fresh = self._path.with_name(f"{self._path.name}.{os.getpid()}")
-        try:
-            self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-            self._sock.setblocking(False)
-            with _within(fresh) as name:
-                fresh.unlink(missing_ok=True)
-                self._sock.bind(name)
-            fresh.chmod(0o600)
-            self._sock.listen(4)
-            fresh.replace(self._path)
-            asyncio.get_running_loop().add_reader(self._sock, self._asked)
-        except OSError as fault:
-            log.debug("nothing can be handed over: %s", fault)
-            if self._sock is not None:
-                self._sock.close()
-                self._sock = None
-
-    def _asked(self) -> None:
-        """Another process comes: hand over.  It takes what it gets within its time, or does without."""
-        assert self._sock is not None
-        try:
-            link, _ = self._sock.accept()
-        except OSError:
-            return
-        try:
-            if _is_strange(link):
-                raise PermissionError("another user's process")
-            link.setblocking(False)
-            self._hand(link)
-        except OSError as fault:
-            log.warning("not handed over: %s", fault)
-            link.close()
-            return
-        self._drop_link()
-        self._link = link
-        asyncio.get_running_loop().add_reader(link, self._heard, link)
-        self._shared(True)
-        log.info("handed over to another process")
-
-    def _hand(self, link: socket.socket) -> None:
-        socks = self._sockets()
-        data = encode_snapshot({"sockets": ["clients", "peers"][: len(socks)], **self._known()})
-        link.setsockopt(
-            socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * len(data)
-        )  # it is written at once, or not at all
-        sent = socket.send_fds(link, [data], [each.fileno() for each in socks])
-        if sent < len(data):
-            raise BlockingIOError("the snapshot is longer than the connection takes")
-
-    def _heard(self, link: socket.socket) -> None:
-        """The process that came serves, or has ended: then this one is alone again."""
-        try:
-            word = link.recv(16)
-        except BlockingIOError:
-            return
-        except OSError:
-            word = b""
-        if word:
-            self.has_successor = True
-            self._taken()
-            return
-        self._drop_link()
-        self._shared(False)
-        log.warning("the process that came has ended")
-        if self._sock is not None:  # its path may be in place of this one's
-            asyncio.get_running_loop().remove_reader(self._sock)
-            self._sock.close()
-            self._listen()
-
-    def _drop_link(self) -> None:
-        if self._link is not None:
-            asyncio.get_running_loop().remove_reader(self._link)
-            self._link.close()
-            self._link = None
-        self.has_successor = False
-
-    def _before_ended(self, link: socket.socket) -> None:
-        """The process before has ended, and what it held is this one's."""
-        asyncio.get_running_loop().remove_reader(link)
-        link.close()
-        self._shared(False)
--- /dev/null
+++ b/topazbank/operations/handover_state.py
@@ -0,0 +1,56 @@
+"""What one process of a sidecar tells the next, and its form in the snapshot."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from topazbank.core.endpoint_source import EndpointList
+from topazbank.discovery.list_format import list_to_json, parse_list
+
+log = logging.getLogger(__name__)
+
+
+@dataclass(frozen=True, slots=True)
+class HandoverState:
+    """The state of a process at the time of a hand-over."""
+
+    endpoints: EndpointList | None  # None: the snapshot holds no valid list
+    client_connections: int = 0
+    server_connections: int = 0
+    cluster_state: Mapping[str, Any] | None = None  # None: the sidecar is in no cluster
+
+
+def state_to_json(state: HandoverState) -> dict[str, Any]:
+    """The snapshot's values; their keys are read by other versions of the program and don't change."""
+    values: dict[str, Any] = {"clients": state.client_connections, "nodes": state.server_connections}
+    if state.endpoints is not None:
+        values = {"list": list_to_json(state.endpoints.version, state.endpoints.lines)} | values
+    if state.cluster_state:
+        values["tier"] = state.cluster_state
+    return values
+
+
+def state_from_json(values: Mapping[str, Any]) -> HandoverState:
+    """Read the snapshot's values; what is not valid in them is left out."""
+    cluster_state = values.get("tier")
+    return HandoverState(
+        _endpoints(values.get("list")),
+        _count(values.get("clients")),
+        _count(values.get("nodes")),
+        cluster_state if isinstance(cluster_state, dict) else None,
+    )
+
+
+def _endpoints(value: object) -> EndpointList | None:
+    try:
+        return parse_list(value)
+    except ValueError as error:
+        log.warning("the endpoint list of the former process is invalid: %s", error)
+        return None
+
+
+def _count(value: object) -> int:
+    return value if type(value) is int and value >= 0 else 0
