--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -183,6 +183,7 @@
 
     The old process goes on alone.  A third process takes over from the old one, which then exits by SIGTERM.
     """
+
     async def scenario() -> None:
         async with running(tmp_path) as (sidecars, load, _):
             await sidecars.start()
@@ -226,6 +227,7 @@
 
     Then both are killed, and the socket's path is left behind; a third one starts.
     """
+
     async def scenario() -> None:
         async with running(tmp_path) as (sidecars, _, _):
             await sidecars.start()
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -1,4 +1,4 @@
-"""The operator file: what it may say, and that each complaint names the field and what was wanted."""
+"""The operator file: its defaults, and errors that name the field and what is wanted."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_the_file_that_is_deployed_is_good_and_no_file_means_the_defaults() -> None:
+def test_the_deployed_file_is_valid_and_no_file_means_the_defaults() -> None:
     assert read_operator_config(str(ROOT / "deploy" / "operator.toml")).msgpack_rpc.accepts_clients
     assert read_operator_config(None) == operator_config_from({}) == OperatorConfig()
 
 
 @pytest.mark.parametrize(
-    ("text", "complaint"),
+    ("text", "message"),
     [
         ("msgpack_rpc = 3", "msgpack_rpc: a table is wanted"),
         ("[msgpack_rpc]\nclient = true", "msgpack_rpc.client: not known"),
@@ -65,23 +65,23 @@
         ("[tier]\nname = 7", "tier.name: a text of 200 characters at most is wanted"),
     ],
 )
-def test_a_bad_file_is_named_with_its_field(text: str, complaint: str, tmp_path: Path) -> None:
+def test_an_invalid_file_is_named_with_its_field(text: str, message: str, tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(text, encoding="utf-8")
-    with pytest.raises(ValueError) as bad:
+    with pytest.raises(ValueError) as error:
         read_operator_config(str(path))
-    assert complaint in str(bad.value) and str(bad.value).startswith(str(path))
+    assert message in str(error.value) and str(error.value).startswith(str(path))
 
 
-def test_the_tier_s_key_is_in_no_complaint_and_in_no_picture_of_the_settings() -> None:
-    with pytest.raises(ValueError) as bad:
+def test_the_cluster_key_is_in_no_error_and_in_no_repr_of_the_settings() -> None:
+    with pytest.raises(ValueError) as error:
         operator_config_from({"tier": {"key": "hush" * 20}})
-    assert "tier.key: a text of 64 bytes at most" in str(bad.value) and "hush" not in str(bad.value)
+    assert "tier.key: a text of 64 bytes at most" in str(error.value) and "hush" not in str(error.value)
     assert "hush" not in repr(operator_config_from({"tier": {"key": "hush"}}))
 
 
 @pytest.mark.parametrize(
-    ("changes", "name", "complaint"),
+    ("changes", "name", "message"),
     [
         ({"tier": None}, "", "tier.on: the configuration names no peer_listen"),
         ({"settings": settings()}, "", "tier.on: the settings do not allow messages"),
@@ -93,8 +93,8 @@
         ({"tier": GossipAddresses(("127.0.0.1", 9))}, "desk-7", None),
     ],
 )
-def test_membership_without_what_it_needs_is_told_at_the_start(
-    changes: dict[str, Any], name: str, complaint: str | None
+def test_cluster_membership_without_its_prerequisites_is_refused_at_the_start(
+    changes: dict[str, Any], name: str, message: str | None
 ) -> None:
     here = ("127.0.0.1", 9)
     config = SidecarConfig(
@@ -107,14 +107,14 @@
         GossipAddresses(here, (here,)),
     )
     given = operator_config_from({"tier": {"on": True, "name": name}})
-    if complaint is None:
+    if message is None:
         check_cluster_config(replace(config, **changes), given)
         return
-    with pytest.raises(ValueError, match=complaint):
+    with pytest.raises(ValueError, match=message):
         check_cluster_config(replace(config, **changes), given)
 
 
-def test_a_keeper_that_no_member_is_is_told_at_the_start() -> None:
+def test_a_lease_server_that_is_no_member_is_refused_at_the_start() -> None:
     here = ("127.0.0.1", 9)
     given = settings(limits={"gossip": True})
     config = SidecarConfig(
@@ -128,35 +128,35 @@
     )
 
 
-def test_a_bad_tier_ends_the_start_with_one_line_and_code_2(tmp_path: Path) -> None:
+def test_an_invalid_cluster_table_ends_the_start_with_one_line_and_exit_code_2(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
-    for text, complaint in (("on = 'yes'", "tier.on"), ("on = true", "peer_listen")):
+    for text, message in (("on = 'yes'", "tier.on"), ("on = true", "peer_listen")):
         path.write_text(f"[tier]\n{text}", encoding="utf-8")
         environ = os.environ | {"RELAY_CONFIG": str(ROOT / "deploy" / "example.json")}
         command = [sys.executable, "-m", "topazbank", "--operator", str(path)]
-        ended = subprocess.run(command, cwd=ROOT, env=environ, capture_output=True, text=True, timeout=30)
-        assert ended.returncode == 2 and complaint in ended.stderr
-        assert ended.stderr.startswith("bad configuration: ") and ended.stderr.count("\n") == 1
+        process = subprocess.run(command, cwd=ROOT, env=environ, capture_output=True, text=True, timeout=30)
+        assert process.returncode == 2 and message in process.stderr
+        assert process.stderr.startswith("bad configuration: ") and process.stderr.count("\n") == 1
 
 
-def test_an_entry_s_word_goes_before_its_pod_s_and_that_before_the_default() -> None:
+def test_the_protocol_of_an_entry_precedes_its_pods_and_that_the_default() -> None:
     text = "[msgpack_rpc]\nnodes = true\n[nodes.pods]\n7 = 'msgpack-rpc'"
     operator = operator_config_from(tomllib.loads(text))
-    dialects = ProtocolDefaults(operator.default_protocol, operator.pod_protocols)
+    protocols = ProtocolDefaults(operator.default_protocol, operator.pod_protocols)
     in_pod, elsewhere = ServerDescription("a", cell=7), ServerDescription("b", cell=8)
-    assert dialects.of(DiscoveredServer(in_pod, None)) == MSGPACK_RPC
-    assert dialects.of(DiscoveredServer(elsewhere, None)) == HTTP
-    assert dialects.of(DiscoveredServer(in_pod, None, HTTP)) == HTTP
-    assert dialects.of(DiscoveredServer(elsewhere, None, "grpc")) == "grpc"
+    assert protocols.of(DiscoveredServer(in_pod, None)) == MSGPACK_RPC
+    assert protocols.of(DiscoveredServer(elsewhere, None)) == HTTP
+    assert protocols.of(DiscoveredServer(in_pod, None, HTTP)) == HTTP
+    assert protocols.of(DiscoveredServer(elsewhere, None, "grpc")) == "grpc"
 
 
-def test_a_secret_is_in_no_complaint_and_in_no_picture_of_the_settings(tmp_path: Path) -> None:
+def test_credentials_are_in_no_error_and_in_no_repr_of_the_settings(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text("[membership.zookeeper]\nsecret = 'hush'", encoding="utf-8")
-    with pytest.raises(ValueError) as bad:
+    with pytest.raises(ValueError) as error:
         read_operator_config(str(path))
-    assert "user:password is wanted" in str(bad.value) and "hush" not in str(bad.value)
-    good = operator_config_from(
+    assert "user:password is wanted" in str(error.value) and "hush" not in str(error.value)
+    operator = operator_config_from(
         tomllib.loads("[membership.zookeeper]\nsecret = 'me:hush'\nmembers = ['a:1']")
     )
-    assert good.discovery.zookeeper.credentials == "me:hush" and "hush" not in repr(good)
+    assert operator.discovery.zookeeper.credentials == "me:hush" and "hush" not in repr(operator)
--- a/topazbank/__main__.py
+++ b/topazbank/__main__.py
@@ -1,7 +1,10 @@
-"""Starts one sidecar: reads its configuration, serves, and drains on SIGTERM.
+"""The program: reads the configuration, serves as one sidecar, and shuts down gracefully on SIGTERM.
 
-Run as `python -m topazbank`, with RELAY_CONFIG naming the configuration.  A bad one ends the start with one
-line on standard error and exit code 2.  SIGHUP rereads it: discovery may have moved; all else stays.
+    python -m topazbank [--operator FILE]
+
+RELAY_CONFIG names the platform's configuration.  An invalid one ends the start with one line on standard error and exit
+code 2.  SIGHUP rereads both files: the address of discovery and the sources of the endpoint list may change, all else
+takes effect at the next start.
 """
 
 from __future__ import annotations
@@ -14,6 +17,7 @@
 import signal
 import sys
 from collections.abc import Sequence
+from dataclasses import dataclass
 from types import FrameType
 
 from topazbank.config import CONFIG_ERRORS, check_cluster_config, read_config
@@ -24,128 +28,150 @@
 
 log = logging.getLogger(__name__)
 
-# An asyncio transport refers to itself, so what a closed connection leaves is freed by full collections
-# alone.  They are cheap here, and by the defaults come once in a minute and 2 MB or so.
-_COLLECTED = (700, 5, 2)
-_LOG_LINES = 50  # a second at most
+EXIT_CANNOT_SERVE = 1
+EXIT_BAD_CONFIGURATION = 2
+# A closed connection's asyncio transport refers to itself and is freed only by a full collection.  With the defaults
+# one runs about once a minute; after gc.freeze() it is cheap enough to run often.
+_GC_THRESHOLDS = (700, 5, 2)
+_LOG_LINES_PER_SECOND_MAX = 50
 
 
 class LogRateLimiter(logging.Filter):
-    """Lets through so many lines a second: guards against junk from outside that would fill the log."""
+    """Drops log lines over a rate, as invalid input from outside could fill the disk with them."""
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, lines_per_second_max: int) -> None:
         super().__init__()
-        self._most = most
+        self._lines_per_second_max = lines_per_second_max
         self._second = 0
         self._lines = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        if int(record.created) != self._second:
-            self._second, self._lines = int(record.created), 0
+        """Whether the line is within the rate."""
+        second = int(record.created)
+        if second != self._second:
+            self._second, self._lines = second, 0
         self._lines += 1
-        return self._lines <= self._most
-
+        return self._lines <= self._lines_per_second_max
 
-def start_log() -> None:
-    handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(logging.Formatter("%(asctime)s %(name)s %(message)s"))
-    handler.addFilter(LogRateLimiter(_LOG_LINES))
-    logging.basicConfig(level=logging.INFO, handlers=[handler])
 
-
-class Early:
-    """SIGHUP before there is anything to move: kept until there is, as the files may have been read before it came."""
+class EarlyReload:
+    """Remembers a SIGHUP that arrives before the sidecar runs: it may have come after the files were read."""
 
     def __init__(self) -> None:
-        self.came = False
+        self.requested = False
 
-    def note(self, number: int, frame: FrameType | None) -> None:
-        self.came = True
+    def on_signal(self, number: int, frame: FrameType | None) -> None:
+        """Signal handler."""
+        self.requested = True
 
 
-async def serve(
-    config: SidecarConfig,
-    operator: OperatorConfig,
-    operator_file: str | None,
-    wiring: Components,
-    early: Early,
-) -> None:
-    stop = asyncio.Event()
-    loop = asyncio.get_running_loop()
-    for each in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(each, stop.set)
-    service = SidecarService(config, wiring)
-    running = Running(service.sidecar, operator, operator_file)
-    loop.add_signal_handler(signal.SIGHUP, running.reread_soon)
-    if early.came:
-        running.reread_soon()
-    await service.run(stop)
+@dataclass(frozen=True, slots=True)
+class Startup:
+    """What the program has read and built before it serves."""
 
+    config: SidecarConfig
+    operator: OperatorConfig
+    operator_file: str | None
+    components: Components
 
-class Running:
-    """The sidecar and the operator's settings that it runs by."""
+
+class Reloader:
+    """Rereads the configuration while the sidecar runs."""
 
     def __init__(self, sidecar: Sidecar, operator: OperatorConfig, operator_file: str | None) -> None:
-        self.sidecar = sidecar
+        self._sidecar = sidecar
         self._operator = operator
         self._operator_file = operator_file
-        self._rereads = False  # whether the next turn of the loop rereads the files
-
-    def reread_soon(self) -> None:
-        """Reread the files in the loop's next turn, once for all signals that came until then."""
-        if not self._rereads:
-            self._rereads = True
-            asyncio.get_running_loop().call_soon(self._reread_now)
+        self._scheduled = False
 
-    def _reread_now(self) -> None:
-        self._rereads = False
-        self.reread()
+    def schedule(self) -> None:
+        """Reload in the event loop's next iteration, once for all signals that arrive before it."""
+        if not self._scheduled:
+            self._scheduled = True
+            asyncio.get_running_loop().call_soon(self._run_scheduled)
 
-    def reread(self) -> None:
-        """Turn to the files as they are now: discovery may have moved, and the list's sources; all else stays.
+    def _run_scheduled(self) -> None:
+        self._scheduled = False
+        self.reload()
 
-        A bad file changes nothing.
-        """
+    def reload(self) -> None:
+        """Apply what may change at run time; an invalid file changes nothing and is logged."""
         try:
             operator = read_operator_config(self._operator_file)
             config = read_config(os.environ)
-        except CONFIG_ERRORS as bad:
-            log.error("the configuration stays as it was: %s", str(bad).replace("\n", " "))
+        except CONFIG_ERRORS as error:
+            log.error("the configuration stays as it was: %s", _one_line(error))
             return
         if operator.discovery == self._operator.discovery:
-            self.sidecar.move_discovery(config.discovery)
+            self._sidecar.move_discovery(config.discovery)
         else:
-            self.sidecar.replace_source(config, build_components(operator))
+            self._sidecar.replace_source(config, build_components(operator))
         self._operator = operator
 
 
 def main(argv: Sequence[str] | None = None) -> int:
+    """Run the program; return its exit code."""
+    arguments = _parse_arguments(argv)
+    _configure_logging()
+    early_reload = EarlyReload()
+    signal.signal(signal.SIGHUP, early_reload.on_signal)
+    try:
+        startup = _prepare(arguments.operator)
+    except (*CONFIG_ERRORS, ImportError) as error:  # ImportError: a library of what is switched on is missing
+        print(f"bad configuration: {_one_line(error)}", file=sys.stderr)
+        return EXIT_BAD_CONFIGURATION
+    gc.freeze()  # what is loaded by now stays, and collections need not look at it
+    gc.set_threshold(*_GC_THRESHOLDS)
+    try:
+        asyncio.run(_serve(startup, early_reload))
+    except OSError as error:
+        print(f"can't serve: {error}", file=sys.stderr)
+        return EXIT_CANNOT_SERVE
+    return 0
+
+
+def _parse_arguments(argv: Sequence[str] | None) -> argparse.Namespace:
     parser = argparse.ArgumentParser(
         prog="topazbank", description="One sidecar, as RELAY_CONFIG describes it."
     )
     parser.add_argument(
         "--operator", metavar="FILE", help="the operator file (TOML); without one, the defaults"
     )
-    given = parser.parse_args(argv)
-    start_log()
-    early = Early()
-    signal.signal(signal.SIGHUP, early.note)
-    try:
-        operator = read_operator_config(given.operator)
-        config = read_config(os.environ)
-        wiring = build_components(operator)
-        check_cluster_config(config, operator)
-    except (*CONFIG_ERRORS, ImportError) as bad:  # of a part that is on, and whose library is not installed
-        print(f"bad configuration: {bad}".replace("\n", " "), file=sys.stderr)
-        return 2
-    gc.freeze()  # what is loaded by now stays; collections look at requests alone
-    gc.set_threshold(*_COLLECTED)
-    try:
-        asyncio.run(serve(config, operator, given.operator, wiring, early))
-    except OSError as fault:
-        print(f"can't serve: {fault}", file=sys.stderr)
-        return 1
-    return 0
+    return parser.parse_args(argv)
+
+
+def _configure_logging() -> None:
+    handler = logging.StreamHandler(sys.stderr)
+    handler.setFormatter(logging.Formatter("%(asctime)s %(name)s %(message)s"))
+    handler.addFilter(LogRateLimiter(_LOG_LINES_PER_SECOND_MAX))
+    logging.basicConfig(level=logging.INFO, handlers=[handler])
+
+
+def _prepare(operator_file: str | None) -> Startup:
+    """Read and check both files, and build the components; raise one of CONFIG_ERRORS or ImportError."""
+    operator = read_operator_config(operator_file)
+    config = read_config(os.environ)
+    components = build_components(operator)
+    check_cluster_config(config, operator)
+    return Startup(config, operator, operator_file, components)
+
+
+async def _serve(startup: Startup, early_reload: EarlyReload) -> None:
+    """Serve until SIGTERM or SIGINT, then shut down gracefully."""
+    stop = asyncio.Event()
+    loop = asyncio.get_running_loop()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(number, stop.set)
+    service = SidecarService(startup.config, startup.components)
+    reloader = Reloader(service.sidecar, startup.operator, startup.operator_file)
+    loop.add_signal_handler(signal.SIGHUP, reloader.schedule)
+    if early_reload.requested:
+        reloader.schedule()
+    await service.run(stop)
+
+
+def _one_line(error: BaseException) -> str:
+    return str(error).replace("\n", " ")
 
 
 if __name__ == "__main__":
--- a/topazbank/config.py
+++ b/topazbank/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a sidecar: its environment and its configuration file."""
+"""The platform's configuration of a sidecar: environment variables and the JSON file that RELAY_CONFIG names."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 from collections.abc import Mapping
 from typing import Any
 
+from topazbank.config_table import ConfigError
 from topazbank.core.driver import SidecarConfig
 from topazbank.core.endpoint_source import EndpointList
 from topazbank.core.gossip_transport import GossipAddresses
@@ -14,83 +15,105 @@
 from topazbank.operator_config import OperatorConfig
 from topazbank.platform_names import settings_from_wire
 
-CONFIG_ERRORS = (OSError, ValueError, RecursionError)  # what reading one may raise
-_SOCKETS = 1024  # unless the configuration tells
+# What reading a configuration may raise; the JSON parser raises RecursionError for deeply nested input.
+CONFIG_ERRORS = (OSError, ValueError, RecursionError)
+DESCRIPTORS_MAX_DEFAULT = 1024
+_SEED_BASE = 16
 
 
 def read_config(environ: Mapping[str, str]) -> SidecarConfig:
-    """Read what the sidecar is told; raise ValueError or OSError, saying what is wrong."""
-    path = environ.get("RELAY_CONFIG")
-    if not path:
-        raise ValueError("RELAY_CONFIG names no file")
-    with open(path, encoding="utf-8") as file:
-        given = json.load(file)
-    if not isinstance(given, dict):
-        raise ValueError("an object is needed")
-    known = given.get("known")
+    """Read the environment and the file that it names; raise ValueError naming the field, or OSError."""
+    values = _read_file(environ)
+    cached_list = values.get("known")
     return SidecarConfig(
-        listen=_address(environ.get("RELAY_LISTEN") or given.get("listen"), "listen"),
-        discovery=_address(given.get("discovery") or environ.get("RELAY_DISCOVERY"), "discovery"),
-        seed=_seed(given.get("seed", "0")),
-        sockets=_sockets(given.get("limits")),
-        settings=settings_from_wire(given.get("settings")),
-        known=EndpointList(0, True, []) if known is None else parse_list(known),
-        tier=_tier(given),
-        operator=_operator(environ.get("RELAY_OPERATOR") or given.get("operator")),
+        listen=_address(environ.get("RELAY_LISTEN") or values.get("listen"), "listen"),
+        discovery=_address(values.get("discovery") or environ.get("RELAY_DISCOVERY"), "discovery"),
+        seed=_seed(values.get("seed", "0")),
+        sockets=_descriptors_max(values.get("limits")),
+        settings=settings_from_wire(values.get("settings")),
+        known=EndpointList(0, True, []) if cached_list is None else parse_list(cached_list),
+        tier=_gossip_addresses(values),
+        operator=_optional_address(environ.get("RELAY_OPERATOR") or values.get("operator"), "operator"),
         folder=environ.get("TMPDIR") or None,
     )
 
 
 def check_cluster_config(config: SidecarConfig, operator: OperatorConfig) -> None:
-    """Whether membership among the sidecars, where it is on, has what it needs; raise ValueError, naming the field."""
-    given = operator.cluster
-    if not given.enabled:
+    """Check that cluster membership, if enabled, has what it needs of both files; raise ConfigError."""
+    cluster = operator.cluster
+    if not cluster.enabled:
         return
     if config.tier is None:
-        raise ValueError("tier.on: the configuration names no peer_listen, where other sidecars are heard")
+        raise ConfigError("tier.on", "the configuration names no peer_listen, the address for other sidecars")
     if not config.settings.limits.gossip:
-        raise ValueError("tier.on: the settings do not allow messages between sidecars (bounds.mayTell)")
-    if not given.name and not config.tier.members:
-        raise ValueError("tier.name: wanted where the configuration names no peers, whose numbers are names")
-    names = {str(number) for number in range(len(config.tier.members))}
-    for each in operator.budgets:
-        for keeper in each.budget.keepers:
-            if not given.name and keeper not in names:
-                raise ValueError(f"budgets.{each.budget.name}.keepers: {keeper!r:.40} is no number in peers")
+        raise ConfigError("tier.on", "the settings do not allow messages between sidecars (bounds.mayTell)")
+    if not cluster.name and not config.tier.members:
+        raise ConfigError(
+            "tier.name", "wanted where the configuration names no peers, whose numbers are names"
+        )
+    if not cluster.name:
+        _check_lease_servers(operator, {str(number) for number in range(len(config.tier.members))})
+
 
+def _check_lease_servers(operator: OperatorConfig, member_names: set[str]) -> None:
+    """Check that each quota's lease servers are members of the cluster; raise ConfigError."""
+    for binding in operator.budgets:
+        for server in binding.budget.keepers:
+            if server not in member_names:
+                field = f"budgets.{binding.budget.name}.keepers"
+                raise ConfigError(field, f"{server!r:.40} is no number in peers")
 
-def _operator(value: Any) -> Address | None:
-    return None if value is None else _address(value, "operator")
+
+def _read_file(environ: Mapping[str, str]) -> dict[str, Any]:
+    path = environ.get("RELAY_CONFIG")
+    if not path:
+        raise ValueError("RELAY_CONFIG names no file")
+    with open(path, encoding="utf-8") as file:
+        values = json.load(file)
+    if not isinstance(values, dict):
+        raise ValueError("an object is needed")
+    return values
 
 
-def _tier(given: dict[str, Any]) -> GossipAddresses | None:
-    if given.get("peer_listen") is None:
+def _gossip_addresses(values: dict[str, Any]) -> GossipAddresses | None:
+    if values.get("peer_listen") is None:
         return None
-    members = given.get("peers", [])
-    if not isinstance(members, list):
-        raise ValueError("peers: a list of addresses is needed")
-    reaches_all = given.get("peers_all")
+    peers = values.get("peers", [])
+    if not isinstance(peers, list):
+        raise ConfigError("peers", "a list of addresses is needed")
     return GossipAddresses(
-        listen=_address(given["peer_listen"], "peer_listen"),
-        members=tuple(_address(each, f"peers[{number}]") for number, each in enumerate(members)),
-        all=None if reaches_all is None else _address(reaches_all, "peers_all"),
+        listen=_address(values["peer_listen"], "peer_listen"),
+        members=tuple(_address(peer, f"peers[{number}]") for number, peer in enumerate(peers)),
+        all=_optional_address(values.get("peers_all"), "peers_all"),
     )
 
 
-def _address(value: Any, name: str) -> Address:
-    if not isinstance(value, str):
-        raise ValueError(f"{name}: an address is needed")
-    return parse_address(value)
+def _optional_address(value: Any, field: str) -> Address | None:
+    return None if value is None else _address(value, field)
 
 
-def _seed(value: Any) -> int:
-    if isinstance(value, str):
-        return int(value, 16)
-    raise ValueError("seed: hex digits are needed")
+def _address(value: Any, field: str) -> Address:
+    if not isinstance(value, str):
+        raise ConfigError(field, "an address is needed")
+    try:
+        return parse_address(value)
+    except ValueError as error:
+        raise ConfigError(field, str(error)) from None
 
 
-def _sockets(limits: Any) -> int:
-    value = limits.get("sockets", _SOCKETS) if isinstance(limits, dict) else _SOCKETS
+def _seed(value: Any) -> int:
+    try:
+        if isinstance(value, str):
+            return int(value, _SEED_BASE)
+    except ValueError:
+        pass
+    raise ConfigError("seed", "hex digits are needed")
+
+
+def _descriptors_max(limits: Any) -> int:
+    if not isinstance(limits, dict):
+        return DESCRIPTORS_MAX_DEFAULT
+    value = limits.get("sockets", DESCRIPTORS_MAX_DEFAULT)
     if type(value) is not int or value < 1:
-        raise ValueError("limits.sockets: a whole number is needed")
+        raise ConfigError("limits.sockets", "a whole number is needed")
     return value
--- a/topazbank/wiring.py
+++ b/topazbank/wiring.py
@@ -1,4 +1,4 @@
-"""Puts a sidecar's parts together, as its operator file says; what is off is not imported."""
+"""Builds the components of a sidecar from the operator file; the modules of what is switched off are not imported."""
 
 from __future__ import annotations
 
@@ -23,119 +23,148 @@
     REGISTRY,
     ZOOKEEPER,
     DiscoveryConfig,
+    MsgpackRpcConfig,
     OperatorConfig,
     PlanningConfig,
     ZooKeeperConfig,
 )
 
+UpstreamClients = Callable[[Settings, ConnectionLimit], Mapping[str, UpstreamClient]]
+ListCallback = Callable[[EndpointList | None], None]
+
+_SEED_MASK = 0xFFFFFFFFFFFFFFFF
+
 
 def build_components(operator: OperatorConfig) -> Components:
-    """The parts that the operator file asks for; raise ImportError where one's library is not installed."""
-    rpc = operator.msgpack_rpc
-    binary: ConnectionFactory | None = None
-    if rpc.accepts_clients:
-        from topazbank.msgpackrpc.server import RpcConnection
+    """Build what the operator file switches on; raise ImportError where its library is not installed."""
+    trace_lines = operator.trace_lines_per_second
+    return Components(
+        HttpConnection,
+        _msgpack_rpc_connection(operator.msgpack_rpc),
+        _upstream_clients(operator.msgpack_rpc),
+        partial(_endpoint_source, operator.discovery),
+        operator.status_page_enabled,
+        ProtocolDefaults(operator.default_protocol, operator.pod_protocols),
+        partial(_planning_client, operator.planning) if operator.planning.planners else None,
+        partial(Trace, lines_per_second=trace_lines) if trace_lines else None,
+        partial(_cluster_membership, operator) if operator.cluster.enabled else None,
+    )
+
+
+def _msgpack_rpc_connection(config: MsgpackRpcConfig) -> ConnectionFactory | None:
+    if not config.accepts_clients:
+        return None
+    from topazbank.msgpackrpc.server import RpcConnection
+
+    return RpcConnection
 
-        binary = RpcConnection
 
-    if rpc.calls_servers:
-        import topazbank.msgpackrpc.client  # noqa: F401  # now, so that a library that lacks ends the start
+def _upstream_clients(config: MsgpackRpcConfig) -> UpstreamClients:
+    if config.calls_servers:
+        import topazbank.msgpackrpc.client  # noqa: F401  # a missing library ends the start, not a request
 
-    def carriers(settings: Settings, slots: ConnectionLimit) -> Mapping[str, UpstreamClient]:
+    def build(settings: Settings, connection_limit: ConnectionLimit) -> Mapping[str, UpstreamClient]:
         limits, columns = settings.limits, settings.report_columns
-        dial_s, idle_s = limits.connect_timeout_us / 1e6, limits.idle_timeout_us / 1e6
-        made: dict[str, UpstreamClient] = {HTTP: HttpUpstreamClient(dial_s, idle_s, slots, columns)}
-        if rpc.calls_servers:
+        connect_timeout_s, idle_timeout_s = limits.connect_timeout_us / 1e6, limits.idle_timeout_us / 1e6
+        clients: dict[str, UpstreamClient] = {
+            HTTP: HttpUpstreamClient(connect_timeout_s, idle_timeout_s, connection_limit, columns)
+        }
+        if config.calls_servers:
             from topazbank.msgpackrpc.client import RpcUpstreamClient, Sharing
 
             sharing = Sharing(
-                rpc.unsafe_calls_per_connection, rpc.safe_calls_per_connection, rpc.connections_per_server
+                config.unsafe_calls_per_connection,
+                config.safe_calls_per_connection,
+                config.connections_per_server,
             )
-            made[MSGPACK_RPC] = RpcUpstreamClient(dial_s, idle_s, slots, columns, sharing)
-        return made
+            clients[MSGPACK_RPC] = RpcUpstreamClient(
+                connect_timeout_s, idle_timeout_s, connection_limit, columns, sharing
+            )
+        return clients
 
-    dialects = ProtocolDefaults(operator.default_protocol, operator.pod_protocols)
-    return Components(
-        HttpConnection,
-        binary,
-        carriers,
-        partial(_source, operator.discovery),
-        operator.status_page_enabled,
-        dialects,
-        partial(_forwarding, operator.planning) if operator.planning.planners else None,
-        partial(Trace, lines_per_second=operator.trace_lines_per_second)
-        if operator.trace_lines_per_second
-        else None,
-        partial(_tier_part, operator) if operator.cluster.enabled else None,
-    )
+    return build
 
 
-def _forwarding(given: PlanningConfig, config: SidecarConfig, now: Callable[[], int]) -> RequestObserver:
+def _planning_client(
+    planning: PlanningConfig, config: SidecarConfig, now_us: Callable[[], int]
+) -> RequestObserver:
     from topazbank.planning.forwarder import PlanningClient
 
-    name = given.name or f"f-{config.seed & 0xFFFFFFFFFFFFFFFF:016x}"
-    return PlanningClient(name, given.planners, now, config.seed)
+    name = planning.name or f"f-{config.seed & _SEED_MASK:016x}"
+    return PlanningClient(name, planning.planners, now_us, config.seed)
 
 
-def _tier_part(
-    given: OperatorConfig, config: SidecarConfig, others: FleetSize, known: Mapping[str, Any]
+def _cluster_membership(
+    operator: OperatorConfig, config: SidecarConfig, fleet_size: FleetSize, inherited: Mapping[str, Any]
 ) -> ClusterMembership:
     from topazbank.cluster.service import ClusterService
 
-    service = ClusterService(given.cluster, config, others, known)
-    if given.budgets:
+    service = ClusterService(operator.cluster, config, fleet_size, inherited)
+    if operator.budgets:
         from topazbank.quota.service import QuotaService
 
         service.budgets = QuotaService(
-            [(each.budget, each.of, each.tenant) for each in given.budgets],
+            [(binding.budget, binding.of, binding.tenant) for binding in operator.budgets],
             service.name,
             service.address_of,
-            lambda: time.monotonic_ns() // 1000,
+            _monotonic_us,
             config.folder,
-            given.cluster.key.encode(),
-            given.ledger,
-            given.store,
+            operator.cluster.key.encode(),
+            operator.ledger,
+            operator.store,
         )
     return service
 
 
-Hear = Callable[[EndpointList | None], None]
+def _monotonic_us() -> int:
+    return time.monotonic_ns() // 1000
 
 
-def _source(membership: DiscoveryConfig, config: SidecarConfig, told: Hear) -> EndpointSource:
+def _endpoint_source(
+    discovery: DiscoveryConfig, config: SidecarConfig, on_list: ListCallback
+) -> EndpointSource:
     return build_endpoint_source(
-        membership, config.discovery, told, config.known.version, config.seed, config.others
+        discovery, config.discovery, on_list, config.known.version, config.seed, config.others
     )
 
 
 def build_endpoint_source(
-    membership: DiscoveryConfig,
+    discovery: DiscoveryConfig,
     registry: Address | None,
-    told: Hear,
+    on_list: ListCallback,
     version: int = 0,
     seed: int | None = None,
-    others: FleetSize | None = None,
+    fleet_size: FleetSize | None = None,
 ) -> EndpointSource:
-    """The sources that an operator file names; the registry alone is itself, as the platform has it."""
-    makers: dict[str, Callable[[Hear], EndpointSource]] = {
-        REGISTRY: partial(_registry, registry, version, others, seed),
-        ZOOKEEPER: partial(_zookeeper, membership.zookeeper, seed),
+    """Build the source of the endpoint list; several are combined by their precedence.
+
+    `on_list` is called with each list, or with None after a failed poll; `version` is that of the cached list.
+    """
+    factories: dict[str, Callable[[ListCallback], EndpointSource]] = {
+        REGISTRY: partial(_registry_source, registry, version, fleet_size, seed),
+        ZOOKEEPER: partial(_zookeeper_source, discovery.zookeeper, seed),
     }
-    if membership.sources == (REGISTRY,):
-        return makers[REGISTRY](told)
-    return CombinedSource({name: makers[name] for name in membership.sources}, told)
+    if discovery.sources == (REGISTRY,):
+        return factories[REGISTRY](on_list)
+    return CombinedSource({name: factories[name] for name in discovery.sources}, on_list)
 
 
-def _registry(
-    address: Address | None, version: int, others: FleetSize | None, seed: int | None, told: Hear
+def _registry_source(
+    address: Address | None,
+    version: int,
+    fleet_size: FleetSize | None,
+    seed: int | None,
+    on_list: ListCallback,
 ) -> EndpointSource:
     assert address is not None
-    return RegistrySource(address, version, told, others, seed)
+    return RegistrySource(address, version, on_list, fleet_size, seed)
 
 
-def _zookeeper(given: ZooKeeperConfig, seed: int | None, told: Hear) -> EndpointSource:
+def _zookeeper_source(zookeeper: ZooKeeperConfig, seed: int | None, on_list: ListCallback) -> EndpointSource:
     from topazbank.discovery.zkclient import Ensemble
     from topazbank.discovery.zookeeper import ZooKeeperSource
 
-    ensemble = Ensemble(given.addresses, given.session_timeout_s, given.chroot, given.credentials)
-    return ZooKeeperSource(ensemble, given.path, told, seed)
+    ensemble = Ensemble(
+        zookeeper.addresses, zookeeper.session_timeout_s, zookeeper.chroot, zookeeper.credentials
+    )
+    return ZooKeeperSource(ensemble, zookeeper.path, on_list, seed)
