--- a/testbed/fleet/simulated.py
+++ b/testbed/fleet/simulated.py
@@ -28,7 +28,8 @@
 )
 from topazbank.balancing.settings import Settings
 from topazbank.planning.plan import Plan, PlanFollower
-from topazbank.planning.planner import PlannedServer, Planner
+from topazbank.planning.planner import Planner
+from topazbank.planning.server_model import PlannedServer
 from topazbank.planning.summary import SummaryCollector, SummaryReport
 
 S = 1_000_000
--- a/tests/planning/test_planner.py
+++ b/tests/planning/test_planner.py
@@ -9,9 +9,10 @@
 from helpers import START
 
 from topazbank.cluster.member import Generations
-from topazbank.planning import planner as planning
+from topazbank.planning import forwarder_table, subset
 from topazbank.planning.plan import LEASE_US_MAX, US_PER_S
-from topazbank.planning.planner import PlannedServer, Planner
+from topazbank.planning.planner import Planner
+from topazbank.planning.server_model import PlannedServer
 from topazbank.planning.summary import (
     SERVERS_MAX,
     QuantileSketch,
@@ -128,7 +129,7 @@
     for number in range(4):
         nodes = {"n-2": use(ejected=number < 3)}
         made.handle_summary(START, replace(SUMMARY, forwarder=f"f-{number}", servers=nodes))
-    made._weigh(START + US_PER_S)
+    made._update_weights(START + US_PER_S)
     plan = made.handle_summary(START + US_PER_S, replace(SUMMARY, forwarder="f-9"))
     assert plan is not None and plan.shares["n-2"] is not None and plan.shares["n-2"].weight == 0.0
 
@@ -151,7 +152,9 @@
 
 
 def test_too_many_summaries_are_shed_and_all_are_asked_less_often(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(planning, "SUMMARIES_A_SECOND", 200.0)  # as 5,000 forwarders are to a core
+    monkeypatch.setattr(
+        forwarder_table, "SUMMARIES_PER_SECOND_MAX", 200.0
+    )  # as 5,000 forwarders are to a core
     made = leading()
     answered = 0
     for number in range(500):
@@ -173,16 +176,18 @@
 
 
 def test_forwarders_that_are_gone_are_forgotten_and_there_is_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(planning, "FORWARDERS_MOST", 3)
+    monkeypatch.setattr(forwarder_table, "FORWARDERS_MAX", 3)
     made = leading()
     for number in range(5):
         made.handle_summary(START, replace(SUMMARY, forwarder=f"f-{number}"))
-    assert set(made._forwarders) == {"f-0", "f-1", "f-2"} and made.summaries_shed == 2
+    assert set(made._forwarders.forwarders) == {"f-0", "f-1", "f-2"} and made.summaries_shed == 2
     assert (
-        made.handle_summary(START + planning.FORGOTTEN + US_PER_S, replace(SUMMARY, forwarder="f-4"))
+        made.handle_summary(
+            START + forwarder_table.FORGET_AFTER_US + US_PER_S, replace(SUMMARY, forwarder="f-4")
+        )
         is not None
     )
-    assert set(made._forwarders) == {"f-4"}
+    assert set(made._forwarders.forwarders) == {"f-4"}
 
 
 def test_subsets_are_bounded_and_even_and_move_little() -> None:
@@ -190,9 +195,9 @@
     made = leading(members=many)
     names = [f"f-{number}" for number in range(300)]
     subsets = {name: set(made._subset(name)) for name in names}
-    assert {len(each) for each in subsets.values()} == {planning.SUBSET}
+    assert {len(each) for each in subsets.values()} == {subset.SUBSET_SIZE}
     counts = [sum(node in each for each in subsets.values()) for node in many]
-    assert min(counts) > 5 and max(counts) < 3 * planning.SUBSET
+    assert min(counts) > 5 and max(counts) < 3 * subset.SUBSET_SIZE
     del many["n-7"]
     made.update_servers(START, many)
     changed = sum(len(subsets[name] - set(made._subset(name))) for name in names)
--- a/topazbank/planning/server.py
+++ b/topazbank/planning/server.py
@@ -24,7 +24,8 @@
 from topazbank.core.net import Address
 from topazbank.operator_config import ZOOKEEPER, OperatorConfig, read_operator_config
 from topazbank.planning.leadership import RankedLeadership
-from topazbank.planning.planner import PlannedServer, Planner
+from topazbank.planning.planner import Planner
+from topazbank.planning.server_model import PlannedServer
 from topazbank.planning.wire import (
     DOCUMENT_BYTES_MAX,
     STATUS_METHOD,
