--- a/benchmarks/planners.py
+++ b/benchmarks/planners.py
@@ -28,7 +28,7 @@
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, SourceStatus
 from topazbank.core.net import Address, parse_address
 from topazbank.planning.forwarder import PlanningClient
-from topazbank.planning.server import PlannerServer
+from topazbank.planning.planner_server import PlannerServer
 
 NODES = 15
 PROCESSES = 4
--- a/testbed/fleet/harness.py
+++ b/testbed/fleet/harness.py
@@ -34,9 +34,9 @@
     ZooKeeperConfig,
 )
 from topazbank.planning.election import Election
+from topazbank.planning.follower import FollowerStatus
 from topazbank.planning.forwarder import PlanningClient
-from topazbank.planning.plan import FollowerStatus
-from topazbank.planning.server import PlannerServer
+from topazbank.planning.planner_server import PlannerServer
 from topazbank.platform_names import settings_from_wire
 from topazbank.wiring import build_components, build_endpoint_source
 
--- a/testbed/fleet/simulated.py
+++ b/testbed/fleet/simulated.py
@@ -27,10 +27,11 @@
     UpdateKind,
 )
 from topazbank.balancing.settings import Settings
-from topazbank.planning.plan import Plan, PlanFollower
+from topazbank.planning.follower import PlanFollower
+from topazbank.planning.plan import Plan
 from topazbank.planning.planner import Planner
 from topazbank.planning.server_model import PlannedServer
-from topazbank.planning.summary import SummaryCollector, SummaryReport
+from topazbank.planning.summary import FollowedPlan, SummaryCollector, SummaryReport
 
 S = 1_000_000
 MS = 1_000
@@ -254,7 +255,11 @@
         following = follower.status(fleet.now)
         ejected = frozenset(each.name for each in self.balancer.ejected if each.ejected_until is not None)
         summary = self.collector.collect(
-            fleet.now, self.name, self.life, (following.epoch, following.planner, following.sequence), ejected
+            fleet.now,
+            self.name,
+            self.life,
+            FollowedPlan(following.epoch, following.planner, following.sequence),
+            ejected,
         )
         for place in fleet.planners:
             fleet.carry(self, place, summary)
--- a/tests/planning/test_links.py
+++ b/tests/planning/test_links.py
@@ -16,7 +16,7 @@
 from topazbank.core.net import Address
 from topazbank.operator_config import operator_config_from
 from topazbank.planning import link as links
-from topazbank.planning import server as serving
+from topazbank.planning import planner_server as serving
 from topazbank.planning.link import PlannerLink
 from topazbank.planning.plan import US_PER_S, Plan
 from topazbank.planning.wire import SUMMARY_METHOD, encode_plan
--- a/tests/planning/test_plan.py
+++ b/tests/planning/test_plan.py
@@ -19,15 +19,8 @@
     ServerState,
     UpdateKind,
 )
-from topazbank.planning.plan import (
-    CONFIDENCE_RISE_US,
-    DATA_AGE_US_MAX,
-    US_PER_S,
-    Plan,
-    PlanFollower,
-    PlanVerdict,
-    ServerShare,
-)
+from topazbank.planning.follower import CONFIDENCE_RISE_US, PlanFollower
+from topazbank.planning.plan import DATA_AGE_US_MAX, US_PER_S, Plan, PlanVerdict, ServerShare
 
 NODES = [f"n-{number}" for number in range(6)]
 SHARES = {name: ServerShare(1.0) for name in NODES}
--- a/tests/planning/test_planner.py
+++ b/tests/planning/test_planner.py
@@ -15,14 +15,18 @@
 from topazbank.planning.server_model import PlannedServer
 from topazbank.planning.summary import (
     SERVERS_MAX,
+    FollowedPlan,
     QuantileSketch,
+    RequestCounts,
     ServerUsage,
     SummaryCollector,
     SummaryReport,
 )
 
 NODES = {f"n-{number}": PlannedServer(f"n-{number}", (0.5, 1.0, 2.0)[number % 3]) for number in range(6)}
-SUMMARY = SummaryReport("f", "life", 1, US_PER_S // 10, -1, "", -1, None, {"look": (1, 1, 0)}, {})
+SUMMARY = SummaryReport(
+    "f", "life", 1, US_PER_S // 10, -1, "", -1, None, {"look": RequestCounts(1, 1, 0)}, {}
+)
 
 
 def leading(epoch: int = 1, members: dict[str, PlannedServer] | None = None) -> Planner:
@@ -79,10 +83,12 @@
     nodes["n-5"] = use(
         answered=2, response_time_us=100_000, reported_in_flight=30.0, reported_at_us=START, concurrency=2.0
     )
-    plan = made.handle_summary(START, replace(SUMMARY, request_classes={"look": (50, 50, 0)}, servers=nodes))
+    plan = made.handle_summary(
+        START, replace(SUMMARY, request_classes={"look": RequestCounts(50, 50, 0)}, servers=nodes)
+    )
     plan = made.handle_summary(
         START + US_PER_S // 5,
-        replace(SUMMARY, number=2, request_classes={"look": (50, 50, 0)}, servers=nodes),
+        replace(SUMMARY, number=2, request_classes={"look": RequestCounts(50, 50, 0)}, servers=nodes),
     )
     assert plan is not None
     shares = {name: share for name, share in plan.shares.items() if share is not None}
@@ -137,7 +143,9 @@
 def test_a_cold_node_is_dealt_little_and_budgets_shrink_while_it_holds_too_much() -> None:
     cold = {**NODES, "n-1": PlannedServer("n-1", 1.0, warm_at_us=START + 20 * US_PER_S)}
     made = leading(members=cold)
-    idle = made.handle_summary(START + US_PER_S, replace(SUMMARY, request_classes={"look": (20, 20, 0)}))
+    idle = made.handle_summary(
+        START + US_PER_S, replace(SUMMARY, request_classes={"look": RequestCounts(20, 20, 0)})
+    )
     assert idle is not None and idle.shares["n-1"] is not None and idle.shares["n-4"] is not None
     assert (
         idle.shares["n-1"].slow_start_ratio == 1.0 and idle.shares["n-1"].weight < idle.shares["n-4"].weight
@@ -210,7 +218,7 @@
         for _ in range(number % 7):
             collector.attempt_sent(f"n-{number}")
     collector.attempt_ended(START, "n-6", True, 90_000, {"inflight": 2.0, "queue": 3.0, "util": 1.0})
-    summary = collector.collect(START, "f", "life", (1, "p", 2), frozenset({"n-6", "n-0"}))
+    summary = collector.collect(START, "f", "life", FollowedPlan(1, "p", 2), frozenset({"n-6", "n-0"}))
     assert len(summary.servers) == SERVERS_MAX
     node = summary.servers["n-6"]
     assert (node.reported_in_flight, node.concurrency, node.answered, node.in_flight, node.ejected) == (
@@ -220,7 +228,7 @@
         5,
         True,
     )
-    after = collector.collect(START + US_PER_S, "f", "life", (1, "p", 2), frozenset())
+    after = collector.collect(START + US_PER_S, "f", "life", FollowedPlan(1, "p", 2), frozenset())
     assert after.number == 2 and after.servers["n-6"].in_flight == 5 and after.servers["n-6"].sent == 0
 
 
@@ -240,7 +248,9 @@
     for number in range(1, 40):
         at = START + number * US_PER_S // 10
         for name, ident in (("f", 1), ("g", 2)):
-            told = replace(SUMMARY, forwarder=name, number=number, request_classes={"look": (9, 9, 0)})
+            told = replace(
+                SUMMARY, forwarder=name, number=number, request_classes={"look": RequestCounts(9, 9, 0)}
+            )
             made.handle_summary(at, replace(told, generations=Generations((ident, 70))))
     return made
 
@@ -251,7 +261,10 @@
     made = _two_forwarders()
     last = START + 39 * US_PER_S // 10
     gone = replace(
-        SUMMARY, number=40, request_classes={"look": (9, 9, 0)}, generations=Generations((1, 70), ((2, 70),))
+        SUMMARY,
+        number=40,
+        request_classes={"look": RequestCounts(9, 9, 0)},
+        generations=Generations((1, 70), ((2, 70),)),
     )
     made.handle_summary(last + US_PER_S // 10, gone)
     assert made.status(last)["forwarders"] == 2, "its plan may hold yet"
--- a/tests/planning/test_wire.py
+++ b/tests/planning/test_wire.py
@@ -1,4 +1,4 @@
-"""Plans and summaries as bytes: whole ones come back, all others are told."""
+"""Plans and summary reports as bytes: complete ones are read, all others refused."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from topazbank.cluster.member import GONE_TOLD, Generations
 from topazbank.planning.plan import US_PER_S, Plan, ServerShare
-from topazbank.planning.summary import QuantileSketch, ServerUsage, SummaryReport
+from topazbank.planning.summary import QuantileSketch, RequestCounts, ServerUsage, SummaryReport
 from topazbank.planning.wire import (
     DOCUMENT_BYTES_MAX,
     InvalidDocument,
@@ -26,26 +26,26 @@
     "f", "life", 3, "p", 10, 2 * US_PER_S, 7, {"a": ServerShare(0.5, 1.5, math.inf, 0.25), "b": None}, 9, 0.5
 )
 SUMMARY = SummaryReport(
-    "f", "life", 4, US_PER_S // 10, 3, "p", 10, 5_000, {"look": (3, 2, 1)},
+    "f", "life", 4, US_PER_S // 10, 3, "p", 10, 5_000, {"look": RequestCounts(3, 2, 1)},
     {"a": ServerUsage(3, 2, 1, 90_000, 1, 2.5, 77, 4.0, True), "b": ServerUsage()}, QuantileSketch({3: 2, 9: 1}),
 )  # fmt: skip
 _numbers = st.floats(0.0, 1e6, allow_nan=False)
 _shares = st.one_of(st.none(), st.builds(ServerShare, _numbers, _numbers, _numbers, st.floats(0.0, 1.0)))
 _names = st.text(max_size=20)
-_wholes = st.integers(0, 2**62)
+_integers = st.integers(0, 2**62)
 
 
 @given(
     st.builds(
-        Plan, _names, _names, _wholes, _names, _wholes, _wholes, _wholes,
-        st.dictionaries(_names, _shares, max_size=20), st.one_of(st.none(), _wholes), st.floats(0.0, 1.0),
+        Plan, _names, _names, _integers, _names, _integers, _integers, _integers,
+        st.dictionaries(_names, _shares, max_size=20), st.one_of(st.none(), _integers), st.floats(0.0, 1.0),
     )
 )  # fmt: skip
-def test_a_plan_comes_back_as_it_was(plan: Plan) -> None:
+def test_a_plan_is_read_as_it_was_written(plan: Plan) -> None:
     assert decode_plan(encode_plan(plan)) == plan
 
 
-def test_a_summary_of_a_member_of_a_tier_comes_back_and_one_of_none_is_as_before_tiers() -> None:
+def test_a_cluster_members_summary_is_read_and_one_outside_a_cluster_has_no_such_field() -> None:
     lives = Generations((2**48 - 1, 1_800_000_000_000), ((5, 6),) * GONE_TOLD)
     assert decode_summary(encode_summary(replace(SUMMARY, generations=lives))).generations == lives
     assert len(msgpack.unpackb(msgpack.unpackb(encode_summary(SUMMARY))[1])) == 11
@@ -58,31 +58,31 @@
             decode_summary(encode_summary(replace(SUMMARY, generations=bad)))
 
 
-def test_a_summary_comes_back_as_it_was() -> None:
-    back = decode_summary(encode_summary(SUMMARY))
-    assert back.response_times.counts == SUMMARY.response_times.counts
-    back.response_times = SUMMARY.response_times
-    assert back == SUMMARY
+def test_a_summary_is_read_as_it_was_written() -> None:
+    decoded = decode_summary(encode_summary(SUMMARY))
+    assert decoded.response_times.counts == SUMMARY.response_times.counts
+    decoded.response_times = SUMMARY.response_times
+    assert decoded == SUMMARY
 
 
 @pytest.mark.parametrize(
     ("encoded", "decode"), [(encode_plan(PLAN), decode_plan), (encode_summary(SUMMARY), decode_summary)]
 )
-def test_every_cut_and_every_changed_byte_is_told(encoded: bytes, decode: object) -> None:
+def test_a_truncated_or_corrupted_document_is_refused(encoded: bytes, decode: object) -> None:
     assert callable(decode)
-    for at in range(len(encoded)):
+    for position in range(len(encoded)):
         with pytest.raises(InvalidDocument):
-            decode(encoded[:at])
+            decode(encoded[:position])
         with pytest.raises(InvalidDocument):
-            decode(encoded[:at] + bytes([encoded[at] ^ 0x15]) + encoded[at + 1 :])
+            decode(encoded[:position] + bytes([encoded[position] ^ 0x15]) + encoded[position + 1 :])
 
 
 def sealed(body: object, version: int = 1) -> bytes:
     import hashlib
 
     packed = msgpack.packb(body)
-    made: bytes = msgpack.packb([version, packed, hashlib.blake2b(packed, digest_size=8).digest()])
-    return made
+    document: bytes = msgpack.packb([version, packed, hashlib.blake2b(packed, digest_size=8).digest()])
+    return document
 
 
 @pytest.mark.parametrize(
@@ -100,14 +100,14 @@
         (9, {"x" * 300: None}, "node"),
     ],
 )
-def test_a_field_that_makes_no_sense_is_named(field: int, value: object, named: str) -> None:
+def test_an_invalid_field_is_named(field: int, value: object, named: str) -> None:
     body = msgpack.unpackb(msgpack.unpackb(encode_plan(PLAN))[1])
     body[field] = value
     with pytest.raises(InvalidDocument, match=named):
         decode_plan(sealed(body))
 
 
-def test_another_version_and_too_long_a_document_are_told() -> None:
+def test_another_version_and_too_long_a_document_are_refused() -> None:
     with pytest.raises(InvalidDocument, match="version 1 is wanted"):
         decode_plan(sealed([1] * 10, version=2))
     with pytest.raises(InvalidDocument, match="at most"):
@@ -116,3 +116,43 @@
         body = msgpack.unpackb(msgpack.unpackb(encode_summary(SUMMARY))[1])
         body[9] = {f"n-{n}": [0] * 9 for n in range(65)}
         decode_summary(sealed(body))
+
+
+# Documents written by the program before its names were changed.
+FORMER_PLAN = (
+    b"\x93\x01\xc4z\x9a\xa3f-1\xa400ff\x05\xa3p-0\x0c\xce\x00\t'\xc0\xcd\x9c@\x0b\xcb?\xec\xcc\xcc\xcc\xcc\xcc\xcd\x83"
+    b"\xa3n-0\x94\xcb?\xf8\x00\x00\x00\x00\x00\x00\xcb?\xd0\x00\x00\x00\x00\x00\x00\xcb@(\x00\x00\x00\x00\x00\x00\xcb?"
+    b"\xe0\x00\x00\x00\x00\x00\x00\xa3n-1\x94\xcb@\x00\x00\x00\x00\x00\x00\x00\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xcb"
+    b"\x7f\xf0\x00\x00\x00\x00\x00\x00\xcb?\xf0\x00\x00\x00\x00\x00\x00\xa3n-2\xc0\xc4\x08\x1920\xaa\xe0\x1a\xe4\xf1"
+)
+FORMER_SUMMARY = (
+    b"\x93\x01\xc4X\x9c\xa3f-1\xa400ff\x08\xce\x00\x01\x86\xa0\x05\xa3p-0\x0c\xcdu0\x81\xa4look\x93\t\x07\x02\x81"
+    b"\xa3n-0\x99\x04\x03\x01\xce\x00\x01_\x90\x02\xcb@\x14\x00\x00\x00\x00\x00\x00\xce\x00\x01\xe2@\xcb@\x00\x00\x00"
+    b"\x00\x00\x00\x00\xc3\x92\x92\x03\x02\x92\x07\x01\x92\x92\x07\x03\x92\x08\x02\xc4\x08\x8f\x85\xed\xa8\x15h:l"
+)
+FORMER_SUMMARY_WITHOUT_CLUSTER = (
+    b"\x93\x01\xc4\x17\x9b\xa3f-1\xa400ff\x08\xce\x00\x01\x86\xa0\xff\xa0\xff\xc0\x80\x80\x90"
+    b"\xc4\x08\x11\x8e9\x95\x121\x00\x14"
+)
+
+
+def test_a_plan_of_the_former_program_is_read_and_written_alike() -> None:
+    plan = decode_plan(FORMER_PLAN)
+    shares = {"n-0": ServerShare(1.5, 0.25, 12.0, 0.5), "n-1": ServerShare(2.0), "n-2": None}
+    assert plan == Plan("f-1", "00ff", 5, "p-0", 12, 600_000, 40_000, shares, 11, 0.9)
+    assert encode_plan(plan) == FORMER_PLAN
+
+
+def test_a_summary_of_the_former_program_is_read_and_written_alike() -> None:
+    summary = decode_summary(FORMER_SUMMARY)
+    assert (summary.forwarder, summary.incarnation, summary.number) == ("f-1", "00ff", 8)
+    assert (summary.period_us, summary.epoch, summary.planner) == (100_000, 5, "p-0")
+    assert (summary.sequence, summary.plan_age_us) == (12, 30_000)
+    assert summary.request_classes == {"look": RequestCounts(arrived=9, served=7, rejected=2)}
+    assert summary.servers == {"n-0": ServerUsage(4, 3, 1, 90_000, 2, 5.0, 123_456, 2.0, True)}
+    assert summary.response_times.counts == {3: 2, 7: 1}
+    assert summary.generations == Generations((7, 3), ((8, 2),))
+    assert encode_summary(summary) == FORMER_SUMMARY
+    alone = decode_summary(FORMER_SUMMARY_WITHOUT_CLUSTER)
+    assert alone.generations is None and alone.plan_age_us is None and alone.sequence == -1
+    assert encode_summary(alone) == FORMER_SUMMARY_WITHOUT_CLUSTER
--- a/topazbank/plan.py
+++ b/topazbank/plan.py
@@ -20,11 +20,15 @@
 from topazbank.planning import record
 from topazbank.roster import ask
 
-_WAIT_S = 5.0
-_EVERY_S = 1.0  # between two records: a planner's own rates fade over as much
+_TIMEOUT_S = 5.0
+_RECORD_PERIOD_S = 1.0  # a planner's own rates are averages over as much
+_RECEIVE_BYTES = 65536
+_BAR_CHARACTERS = 40  # for a share of 1
 
+Status = dict[str, Any]  # JSON, as a forwarder's status page or a planner's status call returns it
 
-def plan_lines(plan: dict[str, Any]) -> list[str]:
+
+def plan_lines(plan: Status) -> list[str]:
     """What a forwarder follows and why, a line each."""
     age = "-" if plan["age_s"] is None else f"{plan['age_s']:.2f} s"
     lines = [
@@ -33,70 +37,84 @@
         f"the newest plan: {plan['last']}",
     ]
     if plan["refused"]:
-        refused = ", ".join(f"{count} {reason.lower()}" for reason, count in plan["refused"].items())
-        lines.append(f"not followed so far: {refused}")
-    lines += ["", f"{'planner':<24}{'answers':>9}{'bad':>6}{'period':>10}"]
-    for each in plan["planners"]:
-        period = "-" if each["period_s"] is None else f"{each['period_s']:.2f} s"
-        lines.append(f"{each['address']:<24}{each['answered']:>9}{each['bad']:>6}{period:>10}")
-    all_odds = sum(each["odds"] for each in plan["shares"].values()) or 1.0
-    lines += ["", f"{'node':<20}{'drawn':>8}{'wait':>8}{'room':>8}{'cold':>7}"]
-    for name, each in plan["shares"].items():
-        part = each["odds"] / all_odds
+        rejected = ", ".join(f"{count} {reason.lower()}" for reason, count in plan["refused"].items())
+        lines.append(f"not followed so far: {rejected}")
+    return [*lines, *_link_lines(plan), *_share_lines(plan)]
+
+
+def _link_lines(plan: Status) -> list[str]:
+    lines = ["", f"{'planner':<24}{'answers':>9}{'bad':>6}{'period':>10}"]
+    for link in plan["planners"]:
+        period = "-" if link["period_s"] is None else f"{link['period_s']:.2f} s"
+        lines.append(f"{link['address']:<24}{link['answered']:>9}{link['bad']:>6}{period:>10}")
+    return lines
+
+
+def _share_lines(plan: Status) -> list[str]:
+    lines = ["", f"{'node':<20}{'drawn':>8}{'wait':>8}{'room':>8}{'cold':>7}"]
+    total = sum(share["odds"] for share in plan["shares"].values()) or 1.0
+    for name, share in plan["shares"].items():
+        ratio = share["odds"] / total
         lines.append(
-            f"{name:<20}{part:>8.1%}{each['wait']:>8.2f}{each['room']:>8.1f}{each['cold']:>7.2f}  "
-            + "#" * round(40 * part)
+            f"{name:<20}{ratio:>8.1%}{share['wait']:>8.2f}{share['room']:>8.1f}{share['cold']:>7.2f}  "
+            + _bar(ratio)
         )
     return lines
 
 
-def status_lines(told: dict[str, Any]) -> list[str]:
-    """What a planner knows and does, a line each; the bars are each node's part of the coming requests."""
-    leads = "does not lead" if told["epoch"] is None else f"leads by epoch {told['epoch']}"
+def status_lines(status: Status) -> list[str]:
+    """What a planner knows and does, a line each; the bars are each server's share of the next requests."""
+    leads = "does not lead" if status["epoch"] is None else f"leads by epoch {status['epoch']}"
     lines = [
-        f"planner {told['planner']} {leads}; the highest epoch that was seen is {told['highest_epoch_seen']}",
-        f"{told['forwarders']} forwarders, a summary each {told['period_us'] / 1e6:.2f} s, "
-        f"{told['summaries_shed']} shed; {told['bytes_in']} bytes in, {told['bytes_out']} out",
+        f"planner {status['planner']} {leads}; "
+        f"the highest epoch that was seen is {status['highest_epoch_seen']}",
+        f"{status['forwarders']} forwarders, a summary each {status['period_us'] / 1e6:.2f} s, "
+        f"{status['summaries_shed']} shed; {status['bytes_in']} bytes in, {status['bytes_out']} out",
     ]
-    if told["p50_us"] is not None:
+    if status["p50_us"] is not None:
+        p50_ms, p99_ms = status["p50_us"] / 1e3, status["p99_us"] / 1e3
+        lines.append(f"answers took {p50_ms:.0f} ms at the median, {p99_ms:.0f} at the 99th")
+    return [*lines, *_server_lines(status)]
+
+
+def _server_lines(status: Status) -> list[str]:
+    header = f"{'node':<20}{'dealt':>8}{'nominal':>9}{'factor':>8}{'holds':>7}{'per s':>8}{'left by':>9}"
+    lines = ["", header]
+    total = sum(server["odds"] for server in status["nodes"]) or 1.0
+    for server in status["nodes"]:
+        ratio = server["odds"] / total
         lines.append(
-            f"answers took {told['p50_us'] / 1e3:.0f} ms at the median, {told['p99_us'] / 1e3:.0f} at the 99th"
-        )
-    all_odds = sum(each["odds"] for each in told["nodes"]) or 1.0
-    lines += [
-        "",
-        f"{'node':<20}{'dealt':>8}{'nominal':>9}{'factor':>8}{'holds':>7}{'per s':>8}{'left by':>9}",
-    ]
-    for each in told["nodes"]:
-        part = each["odds"] / all_odds
-        lines.append(
-            f"{each['name']:<20}{part:>8.1%}{each['nominal']:>9.2f}{each['factor']:>8.2f}{each['held']:>7.0f}"
-            f"{each['answered_a_second']:>8.1f}{each['ejected_by']:>9}  "
-            + ("cold " if each["cold"] else "")
-            + "#" * round(40 * part)
+            f"{server['name']:<20}{ratio:>8.1%}{server['nominal']:>9.2f}{server['factor']:>8.2f}"
+            f"{server['held']:>7.0f}{server['answered_a_second']:>8.1f}{server['ejected_by']:>9}  "
+            + ("cold " if server["cold"] else "")
+            + _bar(ratio)
         )
     return lines
 
 
-def fetch_followed_plan(address: Address) -> dict[str, Any]:
-    """Raise OSError or ValueError where there is no plan to be had."""
+def _bar(ratio: float) -> str:
+    return "#" * round(_BAR_CHARACTERS * ratio)
+
+
+def fetch_followed_plan(address: Address) -> Status:
+    """What the forwarder at this address follows; raise OSError or ValueError where there is no answer."""
     plan = ask(address).get("plan")
     if plan is None:
         raise ValueError("it has no [planning] planners")
     return dict(plan)
 
 
-def fetch_planner_status(address: Address) -> dict[str, Any]:
-    """Raise OSError or ValueError where there is no status to be had."""
+def fetch_planner_status(address: Address) -> Status:
+    """The status of the planner at this address; raise OSError or ValueError where there is no answer."""
     import msgpack
 
     from topazbank.planning.wire import STATUS_METHOD
 
     unpacker = msgpack.Unpacker()
-    with socket.create_connection(address, _WAIT_S) as sock:
-        sock.settimeout(_WAIT_S)
+    with socket.create_connection(address, _TIMEOUT_S) as sock:
+        sock.settimeout(_TIMEOUT_S)
         sock.sendall(msgpack.packb([0, 1, STATUS_METHOD, []]))
-        while data := sock.recv(65536):
+        while data := sock.recv(_RECEIVE_BYTES):
             unpacker.feed(data)
             for _, _, error, result in unpacker:
                 if error is not None:
@@ -106,61 +124,62 @@
 
 
 def record_run(address: Address, out: Path, seconds: float) -> int:
-    """Ask a planner every second and keep what it tells; give the number of records.
+    """Write a planner's status to a file every second; return the number of records.
 
-    A planner that does not answer is left out for that second: a run's record shows its failures as gaps.
+    While the planner does not answer there are no records, so that a run shows its failures as gaps.
     """
-    kept, began = 0, time.monotonic()
+    records, started_s = 0, time.monotonic()
     with out.open("w", encoding="utf-8") as file:
-        while (at := time.monotonic() - began) < seconds:
+        while (at_s := time.monotonic() - started_s) < seconds:
             try:
-                told = fetch_planner_status(address)
-            except (OSError, ValueError) as fault:
-                print(f"at {at:.0f} s: nothing from {address[0]}:{address[1]}: {fault}", file=sys.stderr)
+                status = fetch_planner_status(address)
+            except (OSError, ValueError) as error:
+                print(f"at {at_s:.0f} s: nothing from {address[0]}:{address[1]}: {error}", file=sys.stderr)
             else:
-                file.write(json.dumps({"at_s": round(at, 3), **told}) + "\n")
+                file.write(json.dumps({"at_s": round(at_s, 3), **status}) + "\n")
                 file.flush()
-                kept += 1
-            time.sleep(max(at + _EVERY_S - (time.monotonic() - began), 0.0))
-    return kept
+                records += 1
+            time.sleep(max(at_s + _RECORD_PERIOD_S - (time.monotonic() - started_s), 0.0))
+    return records
 
 
 def plot_run(source: Path, out: Path) -> list[str]:
-    """Draw a record, and give its table; raise ValueError or OSError where it holds none."""
+    """Draw a recorded run and return its table; raise ValueError or OSError where there is nothing to draw."""
     with source.open(encoding="utf-8") as file:
-        courses = record.samples_by_server(record.read_records(file))
+        samples = record.samples_by_server(record.read_records(file))
     from topazbank.planning.plot import draw_run
 
-    draw_run(courses, out)
-    return [*record.accuracy_table(record.share_accuracy(courses)), "", f"drawn: {out}"]
+    draw_run(samples, out)
+    return [*record.accuracy_table(record.share_accuracy(samples)), "", f"drawn: {out}"]
 
 
-def _lines(given: argparse.Namespace) -> list[str]:
-    if given.what == "plot":
-        return plot_run(Path(given.source), given.out or Path(given.source).with_suffix(".png"))
-    address = parse_address(given.source)
-    if given.what == "show":
+def _run(arguments: argparse.Namespace) -> list[str]:
+    if arguments.what == "plot":
+        return plot_run(Path(arguments.source), arguments.out or Path(arguments.source).with_suffix(".png"))
+    address = parse_address(arguments.source)
+    if arguments.what == "show":
         return plan_lines(fetch_followed_plan(address))
-    if given.what == "status":
+    if arguments.what == "status":
         return status_lines(fetch_planner_status(address))
-    out = given.out or Path("planner.jsonl")
-    return [f"{record_run(address, out, given.seconds)} records in {out}"]
+    out = arguments.out or Path("planner.jsonl")
+    return [f"{record_run(address, out, arguments.seconds)} records in {out}"]
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the command; return its exit code."""
     parser = argparse.ArgumentParser(prog="topazbank.plan", description=(__doc__ or "").split("\n")[0])
     parser.add_argument("what", choices=("show", "status", "record", "plot"))
     parser.add_argument("source", metavar="HOST:PORT|FILE", help="who is asked, or the record to draw")
     parser.add_argument("--out", type=Path, metavar="FILE", help="of record and plot")
     parser.add_argument("--seconds", type=float, default=60.0, help="that record goes on")
-    given = parser.parse_args(argv)
+    arguments = parser.parse_args(argv)
     try:
-        lines = _lines(given)
+        lines = _run(arguments)
     except ImportError:
         print("plots need the extra 'plots': pip install 'topazbank[plots]'", file=sys.stderr)
         return 1
-    except (OSError, ValueError) as fault:
-        print(f"nothing from {given.source}: {fault}", file=sys.stderr)
+    except (OSError, ValueError) as error:
+        print(f"nothing from {arguments.source}: {error}", file=sys.stderr)
         return 1
     print("\n".join(lines))
     return 0
--- a/topazbank/planning/__init__.py
+++ b/topazbank/planning/__init__.py
@@ -1,1 +1,1 @@
-"""Planners that see the whole fleet, and forwarders that follow them as far as it is safe."""
+"""Planning: planners that see the whole fleet give each forwarder a routing plan, which it may follow or not."""
--- a/topazbank/planning/election.py
+++ b/topazbank/planning/election.py
@@ -1,8 +1,8 @@
-"""Who leads among planners, by an ensemble: the lowest of ephemeral sequential nodes, as ZooKeeper's recipe has it.
+"""Leader election among planners by a ZooKeeper ensemble: the lowest ephemeral sequential node leads.
 
-The epoch is the sequence number of a planner's own node: whoever leads next registered later, so epochs only grow, and
-one that registers again after its session was lost gets a higher number.  A leader whose session is not live stops to
-lead at once: the ensemble may have given its place away.
+The epoch is the sequence number of the planner's own node.  Whoever leads next registered later, so epochs only grow,
+and a planner that registers again after its session expired gets a higher one.  A leader whose session is not live
+stops leading at once: the ensemble may have elected another.
 """
 
 from __future__ import annotations
@@ -18,113 +18,121 @@
 
 log = logging.getLogger(__name__)
 
-_PREFIX = "planner-"
-_FLAGS = zkwire.EPHEMERAL | zkwire.SEQUENTIAL
-_AGAIN_S = 0.3  # before an election that failed is tried again
+_NODE_PREFIX = "planner-"
+_NODE_FLAGS = zkwire.EPHEMERAL | zkwire.SEQUENTIAL
+_RETRY_DELAY_S = 0.3
 
 
 class Election:
-    """One planner's candidacy; `changed` hears its epoch when it leads, and None when it does not."""
+    """One planner's candidacy."""
 
     def __init__(
         self,
         ensemble: Ensemble,
         path: str,
         name: str,
-        changed: Callable[[int | None], None],
+        on_epoch: Callable[[int | None], None],
         seed: int | None = None,
     ) -> None:
-        self.epoch: int | None = None
+        """`on_epoch` is called with the epoch when this planner starts to lead, with None when it stops."""
+        self.epoch: int | None = None  # while it leads
         self._acl = zkwire.CREATOR_ACL if ensemble.secret else zkwire.OPEN_ACL
         self._path, self._name = path, name
-        self._changed_epoch = changed
-        self._node: str | None = None  # the own node's name, while the session that made it lives
-        self._wanted = asyncio.Event()
-        self._session = Session(ensemble, self._changed, self._watched, seed)
+        self._on_epoch = on_epoch
+        self._node: str | None = None  # the own node's name, while the session that created it lives
+        self._check_needed = asyncio.Event()
+        self._session = Session(ensemble, self._on_session_state, self._on_watch, seed)
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
+        """Begin the candidacy."""
         self._session.start()
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def stop(self) -> None:
-        """End without a word: another leads when the session has expired."""
+        """End abruptly: another planner leads once the session has expired."""
         if self._task is not None:
             self._task.cancel()
         self._session.stop()
 
     async def close(self) -> None:
-        """Step down: another leads at once."""
+        """Step down: another planner leads at once."""
         if self._task is not None:
             self._task.cancel()
         await self._session.close()
 
-    def _changed(self, state: State) -> None:
+    def _on_session_state(self, state: State) -> None:
         if state is State.LIVE:
-            self._wanted.set()
+            self._check_needed.set()
             return
-        self._lead(None)
+        self._set_epoch(None)
         if state is State.EXPIRED:
             self._node = None
 
-    def _watched(self, happened: Happened, path: str) -> None:
-        self._wanted.set()
+    def _on_watch(self, happened: Happened, path: str) -> None:
+        self._check_needed.set()
 
-    def _lead(self, epoch: int | None) -> None:
+    def _set_epoch(self, epoch: int | None) -> None:
         if epoch != self.epoch:
             self.epoch = epoch
             log.info("%s %s", self._name, "does not lead" if epoch is None else f"leads by epoch {epoch}")
-            self._changed_epoch(epoch)
+            self._on_epoch(epoch)
 
     async def _run(self) -> None:
         while True:
-            await self._wanted.wait()
-            self._wanted.clear()
-            with suppress(Disconnected):  # it is wanted again when the session is back
+            await self._check_needed.wait()
+            self._check_needed.clear()
+            with suppress(Disconnected):  # the session's return sets the event again
                 try:
-                    await self._stand()
+                    await self._check()
                 except ZkError as error:
-                    log.warning("the election goes on: %s", error)
-                    await asyncio.sleep(_AGAIN_S)
-                    self._wanted.set()
+                    log.warning("the election is tried again: %s", error)
+                    await asyncio.sleep(_RETRY_DELAY_S)
+                    self._check_needed.set()
 
-    async def _stand(self) -> None:
-        """Be there, and lead if nobody was there before; else watch the one just before."""
+    async def _check(self) -> None:
+        """Register if needed; lead if the own node is the lowest, else watch the one just below it."""
         await self._session.sync(self._path)
         if self._node is None:
             await self._register()
         assert self._node is not None
-        names = sorted(await self._candidates(), key=_number)
-        if self._node not in names:
-            self._node = None  # its session went with it, or someone deleted it
-            self._lead(None)
-            self._wanted.set()
+        nodes = sorted(await self._candidates(), key=_sequence_number)
+        if self._node not in nodes:
+            self._node = None  # its session expired, or someone deleted it
+            self._set_epoch(None)
+            self._check_needed.set()
             return
-        place = names.index(self._node)
-        if place == 0:
-            with suppress(ZkError):
-                await self._session.get(f"{self._path}/{self._node}", watch=True)
-            self._lead(_number(self._node) + 1)
-            return
-        self._lead(None)
+        position = nodes.index(self._node)
+        if position == 0:
+            await self._lead(self._node)
+        else:
+            self._set_epoch(None)
+            await self._watch(nodes[position - 1])
+
+    async def _lead(self, node: str) -> None:
+        with suppress(ZkError):
+            await self._session.get(f"{self._path}/{node}", watch=True)
+        self._set_epoch(_sequence_number(node) + 1)
+
+    async def _watch(self, predecessor: str) -> None:
         try:
-            await self._session.get(f"{self._path}/{names[place - 1]}", watch=True)
+            await self._session.get(f"{self._path}/{predecessor}", watch=True)
         except ZkError as error:
             if error.code != Code.NO_NODE:
                 raise
-            self._wanted.set()  # it went between the two reads
+            self._check_needed.set()  # it was deleted between the two reads
 
     async def _register(self) -> None:
-        mine = self._name.encode()
-        for name in await self._candidates():
-            # An answer that was lost with its connection: the node may be there already.
+        """Create the own node, unless it exists: the response to an earlier creation may have been lost."""
+        data = self._name.encode()
+        for node in await self._candidates():
             with suppress(ZkError):
-                data, stat = await self._session.get(f"{self._path}/{name}")
-                if data == mine and stat.owner == self._session.ident:
-                    self._node = name
+                node_data, stat = await self._session.get(f"{self._path}/{node}")
+                if node_data == data and stat.owner == self._session.ident:
+                    self._node = node
                     return
-        made = await self._session.create(f"{self._path}/{_PREFIX}", mine, self._acl, _FLAGS)
-        self._node = made.rpartition("/")[2]
+        path = await self._session.create(f"{self._path}/{_NODE_PREFIX}", data, self._acl, _NODE_FLAGS)
+        self._node = path.rpartition("/")[2]
 
     async def _candidates(self) -> list[str]:
         try:
@@ -134,8 +142,8 @@
                 raise
             await self._session.make_path(self._path, self._acl)
             return []
-        return [each for each in names if each.startswith(_PREFIX)]
+        return [name for name in names if name.startswith(_NODE_PREFIX)]
 
 
-def _number(name: str) -> int:
-    return int(name.removeprefix(_PREFIX))
+def _sequence_number(node: str) -> int:
+    return int(node.removeprefix(_NODE_PREFIX))
--- a/topazbank/planning/link.py
+++ b/topazbank/planning/link.py
@@ -1,7 +1,8 @@
-"""A forwarder's connections to planners: summaries out, plans in, by MessagePack-RPC over connections it opens.
+"""A forwarder's connection to one planner: summaries out, plans in, by MessagePack-RPC.
 
-Every planner hears every summary, so that standbys are warm.  One call is out to each planner at a time; one that does
-not answer is dialled again, after longer and longer with jitter.  Nothing here holds a request up.
+A forwarder sends each summary to every planner, so that standbys know the fleet when they take over.  One call is in
+flight to each planner; one that does not answer in time is connected to again, with exponential backoff and jitter.
+Nothing here delays a request.
 """
 
 from __future__ import annotations
@@ -20,117 +21,127 @@
 
 log = logging.getLogger(__name__)
 
-RESPONSE_TIMEOUT_S = 1.0  # a planner that takes longer is dialled again
-BACKOFF_MIN_S, BACKOFF_MAX_S = 0.1, 5.0  # between dials of one that is not there, with jitter of as much
-PERIOD_US_MIN, PERIOD_US_MAX = US_PER_S // 50, 10 * US_PER_S  # microseconds: what a planner may ask for
+RESPONSE_TIMEOUT_S = 1.0
+BACKOFF_MIN_S, BACKOFF_MAX_S = 0.1, 5.0  # with jitter of up to as much again
+PERIOD_US_MIN, PERIOD_US_MAX = US_PER_S // 50, 10 * US_PER_S  # that a planner may ask for
+_MESSAGE_ID_MASK = 0xFFFFFFFF
+_REQUEST, _RESPONSE = 0, 1  # MessagePack-RPC's message types
 
-Hear = Callable[[int, Plan], None]  # when the plan was asked for, and the plan
+PlanCallback = Callable[
+    [int, Plan], None
+]  # called with the time at which the plan was requested, and the plan
 
 
 class PlannerLink(asyncio.Protocol):
-    """The connection to one planner, opened again when it has ended."""
+    """The connection to one planner; opened again, by `send`, after it has ended."""
 
-    def __init__(self, address: Address, now: Callable[[], int], hear: Hear, seed: int) -> None:
+    def __init__(self, address: Address, now: Callable[[], int], on_plan: PlanCallback, seed: int) -> None:
         self.address = address
-        self.period_us: int | None = None  # microseconds that it asks to be left between summaries
+        self.period_us: int | None = None  # between summaries, as the planner asks; None: no response yet
         self.responses = 0
-        self.invalid_responses = 0  # answers that were none
-        self._now, self._hear = now, hear
+        self.invalid_responses = 0
+        self._now, self._on_plan = now, on_plan
         self._random = random.Random(seed)
         self._transport: asyncio.Transport | None = None
         self._unpacker: Any = None
-        self._dial: asyncio.Task[None] | None = None
+        self._connecting: asyncio.Task[None] | None = None
         self._backoff_s = BACKOFF_MIN_S
-        self._dial_at = 0.0
-        self._msgid = 0
-        self._asked_at: int | None = None  # of the call that is out
-        self._late: asyncio.TimerHandle | None = None
+        self._connect_not_before_s = 0.0
+        self._message_id = 0
+        self._requested_at: int | None = None  # of the call in flight
+        self._timeout: asyncio.TimerHandle | None = None
 
     def send(self, summary: bytes) -> None:
-        """Send a summary unless the last one is unanswered yet; dial where there is no connection."""
+        """Send a summary unless a call is in flight; where there is no connection, open one instead."""
         loop = asyncio.get_running_loop()
         if self._transport is None:
-            if self._dial is None and loop.time() >= self._dial_at:
-                self._dial = loop.create_task(self._open())
+            if self._connecting is None and loop.time() >= self._connect_not_before_s:
+                self._connecting = loop.create_task(self._connect())
             return
-        if self._asked_at is not None:
+        if self._requested_at is not None:
             return
-        self._msgid = (self._msgid + 1) & 0xFFFFFFFF
-        self._asked_at = self._now()
-        self._late = loop.call_later(RESPONSE_TIMEOUT_S, self._drop)
-        self._transport.write(msgpack.packb([0, self._msgid, SUMMARY_METHOD, [summary]]))
+        self._message_id = (self._message_id + 1) & _MESSAGE_ID_MASK
+        self._requested_at = self._now()
+        self._timeout = loop.call_later(RESPONSE_TIMEOUT_S, self._abort)
+        self._transport.write(msgpack.packb([_REQUEST, self._message_id, SUMMARY_METHOD, [summary]]))
 
-    async def _open(self) -> None:
+    def stop(self) -> None:
+        """Close the connection and open no other."""
+        if self._connecting is not None:
+            self._connecting.cancel()
+        self._end_call()
+        self._abort()
+
+    async def _connect(self) -> None:
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await loop.create_connection(lambda: self, *self.address)
         except (OSError, TimeoutError):
-            self._wait_longer()
+            self._back_off()
         finally:
-            self._dial = None
+            self._connecting = None
 
-    def _wait_longer(self) -> None:
-        loop = asyncio.get_running_loop()
-        self._dial_at = loop.time() + self._backoff_s * (1.0 + self._random.random())
+    def _back_off(self) -> None:
+        now_s = asyncio.get_running_loop().time()
+        self._connect_not_before_s = now_s + self._backoff_s * (1.0 + self._random.random())
         self._backoff_s = min(2.0 * self._backoff_s, BACKOFF_MAX_S)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """asyncio's callback."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._unpacker = msgpack.Unpacker(max_buffer_size=2 * DOCUMENT_BYTES_MAX)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """asyncio's callback."""
         self._transport = None
-        self._over()
-        self._wait_longer()
+        self._end_call()
+        self._back_off()
 
     def data_received(self, data: bytes) -> None:
+        """asyncio's callback: handle each complete message; an invalid one ends the connection."""
         try:
             self._unpacker.feed(data)
             for message in self._unpacker:
-                self._answer(message)
-        except Exception as bad:  # msgpack raises what its parts do
+                self._handle_response(message)
+        except Exception as error:  # msgpack raises errors of many types
             self.invalid_responses += 1
-            log.warning("planner %s:%d makes no sense: %r", *self.address, bad)
-            self._drop()
-
-    def _answer(self, message: Any) -> None:
-        kind, msgid, error, result = message
-        if kind != 1 or msgid != self._msgid or self._asked_at is None:
-            return  # late, or twice
-        asked_at = self._asked_at
-        self._over()
+            log.warning("invalid response of planner %s:%d: %r", *self.address, error)
+            self._abort()
+
+    def _handle_response(self, message: Any) -> None:
+        message_type, message_id, error, result = message
+        if message_type != _RESPONSE or message_id != self._message_id or self._requested_at is None:
+            return  # late, or a duplicate
+        requested_at = self._requested_at
+        self._end_call()
         if error is not None:
             self.invalid_responses += 1
-            log.warning("planner %s:%d does not take the summary: %.120r", *self.address, error)
+            log.warning("planner %s:%d refused the summary: %.120r", *self.address, error)
             return
-        document, period = result
+        document, period_us = result
         self.responses += 1
         self._backoff_s = BACKOFF_MIN_S
-        self.period_us = max(PERIOD_US_MIN, min(int(period), PERIOD_US_MAX))
-        if document is None:
-            return  # a standby
+        self.period_us = max(PERIOD_US_MIN, min(int(period_us), PERIOD_US_MAX))
+        if document is not None:  # None: the planner is a standby
+            self._handle_plan(requested_at, document)
+
+    def _handle_plan(self, requested_at: int, document: Any) -> None:
         try:
             plan = decode_plan(document)
-        except InvalidDocument as bad:
+        except InvalidDocument as error:
             self.invalid_responses += 1
-            log.warning("planner %s:%d sent no plan: %s", *self.address, bad)
+            log.warning("invalid plan of planner %s:%d: %s", *self.address, error)
             return
-        self._hear(asked_at, plan)
+        self._on_plan(requested_at, plan)
 
-    def _over(self) -> None:
-        self._asked_at = None
-        if self._late is not None:
-            self._late.cancel()
-            self._late = None
+    def _end_call(self) -> None:
+        self._requested_at = None
+        if self._timeout is not None:
+            self._timeout.cancel()
+            self._timeout = None
 
-    def _drop(self) -> None:
+    def _abort(self) -> None:
         if self._transport is not None:
             self._transport.abort()
-
-    def stop(self) -> None:
-        if self._dial is not None:
-            self._dial.cancel()
-        self._over()
-        self._drop()
--- /dev/null
+++ b/topazbank/planning/planner_server.py
@@ -0,0 +1,203 @@
+"""A planner's listener: forwarders call it by MessagePack-RPC, service discovery gives it the servers."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import time
+from collections.abc import Callable
+from typing import Any
+
+import msgpack
+
+from topazbank.balancing.events import ServerState
+from topazbank.core.driver import Clock
+from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, EndpointSource
+from topazbank.core.net import Address
+from topazbank.planning.leadership import RankedLeadership
+from topazbank.planning.planner import Planner
+from topazbank.planning.server_model import WARMUP_US, PlannedServer
+from topazbank.planning.wire import (
+    DOCUMENT_BYTES_MAX,
+    STATUS_METHOD,
+    SUMMARY_METHOD,
+    InvalidDocument,
+    decode_summary,
+    encode_plan,
+)
+
+log = logging.getLogger(__name__)
+
+CONNECTIONS_MAX = 6_000  # further ones are closed at once
+IDLE_TIMEOUT_S = 60.0
+LEADERSHIP_CHECK_S = 0.1
+_BACKLOG = 512
+_REQUEST, _RESPONSE = 0, 1  # MessagePack-RPC's message types
+
+SourceFactory = Callable[[Callable[[EndpointList | None], None]], EndpointSource]
+
+
+class InvalidCall(ValueError):
+    """A message that is no MessagePack-RPC request."""
+
+
+class PlannerServer:
+    """One planner: its decisions, its listener, its leadership, and the servers of the endpoint list."""
+
+    def __init__(
+        self,
+        name: str,
+        source_factory: SourceFactory,
+        rank: int | None = 0,
+        clock: Clock | None = None,
+    ) -> None:
+        """`rank`: for the election without an ensemble; None: an election calls `set_leadership`."""
+        self.clock = clock or Clock()
+        self.planner = Planner(name)
+        self.address: Address = ("127.0.0.1", 0)
+        self.connections: set[_Connection] = set()
+        self.bytes_in = self.bytes_out = 0
+        self._leadership = RankedLeadership(name, rank, self.clock.now()) if rank is not None else None
+        self._servers: dict[str, DiscoveredServer] = {}  # that are ready, by the endpoint list
+        self._source = source_factory(self._on_list)
+        self._server: asyncio.Server | None = None
+        self._check_timer: asyncio.TimerHandle | None = None
+
+    async def start(self, address: Address = ("127.0.0.1", 0)) -> None:
+        """Listen and begin to follow the endpoint list; raise OSError where the address can't be listened at."""
+        loop = asyncio.get_running_loop()
+        self._server = await loop.create_server(lambda: _Connection(self), *address, backlog=_BACKLOG)
+        self.address = self._server.sockets[0].getsockname()[:2]
+        self._source.follow(True)
+        self._check()
+
+    def stop(self) -> None:
+        """Stop listening and close all connections."""
+        if self._check_timer is not None:
+            self._check_timer.cancel()
+        if self._server is not None:
+            self._server.close()
+        self._source.stop()
+        for connection in list(self.connections):
+            connection.abort()
+
+    def set_leadership(self, epoch: int | None) -> None:
+        """Lead under this epoch, or stop leading."""
+        if epoch is None:
+            self.planner.stop_leading()
+        else:
+            self.planner.start_leading(epoch)
+
+    def _check(self) -> None:
+        """Check leadership and idle connections, at intervals."""
+        loop = asyncio.get_running_loop()
+        self._check_timer = loop.call_later(LEADERSHIP_CHECK_S, self._check)
+        if self._leadership is not None:
+            self.set_leadership(self._leadership.current_epoch(self.clock.now(), int(time.time())))
+        idle_since_s = loop.time() - IDLE_TIMEOUT_S
+        idle = [connection for connection in self.connections if connection.last_received_at_s < idle_since_s]
+        for connection in idle:
+            connection.abort()
+
+    def _on_list(self, endpoints: EndpointList | None) -> None:
+        """Take a list or its changes; None: the poll failed."""
+        if endpoints is None:
+            self._source.fetch()
+            return
+        if endpoints.complete:
+            self._servers.clear()
+        for entry in endpoints.lines:
+            if entry.server.state is ServerState.READY:
+                self._servers[entry.server.name] = entry
+            else:
+                self._servers.pop(entry.server.name, None)
+        planned = {name: _planned_server(entry) for name, entry in self._servers.items()}
+        self.planner.update_servers(self.clock.now(), planned)
+
+    def handle_summary(self, document: object) -> list[Any]:
+        """Answer a summary with the plan (None of a standby) and the period in microseconds; raise InvalidDocument."""
+        summary = decode_summary(document)
+        now = self.clock.now()
+        if self._leadership is not None:
+            self._leadership.observe_summary(now, summary)
+        plan = self.planner.handle_summary(now, summary)
+        return [encode_plan(plan) if plan is not None else None, self.planner.summary_period_us()]
+
+    def status(self) -> dict[str, Any]:
+        """The planner's status, and its traffic since the start."""
+        return self.planner.status(self.clock.now()) | {
+            "connections": len(self.connections),
+            "bytes_in": self.bytes_in,
+            "bytes_out": self.bytes_out,
+        }
+
+
+def _planned_server(entry: DiscoveredServer) -> PlannedServer:
+    server = entry.server
+    warm_at_us = server.started_at + WARMUP_US if server.started_at is not None else 0
+    return PlannedServer(server.name, server.nominal_capacity, warm_at_us)
+
+
+class _Connection(asyncio.Protocol):
+    """One client's connection; invalid bytes close it and no other."""
+
+    def __init__(self, server: PlannerServer) -> None:
+        self._server = server
+        self._transport: asyncio.Transport | None = None
+        self._unpacker = msgpack.Unpacker(max_buffer_size=2 * DOCUMENT_BYTES_MAX)
+        self.last_received_at_s = 0.0
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """asyncio's callback."""
+        assert isinstance(transport, asyncio.Transport)
+        self._transport = transport
+        self.last_received_at_s = asyncio.get_running_loop().time()
+        if len(self._server.connections) >= CONNECTIONS_MAX:
+            transport.abort()
+            return
+        self._server.connections.add(self)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """asyncio's callback."""
+        self._server.connections.discard(self)
+
+    def pause_writing(self) -> None:
+        """asyncio's callback: the client sends calls and does not read the answers."""
+        self.abort()
+
+    def abort(self) -> None:
+        """Close the connection at once."""
+        if self._transport is not None:
+            self._transport.abort()
+
+    def data_received(self, data: bytes) -> None:
+        """asyncio's callback: handle each complete message."""
+        self.last_received_at_s = asyncio.get_running_loop().time()
+        self._server.bytes_in += len(data)
+        try:
+            self._unpacker.feed(data)
+            for message in self._unpacker:
+                self._handle_call(message)
+        except Exception as error:  # msgpack raises errors of many types
+            log.warning("connection closed after an invalid message: %.120r", error)
+            self.abort()
+
+    def _handle_call(self, message: Any) -> None:
+        message_type, message_id, method, parameters = message
+        if message_type != _REQUEST or not isinstance(message_id, int):
+            raise InvalidCall("a request is wanted")
+        error: str | None = None
+        result: Any = None
+        try:
+            if method == SUMMARY_METHOD:
+                result = self._server.handle_summary(parameters[0])
+            elif method == STATUS_METHOD:
+                result = self._server.status()
+            else:
+                error = f"{method!r:.40} is not known"
+        except (InvalidDocument, LookupError, TypeError) as invalid:
+            error = str(invalid)
+        response = msgpack.packb([_RESPONSE, message_id, error, result])
+        self._server.bytes_out += len(response)
+        if self._transport is not None and not self._transport.is_closing():
+            self._transport.write(response)
--- a/topazbank/planning/plot.py
+++ b/topazbank/planning/plot.py
@@ -1,6 +1,6 @@
-"""Draws a recorded run: each node's share of the coming requests against its share of what all can do.
+"""Draws a recorded run: each server's planned share of the requests against its share of the capacity.
 
-Needs the extra `plots` (matplotlib), which no other part imports.
+Needs the extra `plots` (matplotlib), which no other module imports.
 """
 
 from __future__ import annotations
@@ -11,21 +11,27 @@
 
 from topazbank.planning.record import ServerSample, share_accuracy
 
-PANELS_MAX = 30  # nodes with a panel of their own; of a larger fleet those that are furthest off
+PANELS_MAX = 30  # of a larger fleet the servers with the largest errors have one
 COLUMNS = 5
-GAP_S = 3.0  # without a record: they come each second
+GAP_S = 3.0  # between two records, from which on the line is broken; records come every second
 
+_SERIES: tuple[tuple[str, str, Callable[[ServerSample], float]], ...] = (
+    ("can do", "black", lambda sample: sample.capacity),
+    ("dealt", "tab:blue", lambda sample: sample.planned),
+    ("answered", "tab:orange", lambda sample: sample.served),
+)
 
-def draw_run(courses: Mapping[str, Sequence[ServerSample]], out: Path) -> None:
-    """Write a picture, in the format of the file's ending; raise ValueError where there is nothing to draw."""
+
+def draw_run(samples: Mapping[str, Sequence[ServerSample]], out: Path) -> None:
+    """Write a picture in the format of the file's suffix; raise ValueError where there is nothing to draw."""
     import matplotlib
 
-    matplotlib.use("agg")  # no screen is needed
+    matplotlib.use("agg")  # needs no screen
     from matplotlib import pyplot
 
-    if not courses:
+    if not samples:
         raise ValueError("no record of a planner that led")
-    shown = sorted(each.server for each in share_accuracy(courses)[:PANELS_MAX])
+    shown = sorted(accuracy.server for accuracy in share_accuracy(samples)[:PANELS_MAX])
     columns = min(COLUMNS, len(shown))
     rows = -(-len(shown) // columns)
     figure, panels = pyplot.subplots(
@@ -34,19 +40,10 @@
     grid = panels[0, 0].get_gridspec()
     for panel in panels[0]:
         panel.remove()
-    _overall(figure.add_subplot(grid[0, :]), courses)
+    _draw_means(figure.add_subplot(grid[0, :]), samples)
     spaces = [panel for row in panels[1:] for panel in row]
-    for panel, node in zip(spaces, shown, strict=False):
-        course = courses[node]
-        for label, color, part in (
-            ("can do", "black", lambda each: each.capacity),
-            ("dealt", "tab:blue", lambda each: each.planned),
-            ("answered", "tab:orange", lambda each: each.served),
-        ):
-            panel.plot(*series(course, part), color=color, lw=1.0, label=label)
-        panel.set_title(node, fontsize=8)
-        panel.set_ylim(bottom=0.0)
-        panel.tick_params(labelsize=7)
+    for panel, server in zip(spaces, shown, strict=False):
+        _draw_server(panel, server, samples[server])
     for panel in spaces[len(shown) :]:
         panel.remove()
     spaces[0].legend(fontsize=6)
@@ -57,29 +54,46 @@
 
 
 def series(
-    course: Sequence[ServerSample], part: Callable[[ServerSample], float]
+    samples: Sequence[ServerSample], ratio: Callable[[ServerSample], float]
 ) -> tuple[list[float], list[float]]:
-    """Times and parts in %, broken where records are missing: a planner that was gone is a gap, not a slope."""
+    """Times in seconds and ratios in %, with a NaN where records are missing, so that the line is broken there."""
     times: list[float] = []
-    parts: list[float] = []
-    for each in course:
-        if times and each.at_s - times[-1] > GAP_S:
+    percentages: list[float] = []
+    for sample in samples:
+        if times and sample.at_s - times[-1] > GAP_S:
             times.append(times[-1])
-            parts.append(math.nan)
-        times.append(each.at_s)
-        parts.append(100 * part(each))
-    return times, parts
+            percentages.append(math.nan)
+        times.append(sample.at_s)
+        percentages.append(100 * ratio(sample))
+    return times, percentages
+
+
+def _draw_server(panel: object, server: str, samples: Sequence[ServerSample]) -> None:
+    from matplotlib.axes import Axes
 
+    assert isinstance(panel, Axes)
+    for label, color, ratio in _SERIES:
+        times, percentages = series(samples, ratio)
+        panel.plot(times, percentages, color=color, lw=1.0, label=label)
+    panel.set_title(server, fontsize=8)
+    panel.set_ylim(bottom=0.0)
+    panel.tick_params(labelsize=7)
 
-def _overall(panel: object, courses: Mapping[str, Sequence[ServerSample]]) -> None:
-    """All nodes' means: on the diagonal a node is dealt just what it can do."""
+
+def _draw_means(panel: object, samples: Mapping[str, Sequence[ServerSample]]) -> None:
+    """All servers' means: on the diagonal a server's planned share is its share of the capacity."""
     from matplotlib.axes import Axes
 
     assert isinstance(panel, Axes)
-    found = share_accuracy(courses)
-    most = 110 * max(max(each.planned, each.capacity) for each in found) or 1.0
-    panel.plot([0, most], [0, most], color="grey", lw=0.7)
-    panel.scatter([100 * each.capacity for each in found], [100 * each.planned for each in found], s=14)
+    accuracies = share_accuracy(samples)
+    largest = max(max(accuracy.planned, accuracy.capacity) for accuracy in accuracies)
+    limit = 110 * largest or 1.0
+    panel.plot([0, limit], [0, limit], color="grey", lw=0.7)
+    panel.scatter(
+        [100 * accuracy.capacity for accuracy in accuracies],
+        [100 * accuracy.planned for accuracy in accuracies],
+        s=14,
+    )
     panel.set_xlabel("share of what all can do, %", fontsize=8)
     panel.set_ylabel("share dealt, %", fontsize=8)
     panel.tick_params(labelsize=7)
--- a/topazbank/planning/record.py
+++ b/topazbank/planning/record.py
@@ -1,8 +1,7 @@
-"""A recorded run of a planner: what it dealt to each node beside what the node can do and did; no I/O.
+"""A recorded run of a planner: how much of the requests each server was to get, could do, and did; no I/O.
 
-A record is what a planner's status tells (topazbank.planning.planner.Planner.status) with the time it was asked at, one
-JSON object a line.  Shares are parts of one, over all nodes that the same record names, so that runs of different
-loads can be laid beside one another.
+A record is one JSON object a line: the status of a planner (topazbank.planning.planner.Planner.status) with the time of
+the recording.  Shares are relative to all servers in the same record, so that runs of different loads can be compared.
 """
 
 from __future__ import annotations
@@ -13,44 +12,62 @@
 from dataclasses import dataclass
 from typing import Any
 
-RECORDS_MAX = 100_000  # of one file: a day at one a second; more would fill the memory of who reads it
-LINE_CHARACTERS_MAX = 1 << 20  # characters of a record
+RECORDS_MAX = 100_000  # of one file: a day at one a second
+LINE_CHARACTERS_MAX = 1 << 20
 
 
 class InvalidRecord(ValueError):
-    """A line that is no record; says which, and what was wanted."""
+    """A line that is no record; the text names the line and what is wanted."""
+
+
+@dataclass(frozen=True, slots=True)
+class ServerRecord:
+    """One server in one record."""
+
+    name: str
+    weight: float
+    capacity: float  # nominal weight, corrected by speed and warm-up
+    responses_per_second: float
+
+
+@dataclass(frozen=True, slots=True)
+class PlannerRecord:
+    """A planner's status at one time."""
+
+    at_s: float
+    epoch: int | None  # None: the planner did not lead
+    servers: tuple[ServerRecord, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ServerSample:
-    """One node at one time, as parts of all nodes then."""
+    """One server at one time, as parts of all servers then."""
 
     at_s: float  # since the first record
-    planned: float  # of the coming requests, by the plans
-    capacity: (
-        float  # of what all can do, as the planner has it: nominal weight, times its factor, while cold less
-    )
-    served: float  # of what all answered lately
+    planned: float  # of the next requests, by the plans
+    capacity: float
+    served: float  # of the recent responses
 
 
 @dataclass(frozen=True, slots=True)
 class ShareAccuracy:
-    """How far what a node is dealt lies from what it can do, over a run."""
+    """How far a server's planned share is from its share of the capacity, as means over a run."""
 
     server: str
-    planned: float  # mean part
+    planned: float
     capacity: float
     served: float
-    error_max: float  # the largest distance between dealt and capacity
+    error_max: float  # the largest distance of planned from capacity
 
     @property
     def error(self) -> float:
+        """Planned less capacity."""
         return self.planned - self.capacity
 
 
-def read_records(lines: Iterable[str]) -> list[dict[str, Any]]:
-    """Read records; raise BadRecord with the line's number where one is none, or there are too many."""
-    records: list[dict[str, Any]] = []
+def read_records(lines: Iterable[str]) -> list[PlannerRecord]:
+    """Read a recorded run; raise InvalidRecord naming the line where one is invalid or there are too many."""
+    records: list[PlannerRecord] = []
     for number, line in enumerate(lines, 1):
         if not line.strip():
             continue
@@ -60,74 +77,80 @@
             raise InvalidRecord(f"line {number}: {LINE_CHARACTERS_MAX} characters at most are wanted")
         try:
             records.append(_record(json.loads(line)))
-        except (ValueError, TypeError, KeyError) as bad:
-            raise InvalidRecord(f"line {number}: a planner's record is wanted ({bad})") from None
+        except (ValueError, TypeError, KeyError) as error:
+            raise InvalidRecord(f"line {number}: a planner's record is wanted ({error})") from None
     return records
 
 
-def _record(given: Any) -> dict[str, Any]:
-    if not isinstance(given, dict) or not isinstance(given.get("nodes"), list):
+def _record(values: Any) -> PlannerRecord:
+    if not isinstance(values, dict) or not isinstance(values.get("nodes"), list):
         raise ValueError("an object with at_s and nodes")
-    nodes: list[dict[str, Any]] = []
-    for node in given["nodes"]:
-        if not isinstance(node["name"], str):
-            raise ValueError("nodes.name is a text")
-        figures = {name: _number(node, name) for name in ("odds", "capacity", "answered_a_second")}
-        nodes.append({"name": node["name"], **figures})
-    return {"at_s": _number(given, "at_s"), "epoch": given.get("epoch"), "nodes": nodes}
+    servers = tuple(_server(node) for node in values["nodes"])
+    return PlannerRecord(_number(values, "at_s"), values.get("epoch"), servers)
+
+
+def _server(values: Any) -> ServerRecord:
+    if not isinstance(values["name"], str):
+        raise ValueError("nodes.name is a text")
+    return ServerRecord(
+        values["name"],
+        _number(values, "odds"),
+        _number(values, "capacity"),
+        _number(values, "answered_a_second"),
+    )
 
 
-def _number(given: Mapping[str, Any], name: str) -> float:
-    value = given[name]
+def _number(values: Mapping[str, Any], name: str) -> float:
+    value = values[name]
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
         raise ValueError(f"{name} is a number")
     return float(value)
 
 
-def samples_by_server(records: Sequence[Mapping[str, Any]]) -> dict[str, list[ServerSample]]:
-    """Each node's course; records of planners that did not lead say nothing of shares and are left out."""
-    courses: dict[str, list[ServerSample]] = {}
-    leading = [each for each in records if each.get("epoch") is not None]
+def samples_by_server(records: Sequence[PlannerRecord]) -> dict[str, list[ServerSample]]:
+    """Each server's samples in the order of time; records of a planner that did not lead hold no shares."""
+    samples: dict[str, list[ServerSample]] = {}
+    leading = [record for record in records if record.epoch is not None]
     for record in leading:
-        nodes = record["nodes"]
-        odds, able, did = (
-            sum(each[name] for each in nodes) for name in ("odds", "capacity", "answered_a_second")
-        )
-        for each in nodes:
-            courses.setdefault(each["name"], []).append(
-                ServerSample(
-                    record["at_s"] - leading[0]["at_s"],
-                    each["odds"] / odds if odds > 0.0 else 0.0,
-                    each["capacity"] / able if able > 0.0 else 0.0,
-                    each["answered_a_second"] / did if did > 0.0 else 0.0,
-                )
-            )
-    return courses
-
-
-def share_accuracy(courses: Mapping[str, Sequence[ServerSample]]) -> list[ShareAccuracy]:
-    """Each node's means, the furthest off first."""
-    found = []
-    for node, course in courses.items():
-        count = len(course)
-        found.append(
-            ShareAccuracy(
-                node,
-                sum(each.planned for each in course) / count,
-                sum(each.capacity for each in course) / count,
-                sum(each.served for each in course) / count,
-                max(abs(each.planned - each.capacity) for each in course),
+        weights = sum(server.weight for server in record.servers)
+        capacities = sum(server.capacity for server in record.servers)
+        responses = sum(server.responses_per_second for server in record.servers)
+        for server in record.servers:
+            sample = ServerSample(
+                record.at_s - leading[0].at_s,
+                _ratio(server.weight, weights),
+                _ratio(server.capacity, capacities),
+                _ratio(server.responses_per_second, responses),
             )
+            samples.setdefault(server.name, []).append(sample)
+    return samples
+
+
+def _ratio(part: float, total: float) -> float:
+    return part / total if total > 0.0 else 0.0
+
+
+def share_accuracy(samples: Mapping[str, Sequence[ServerSample]]) -> list[ShareAccuracy]:
+    """Each server's means, the largest error first."""
+    accuracies = [
+        ShareAccuracy(
+            server,
+            sum(sample.planned for sample in series) / len(series),
+            sum(sample.capacity for sample in series) / len(series),
+            sum(sample.served for sample in series) / len(series),
+            max(abs(sample.planned - sample.capacity) for sample in series),
         )
-    return sorted(found, key=lambda each: (-abs(each.error), each.server))
+        for server, series in samples.items()
+    ]
+    return sorted(accuracies, key=lambda accuracy: (-abs(accuracy.error), accuracy.server))
 
 
-def accuracy_table(found: Sequence[ShareAccuracy]) -> list[str]:
-    """A line a node."""
+def accuracy_table(accuracies: Sequence[ShareAccuracy]) -> list[str]:
+    """A table for people, a line per server."""
     lines = [f"{'node':<20}{'dealt':>9}{'can do':>9}{'answered':>10}{'off':>8}{'worst':>8}"]
     lines += [
-        f"{each.server:<20}{each.planned:>9.1%}{each.capacity:>9.1%}{each.served:>10.1%}"
-        f"{each.error:>+8.1%}{each.error_max:>8.1%}"
-        for each in found
+        f"{row.server:<20}{row.planned:>9.1%}{row.capacity:>9.1%}{row.served:>10.1%}"
+        f"{row.error:>+8.1%}{row.error_max:>8.1%}"
+        for row in accuracies
     ]
     return lines
--- a/topazbank/planning/summary.py
+++ b/topazbank/planning/summary.py
@@ -1,155 +1,201 @@
-"""What a forwarder tells planners of itself, in bounded size; no I/O, times in whole microseconds."""
+"""Summary reports: what a forwarder tells planners of each period, in bounded size; no I/O, times in microseconds."""
 
 from __future__ import annotations
 
 import math
-from collections.abc import Mapping
+from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from topazbank.cluster.member import Generations
 
-SERVERS_MAX = 64  # nodes that a summary tells of: those that were most used; 40 bytes or so each
-BUCKETS_MAX = 32  # of a sketch of times
-_FIRST_US = 500.0  # the upper end of a sketch's first bucket; each next is _GROWTH times as far
-_GROWTH = 1.5
+SERVERS_MAX = 64  # in a summary, the most used; about 40 bytes each
+BUCKETS_MAX = 32  # of a sketch
+_FIRST_BUCKET_US = 500.0  # its upper end
+_BUCKET_GROWTH_RATIO = 1.5
 
 
 class QuantileSketch:
-    """Times in buckets that grow by a constant factor, so that sketches add up; off by a quarter at the most.
+    """A histogram of times from 0.5 ms to 140 s whose buckets grow by a constant factor.
 
-    After DDSketch (Masson, Rim, Lee: DDSketch, VLDB 2019), with a fixed range: 0.5 ms to 140 s.
+    Sketches can be merged; a quantile is off by a quarter at most.  After DDSketch (Masson, Rim, Lee, VLDB 2019), with
+    a fixed range.
     """
 
     __slots__ = ("counts",)
 
     def __init__(self, counts: Mapping[int, int] | None = None) -> None:
-        self.counts: dict[int, int] = dict(counts or {})  # by bucket: BUCKETS
+        self.counts: dict[int, int] = dict(counts or {})  # by bucket
 
     def add(self, elapsed_us: float) -> None:
-        bucket = 0 if elapsed_us <= _FIRST_US else math.ceil(math.log(elapsed_us / _FIRST_US, _GROWTH))
+        """Count one time."""
+        bucket = 0
+        if elapsed_us > _FIRST_BUCKET_US:
+            bucket = math.ceil(math.log(elapsed_us / _FIRST_BUCKET_US, _BUCKET_GROWTH_RATIO))
         bucket = min(bucket, BUCKETS_MAX - 1)
         self.counts[bucket] = self.counts.get(bucket, 0) + 1
 
     def merge(self, other: QuantileSketch) -> None:
+        """Add the other sketch's counts."""
         for bucket, count in other.counts.items():
             self.counts[bucket] = self.counts.get(bucket, 0) + count
 
-    def quantile(self, part: float) -> float | None:
-        """The time below which this part of the answers came, in microseconds; None without answers."""
-        wanted = part * sum(self.counts.values())
+    def quantile(self, ratio: float) -> float | None:
+        """The time in microseconds below which this part of the times lie; None for an empty sketch."""
+        remaining = ratio * sum(self.counts.values())
         for bucket in sorted(self.counts):
-            wanted -= self.counts[bucket]
-            if wanted <= 0:
-                return _FIRST_US * math.pow(_GROWTH, bucket - 0.5)
+            remaining -= self.counts[bucket]
+            if remaining <= 0:
+                return _FIRST_BUCKET_US * math.pow(_BUCKET_GROWTH_RATIO, bucket - 0.5)
         return None
 
 
 @dataclass(slots=True)
 class ServerUsage:
-    """One node as a forwarder saw it over a period."""
+    """One forwarder's use of one server over a period."""
 
     sent: int = 0
     answered: int = 0
-    failed: int = 0  # attempts that ended without an answer, those given up included
-    response_time_us: int = 0  # of what was answered, summed
-    in_flight: int = 0  # at the period's end
-    reported_in_flight: float | None = (
-        None  # requests that the node held by its newest report, queued ones included
-    )
-    reported_at_us: int = 0  # when that came
-    concurrency: float = 0.0  # requests that it runs at once, by the same report; 0: it does not say
+    failed: int = 0  # attempts that ended without a response, cancelled ones included
+    response_time_us: int = 0  # sum over the answered attempts
+    in_flight: int = 0  # at the end of the period
+    reported_in_flight: float | None = None  # by the server's newest load report, queued requests included
+    reported_at_us: int = 0
+    concurrency: float = 0.0  # requests that the server runs at once, by the same report; 0: unknown
     ejected: bool = False
 
 
+class RequestCounts(NamedTuple):
+    """Requests of one class over a period."""
+
+    arrived: int
+    served: int
+    rejected: int
+
+
+class FollowedPlan(NamedTuple):
+    """The plan that a forwarder follows; a sequence of -1: none."""
+
+    epoch: int  # the highest seen
+    planner: str
+    sequence: int
+
+
 @dataclass(slots=True)
 class SummaryReport:
-    """One forwarder over one period."""
+    """One forwarder's summary of one period."""
 
     forwarder: str
-    incarnation: str
-    number: int  # counts the forwarder's summaries
+    incarnation: str  # of the forwarder's process
+    number: int  # counts its summaries
     period_us: int
     epoch: int  # the highest seen
     planner: str
     sequence: int  # of the plan that is followed; -1: none
-    plan_age_us: int | None = None  # of that plan; None: none is followed
-    request_classes: dict[str, tuple[int, int, int]] = field(
-        default_factory=dict
-    )  # arrived, served, turned away
-    servers: dict[str, ServerUsage] = field(default_factory=dict)  # NODES_MOST
+    plan_age_us: int | None = None  # None: no plan is followed
+    request_classes: dict[str, RequestCounts] = field(default_factory=dict)
+    servers: dict[str, ServerUsage] = field(default_factory=dict)  # at most SERVERS_MAX
     response_times: QuantileSketch = field(default_factory=QuantileSketch)
-    generations: Generations | None = None  # None: it takes no part in a tier
+    generations: Generations | None = None  # of the cluster's members; None: the forwarder is in no cluster
+
+
+@dataclass(slots=True)
+class _ClassCounter:
+    """Counts of one request class in the current period."""
+
+    arrived: int = 0
+    served: int = 0
+    rejected: int = 0
 
 
 class SummaryCollector:
-    """Gathers one forwarder's summaries as events pass."""
+    """Counts events and makes a summary of each period."""
 
     def __init__(self) -> None:
-        self._began = 0
+        self._period_started_at = 0
         self._number = 0
-        self._classes: dict[str, list[int]] = {}  # as many as the settings name
-        self._nodes: dict[
-            str, ServerUsage
-        ] = {}  # nodes used in this period, and those with something in flight
-        self._times = QuantileSketch()
+        self._classes: dict[str, _ClassCounter] = {}  # as many as the settings name
+        self._servers: dict[str, ServerUsage] = {}  # used in this period, or with attempts in flight
+        self._response_times = QuantileSketch()
 
-    def request_arrived(self, kind: str) -> None:
-        self._classes.setdefault(kind, [0, 0, 0])[0] += 1
+    def request_arrived(self, request_class: str) -> None:
+        """A client's request of this class has come."""
+        self._counter(request_class).arrived += 1
 
-    def request_served(self, kind: str) -> None:
-        self._classes.setdefault(kind, [0, 0, 0])[1] += 1
+    def request_served(self, request_class: str) -> None:
+        """A request was answered by a server."""
+        self._counter(request_class).served += 1
 
-    def request_rejected(self, kind: str) -> None:
-        self._classes.setdefault(kind, [0, 0, 0])[2] += 1
+    def request_rejected(self, request_class: str) -> None:
+        """A request was answered by the forwarder itself, with an error."""
+        self._counter(request_class).rejected += 1
 
-    def attempt_sent(self, node: str) -> None:
-        use = self._nodes.setdefault(node, ServerUsage())
-        use.sent += 1
-        use.in_flight += 1
+    def attempt_sent(self, server: str) -> None:
+        """An attempt at a server has begun."""
+        usage = self._servers.setdefault(server, ServerUsage())
+        usage.sent += 1
+        usage.in_flight += 1
 
     def attempt_ended(
-        self, now: int, node: str, answered: bool, elapsed_us: int, report: Mapping[str, float] | None
+        self, now: int, server: str, answered: bool, elapsed_us: int, report: Mapping[str, float] | None
     ) -> None:
-        use = self._nodes.setdefault(node, ServerUsage())
-        use.in_flight = max(use.in_flight - 1, 0)
+        """An attempt has ended; `report`: the server's load report, if it sent one."""
+        usage = self._servers.setdefault(server, ServerUsage())
+        usage.in_flight = max(usage.in_flight - 1, 0)
         if answered:
-            use.answered += 1
-            use.response_time_us += elapsed_us
-            self._times.add(elapsed_us)
+            usage.answered += 1
+            usage.response_time_us += elapsed_us
+            self._response_times.add(elapsed_us)
         else:
-            use.failed += 1
+            usage.failed += 1
         if report and "inflight" in report:
-            use.reported_in_flight = max(report["inflight"] + report.get("queue", 0.0), 0.0)
-            use.reported_at_us = now
-            util = report.get("util", 0.0)
-            use.concurrency = report["inflight"] / util if util > 0.0 else 0.0
+            _take_load_report(usage, now, report)
 
     def collect(
-        self, now: int, forwarder: str, life: str, following: tuple[int, str, int], ejected: frozenset[str]
+        self, now: int, forwarder: str, incarnation: str, followed: FollowedPlan, ejected: Collection[str]
     ) -> SummaryReport:
-        """The summary of what passed since the last one."""
+        """Return the summary since the last one; `ejected`: the servers that the forwarder has ejected now."""
         self._number += 1
         for name in ejected:
-            self._nodes.setdefault(name, ServerUsage())
-        used = sorted(self._nodes.items(), key=lambda each: -(each[1].sent + each[1].in_flight))
-        for name, use in used:
-            use.ejected = name in ejected
-        epoch, planner, sequence = following
+            self._servers.setdefault(name, ServerUsage())
+        for name, usage in self._servers.items():
+            usage.ejected = name in ejected
         summary = SummaryReport(
             forwarder,
-            life,
+            incarnation,
             self._number,
-            max(now - self._began, 1),
-            epoch,
-            planner,
-            sequence,
+            max(now - self._period_started_at, 1),
+            *followed,
             None,
-            {kind: (counts[0], counts[1], counts[2]) for kind, counts in self._classes.items()},
-            dict(used[:SERVERS_MAX]),
-            self._times,
+            {
+                name: RequestCounts(counter.arrived, counter.served, counter.rejected)
+                for name, counter in self._classes.items()
+            },
+            self._most_used(),
+            self._response_times,
         )
-        self._began, self._classes, self._times = now, {}, QuantileSketch()
-        self._nodes = {
-            name: ServerUsage(in_flight=use.in_flight) for name, use in self._nodes.items() if use.in_flight
-        }
+        self._start_period(now)
         return summary
+
+    def _most_used(self) -> dict[str, ServerUsage]:
+        by_use = sorted(self._servers.items(), key=lambda item: -(item[1].sent + item[1].in_flight))
+        return dict(by_use[:SERVERS_MAX])
+
+    def _start_period(self, now: int) -> None:
+        self._period_started_at, self._classes, self._response_times = now, {}, QuantileSketch()
+        self._servers = {
+            name: ServerUsage(in_flight=usage.in_flight)
+            for name, usage in self._servers.items()
+            if usage.in_flight
+        }
+
+    def _counter(self, request_class: str) -> _ClassCounter:
+        return self._classes.setdefault(request_class, _ClassCounter())
+
+
+def _take_load_report(usage: ServerUsage, now: int, report: Mapping[str, float]) -> None:
+    in_flight = report["inflight"]
+    utilization = report.get("util", 0.0)
+    usage.reported_in_flight = max(in_flight + report.get("queue", 0.0), 0.0)
+    usage.reported_at_us = now
+    usage.concurrency = in_flight / utilization if utilization > 0.0 else 0.0
--- a/topazbank/planning/wire.py
+++ b/topazbank/planning/wire.py
@@ -1,7 +1,8 @@
-"""Plans and summaries as bytes: MessagePack arrays with a version and a checksum; no I/O.
+"""Plans and summary reports as bytes: MessagePack arrays with a version and a checksum; no I/O.
 
-A document is [version, body, checksum], its checksum BLAKE2b over the body's 8 bytes wide.  It goes as one parameter or
-result of a MessagePack-RPC call, so that a document cut short or changed on its way is told from one that is whole.
+A document is [version, body, checksum], the checksum being BLAKE2b over the body, 8 bytes wide.  It is one parameter or
+result of a MessagePack-RPC call.  A document that was truncated or altered on its way is refused.  Planners and
+forwarders of different versions of the program talk to one another: fields keep their order, new ones are optional.
 """
 
 from __future__ import annotations
@@ -14,53 +15,40 @@
 
 from topazbank.cluster.member import GONE_TOLD, Generations
 from topazbank.planning.plan import SHARES_MAX, Plan, ServerShare
-from topazbank.planning.summary import BUCKETS_MAX, SERVERS_MAX, QuantileSketch, ServerUsage, SummaryReport
+from topazbank.planning.summary import (
+    BUCKETS_MAX,
+    SERVERS_MAX,
+    QuantileSketch,
+    RequestCounts,
+    ServerUsage,
+    SummaryReport,
+)
 
 VERSION = 1
-DOCUMENT_BYTES_MAX = 64 * 1024  # bytes: 256 shares or 64 nodes with names of 200 characters
-SUMMARY_METHOD, STATUS_METHOD = "planner.summary", "planner.status"  # methods
-_CLASSES_MOST = 64
-_NAME_MOST = 256  # characters
+DOCUMENT_BYTES_MAX = 64 * 1024  # 256 shares or 64 servers with names of 200 characters
+SUMMARY_METHOD, STATUS_METHOD = "planner.summary", "planner.status"
+_CHECKSUM_BYTES = 8
+_PLAN_FIELDS = 10
+_SUMMARY_FIELDS, _SUMMARY_OPTIONAL_FIELDS = 11, 1
+_SHARE_FIELDS = 4
+_USAGE_FIELDS = 9
+_CLASSES_MAX = 64
+_NAME_CHARACTERS_MAX = 256
 
 
 class InvalidDocument(Exception):
-    """Bytes that are no plan or summary; the text says what was wanted."""
-
-
-def _sealed(body: list[Any]) -> bytes:
-    packed = msgpack.packb(body)
-    sealed: bytes = msgpack.packb([VERSION, packed, hashlib.blake2b(packed, digest_size=8).digest()])
-    return sealed
-
-
-def _opened(data: object, fields: int, more: int = 0) -> list[Any]:
-    """The body of a document of so many fields; up to `more` further ones are None where they are left out."""
-    if not isinstance(data, bytes) or len(data) > DOCUMENT_BYTES_MAX:
-        raise InvalidDocument(f"{DOCUMENT_BYTES_MAX} bytes at most are wanted")
-    try:
-        version, packed, checksum = msgpack.unpackb(data)
-        if version != VERSION:
-            raise InvalidDocument(f"version {VERSION} is wanted, not {version!r:.20}")
-        if hashlib.blake2b(packed, digest_size=8).digest() != checksum:
-            raise InvalidDocument("the checksum is another")
-        body = msgpack.unpackb(packed)
-    except InvalidDocument:
-        raise
-    except Exception as bad:  # msgpack raises what its parts do
-        raise InvalidDocument(f"a document is wanted: {bad!r:.80}") from None
-    if not isinstance(body, list) or not fields <= len(body) <= fields + more:
-        raise InvalidDocument(f"{fields} fields are wanted")
-    return body + [None] * (fields + more - len(body))
+    """Bytes that are no plan or summary; the text names the field and what is wanted."""
 
 
 def encode_plan(plan: Plan) -> bytes:
+    """Encode a plan."""
     shares = {
         name: None
-        if each is None
-        else [each.weight, each.relative_wait, each.in_flight_limit, each.slow_start_ratio]
-        for name, each in plan.shares.items()
+        if share is None
+        else [share.weight, share.relative_wait, share.in_flight_limit, share.slow_start_ratio]
+        for name, share in plan.shares.items()
     }
-    return _sealed(
+    return _seal(
         [
             plan.forwarder,
             plan.incarnation,
@@ -77,50 +65,29 @@
 
 
 def decode_plan(data: object) -> Plan:
-    body = _opened(data, 10)
-    forwarder, life, epoch, planner, sequence, lease, age, base, part, shares = body
-    if not isinstance(shares, dict) or len(shares) > 2 * SHARES_MAX:
+    """Decode a plan; raise InvalidDocument."""
+    body = _open(data, _PLAN_FIELDS)
+    forwarder, incarnation, epoch, planner, sequence, lease_us, data_age_us, base, confidence, shares = body
+    if not isinstance(shares, dict) or len(shares) > 2 * SHARES_MAX:  # a change names former servers too
         raise InvalidDocument("shares: a map is wanted")
-    made: dict[str, ServerShare | None] = {}
-    for name, share in shares.items():
-        if share is None:
-            made[_text(name, "node")] = None
-        elif isinstance(share, list) and len(share) == 4:
-            odds, wait, room, cold = (_number(each, "share") for each in share)
-            made[_text(name, "node")] = ServerShare(odds, wait, room, cold)
-        else:
-            raise InvalidDocument("shares: four figures or nil are wanted")
     return Plan(
         _text(forwarder, "forwarder"),
-        _text(life, "life"),
-        _whole(epoch, "epoch"),
+        _text(incarnation, "life"),
+        _integer(epoch, "epoch"),
         _text(planner, "planner"),
-        _whole(sequence, "sequence"),
-        _whole(lease, "lease"),
-        _whole(age, "age"),
-        made,
-        None if base is None else _whole(base, "base"),
-        _number(part, "part"),
+        _integer(sequence, "sequence"),
+        _integer(lease_us, "lease"),
+        _integer(data_age_us, "age"),
+        {_text(name, "node"): _share(share) for name, share in shares.items()},
+        None if base is None else _integer(base, "base"),
+        _number(confidence, "part"),
     )
 
 
 def encode_summary(summary: SummaryReport) -> bytes:
-    nodes = {
-        name: [
-            use.sent,
-            use.answered,
-            use.failed,
-            use.response_time_us,
-            use.in_flight,
-            use.reported_in_flight,
-            use.reported_at_us,
-            use.concurrency,
-            use.ejected,
-        ]
-        for name, use in summary.servers.items()
-    }
-    lives = summary.generations
-    return _sealed(
+    """Encode a summary report."""
+    generations = summary.generations
+    return _seal(
         [
             summary.forwarder,
             summary.incarnation,
@@ -130,88 +97,144 @@
             summary.planner,
             summary.sequence,
             summary.plan_age_us,
-            {kind: list(counts) for kind, counts in summary.request_classes.items()},
-            nodes,
-            [list(each) for each in summary.response_times.counts.items()],
-            # Left out by who is in no tier: planners from before it read such summaries as ever.
-            *([[lives.own, *lives.gone]] if lives is not None else []),
+            {name: list(counts) for name, counts in summary.request_classes.items()},
+            {name: _usage_fields(usage) for name, usage in summary.servers.items()},
+            [list(bucket) for bucket in summary.response_times.counts.items()],
+            # Left out by a forwarder in no cluster, so that planners from before this field read it.
+            *([[generations.own, *generations.gone]] if generations is not None else []),
         ]
     )
 
 
 def decode_summary(data: object) -> SummaryReport:
-    body = _opened(data, 11, more=1)
-    forwarder, life, number, period, epoch, planner, sequence, age, classes, nodes, times, lives = body
-    if not isinstance(classes, dict) or len(classes) > _CLASSES_MOST:
-        raise InvalidDocument(f"classes: a map of {_CLASSES_MOST} at most is wanted")
-    if not isinstance(nodes, dict) or len(nodes) > SERVERS_MAX:
+    """Decode a summary report; raise InvalidDocument."""
+    body = _open(data, _SUMMARY_FIELDS, _SUMMARY_OPTIONAL_FIELDS)
+    forwarder, incarnation, number, period_us, epoch, planner, sequence, plan_age_us = body[:8]
+    classes, servers, times, generations = body[8:]
+    if not isinstance(classes, dict) or len(classes) > _CLASSES_MAX:
+        raise InvalidDocument(f"classes: a map of {_CLASSES_MAX} at most is wanted")
+    if not isinstance(servers, dict) or len(servers) > SERVERS_MAX:
         raise InvalidDocument(f"nodes: a map of {SERVERS_MAX} at most is wanted")
     if not isinstance(times, list) or len(times) > BUCKETS_MAX:
         raise InvalidDocument(f"times: a list of {BUCKETS_MAX} at most is wanted")
     return SummaryReport(
         _text(forwarder, "forwarder"),
-        _text(life, "life"),
-        _whole(number, "number"),
-        max(_whole(period, "period"), 1),
-        _whole(epoch, "epoch", -1),
+        _text(incarnation, "life"),
+        _integer(number, "number"),
+        max(_integer(period_us, "period"), 1),
+        _integer(epoch, "epoch", -1),
         _text(planner, "planner"),
-        _whole(sequence, "sequence", -1),
-        None if age is None else _whole(age, "age"),
-        {_text(kind, "class"): _counts(each) for kind, each in classes.items()},
-        {_text(name, "node"): _use(each) for name, each in nodes.items()},
+        _integer(sequence, "sequence", -1),
+        None if plan_age_us is None else _integer(plan_age_us, "age"),
+        {_text(name, "class"): _counts(counts) for name, counts in classes.items()},
+        {_text(name, "node"): _usage(usage) for name, usage in servers.items()},
         QuantileSketch(dict(map(_bucket, times))),
-        None if lives is None else _lives(lives),
+        None if generations is None else _generations(generations),
     )
 
 
-def _lives(given: object) -> Generations:
-    if not isinstance(given, list) or not 1 <= len(given) <= 1 + GONE_TOLD:
-        raise InvalidDocument(f"tier: itself and {GONE_TOLD} others at most are wanted")
-    pairs = []
-    for each in given:
-        if not isinstance(each, list) or len(each) != 2:
-            raise InvalidDocument("tier: pairs of an ident and a life are wanted")
-        pairs.append((_whole(each[0], "ident"), _whole(each[1], "life")))
-    return Generations(pairs[0], tuple(pairs[1:]))
-
+def _seal(body: list[Any]) -> bytes:
+    packed = msgpack.packb(body)
+    document: bytes = msgpack.packb([VERSION, packed, _checksum(packed)])
+    return document
 
-def _counts(given: object) -> tuple[int, int, int]:
-    if not isinstance(given, list) or len(given) != 3:
-        raise InvalidDocument("classes: three counts are wanted")
-    arrived, served, turned_away = (_whole(each, "count") for each in given)
-    return arrived, served, turned_away
 
+def _checksum(packed: bytes) -> bytes:
+    return hashlib.blake2b(packed, digest_size=_CHECKSUM_BYTES).digest()
 
-def _bucket(given: object) -> tuple[int, int]:
-    if not isinstance(given, list) or len(given) != 2:
-        raise InvalidDocument("times: pairs of a bucket and a count are wanted")
-    return _whole(given[0], "bucket") % BUCKETS_MAX, _whole(given[1], "count")
 
-
-def _use(given: object) -> ServerUsage:
-    if not isinstance(given, list) or len(given) != 9:
+def _open(data: object, fields: int, optional_fields: int = 0) -> list[Any]:
+    """The body of a document; optional fields that were left out are None."""
+    if not isinstance(data, bytes) or len(data) > DOCUMENT_BYTES_MAX:
+        raise InvalidDocument(f"{DOCUMENT_BYTES_MAX} bytes at most are wanted")
+    try:
+        version, packed, checksum = msgpack.unpackb(data)
+        if version != VERSION:
+            raise InvalidDocument(f"version {VERSION} is wanted, not {version!r:.20}")
+        if _checksum(packed) != checksum:
+            raise InvalidDocument("the checksum is another")
+        body = msgpack.unpackb(packed)
+    except InvalidDocument:
+        raise
+    except Exception as error:  # msgpack raises errors of many types
+        raise InvalidDocument(f"a document is wanted: {error!r:.80}") from None
+    if not isinstance(body, list) or not fields <= len(body) <= fields + optional_fields:
+        raise InvalidDocument(f"{fields} fields are wanted")
+    return body + [None] * (fields + optional_fields - len(body))
+
+
+def _share(value: object) -> ServerShare | None:
+    if value is None:
+        return None
+    if not isinstance(value, list) or len(value) != _SHARE_FIELDS:
+        raise InvalidDocument("shares: four figures or nil are wanted")
+    weight, relative_wait, in_flight_limit, slow_start_ratio = (_number(field, "share") for field in value)
+    return ServerShare(weight, relative_wait, in_flight_limit, slow_start_ratio)
+
+
+def _usage_fields(usage: ServerUsage) -> list[Any]:
+    return [
+        usage.sent,
+        usage.answered,
+        usage.failed,
+        usage.response_time_us,
+        usage.in_flight,
+        usage.reported_in_flight,
+        usage.reported_at_us,
+        usage.concurrency,
+        usage.ejected,
+    ]
+
+
+def _usage(value: object) -> ServerUsage:
+    if not isinstance(value, list) or len(value) != _USAGE_FIELDS:
         raise InvalidDocument("nodes: nine figures are wanted")
-    sent, answered, failed, time_us, in_flight, held, held_at, slots, ejected = given
+    sent, answered, failed, response_time_us, in_flight, reported, reported_at_us, concurrency, ejected = (
+        value
+    )
     return ServerUsage(
-        _whole(sent, "sent"),
-        _whole(answered, "answered"),
-        _whole(failed, "failed"),
-        _whole(time_us, "time_us"),
-        _whole(in_flight, "in_flight"),
-        None if held is None else _number(held, "held"),
-        _whole(held_at, "held_at"),
-        _number(slots, "slots"),
+        _integer(sent, "sent"),
+        _integer(answered, "answered"),
+        _integer(failed, "failed"),
+        _integer(response_time_us, "time_us"),
+        _integer(in_flight, "in_flight"),
+        None if reported is None else _number(reported, "held"),
+        _integer(reported_at_us, "held_at"),
+        _number(concurrency, "slots"),
         ejected is True,
     )
 
 
+def _generations(value: object) -> Generations:
+    if not isinstance(value, list) or not 1 <= len(value) <= 1 + GONE_TOLD:
+        raise InvalidDocument(f"tier: itself and {GONE_TOLD} others at most are wanted")
+    members = []
+    for member in value:
+        if not isinstance(member, list) or len(member) != 2:
+            raise InvalidDocument("tier: pairs of an ident and a life are wanted")
+        members.append((_integer(member[0], "ident"), _integer(member[1], "life")))
+    return Generations(members[0], tuple(members[1:]))
+
+
+def _counts(value: object) -> RequestCounts:
+    if not isinstance(value, list) or len(value) != len(RequestCounts._fields):
+        raise InvalidDocument("classes: three counts are wanted")
+    return RequestCounts(*(_integer(count, "count") for count in value))
+
+
+def _bucket(value: object) -> tuple[int, int]:
+    if not isinstance(value, list) or len(value) != 2:
+        raise InvalidDocument("times: pairs of a bucket and a count are wanted")
+    return _integer(value[0], "bucket") % BUCKETS_MAX, _integer(value[1], "count")
+
+
 def _text(value: object, name: str) -> str:
-    if not isinstance(value, str) or len(value) > _NAME_MOST:
-        raise InvalidDocument(f"{name}: a text of {_NAME_MOST} characters at most is wanted")
+    if not isinstance(value, str) or len(value) > _NAME_CHARACTERS_MAX:
+        raise InvalidDocument(f"{name}: a text of {_NAME_CHARACTERS_MAX} characters at most is wanted")
     return value
 
 
-def _whole(value: object, name: str, low: int = 0) -> int:
+def _integer(value: object, name: str, low: int = 0) -> int:
     if type(value) is not int or not low <= value < 2**63:
         raise InvalidDocument(f"{name}: a whole number from {low} is wanted, not {value!r:.40}")
     return value
