--- a/tests/planning/test_links.py
+++ b/tests/planning/test_links.py
@@ -25,7 +25,7 @@
 
 
 class FakePlanner:
-    """Answers each call as `script` says: bytes to write, or None for silence."""
+    """Answers each call with the bytes that `script` returns for it; None: with nothing."""
 
     def __init__(self, script: Any) -> None:
         self.script = script
@@ -52,47 +52,47 @@
         self._server.close()
 
 
-def answer(message: Any, plan: Any = None, period: int = 20_000) -> bytes:
-    made: bytes = msgpack.packb([1, message[1], None, [plan, period]])
-    return made
+def response_to(message: Any, plan: Any = None, period: int = 20_000) -> bytes:
+    response: bytes = msgpack.packb([1, message[1], None, [plan, period]])
+    return response
 
 
 @contextlib.asynccontextmanager
 async def linked(script: Any) -> AsyncIterator[tuple[FakePlanner, PlannerLink, list[Plan]]]:
-    planner, heard = FakePlanner(script), list[Plan]()
+    planner, plans = FakePlanner(script), list[Plan]()
     await planner.start()
-    link = PlannerLink(planner.address, lambda: 7, lambda asked_at, plan: heard.append(plan), 1)
+    link = PlannerLink(planner.address, lambda: 7, lambda asked_at, plan: plans.append(plan), 1)
 
-    async def tell() -> None:
+    async def send_summaries() -> None:
         while True:
             link.send(b"summary")
             await asyncio.sleep(0.01)
 
-    telling = asyncio.create_task(tell())
+    sending = asyncio.create_task(send_summaries())
     try:
-        yield planner, link, heard
+        yield planner, link, plans
     finally:
-        telling.cancel()
+        sending.cancel()
         link.stop()
         planner.stop()
 
 
-def test_one_call_is_out_at_a_time_and_each_answer_is_heard_once() -> None:
-    async def scene() -> None:
-        def twice(message: Any) -> bytes:
-            return 2 * answer(message, encode_plan(PLAN))
+def test_one_call_is_in_flight_at_a_time_and_each_response_is_taken_once() -> None:
+    async def scenario() -> None:
+        def respond_twice(message: Any) -> bytes:
+            return 2 * response_to(message, encode_plan(PLAN))
 
-        async with linked(twice) as (planner, link, heard):
-            await until(lambda: len(heard) >= 5)
-            assert len(heard) == link.responses <= len(planner.calls)
+        async with linked(respond_twice) as (planner, link, plans):
+            await until(lambda: len(plans) >= 5)
+            assert len(plans) == link.responses <= len(planner.calls)
             assert all(each[2:] == [SUMMARY_METHOD, [b"summary"]] for each in planner.calls)
-            assert heard[0] == PLAN and link.period_us == 20_000 and not link.invalid_responses
+            assert plans[0] == PLAN and link.period_us == 20_000 and not link.invalid_responses
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
-    "answered",
+    "script",
     [
         lambda message: b"\xc1\xc1",
         lambda message: msgpack.packb([1, message[1], None, [encode_plan(PLAN)[:-1], 20_000]]),
@@ -103,33 +103,33 @@
     ],
     ids=["junk", "cut plan", "error", "odd result", "no message", "huge"],
 )
-def test_a_planner_that_makes_no_sense_is_counted_and_nothing_of_it_is_followed(answered: Any) -> None:
-    async def scene() -> None:
-        async with linked(answered) as (_, link, heard):
+def test_an_invalid_response_is_counted_and_not_followed(script: Any) -> None:
+    async def scenario() -> None:
+        async with linked(script) as (_, link, plans):
             await until(lambda: link.invalid_responses >= 1 or link._backoff_s > links.BACKOFF_MIN_S)
-            assert not heard
+            assert not plans
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_silent_planner_is_dialled_again_less_and_less_often(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_silent_planner_is_connected_to_with_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(links, "RESPONSE_TIMEOUT_S", 0.05)
     monkeypatch.setattr(links, "BACKOFF_MIN_S", 0.02)
 
-    async def scene() -> None:
-        async with linked(lambda message: None) as (planner, link, heard):
+    async def scenario() -> None:
+        async with linked(lambda message: None) as (planner, link, plans):
             link._backoff_s = 0.02
             await until(lambda: len(planner.calls) >= 4)
-            assert link._backoff_s >= 0.16 and not heard
-            planner.script = lambda message: answer(message, encode_plan(PLAN))
-            await until(lambda: heard)
+            assert link._backoff_s >= 0.16 and not plans
+            planner.script = lambda message: response_to(message, encode_plan(PLAN))
+            await until(lambda: plans)
             assert link._backoff_s == links.BACKOFF_MIN_S
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_caller_that_makes_no_sense_ends_alone() -> None:
-    async def scene() -> None:
+def test_an_invalid_message_closes_its_connection_and_no_other() -> None:
+    async def scenario() -> None:
         rig = Rig(planners=1, sidecars=1, nodes=4)
         await rig.start()
         server = rig.planners[0]
@@ -156,11 +156,11 @@
         await until(lambda: (now := rig.following(0)) is not None and now.sequence > before.sequence)
         await rig.stop()
 
-    play(scene())
+    play(scenario())
 
 
-def test_connections_are_bounded_and_the_silent_ones_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene() -> None:
+def test_connections_are_bounded_and_idle_ones_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
         rig = Rig(planners=1, sidecars=1, nodes=4)
         await rig.start()
         server = rig.planners[0]
@@ -173,36 +173,38 @@
         assert await other[0].read() == b""
         monkeypatch.setattr(serving, "IDLE_TIMEOUT_S", 0.3)
         assert await one[0].read() == b""
-        await until(lambda: min(rig.trusts()) > 0.05)  # a forwarder is never silent for so long
+        await until(lambda: min(rig.trusts()) > 0.05)  # a forwarder is never idle for so long
         for _, writer in (one, other):
             writer.close()
         await rig.stop()
 
-    play(scene())
+    play(scenario())
 
 
-def test_the_commands_show_what_is_followed_and_what_is_known(capsys: pytest.CaptureFixture[str]) -> None:
-    async def scene() -> None:
+def test_the_commands_show_the_followed_plan_and_the_planners_status(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
+    async def scenario() -> None:
         rig = Rig(planners=1, sidecars=1, nodes=4)
         await rig.start()
         await until(lambda: min(rig.trusts()) > 0.2)
         process, server = rig.processes[0], rig.planners[0]
         assert process is not None and server is not None
-        places = {"show": process.sidecar.frontend.address, "status": server.address}
-        for what, (host, port) in places.items():
+        addresses = {"show": process.sidecar.frontend.address, "status": server.address}
+        for what, (host, port) in addresses.items():
             code = await asyncio.to_thread(command.main, [what, f"{host}:{port}"])
             assert code == 0
-        told = capsys.readouterr().out
-        assert "forwarder f-0: epoch 1 of planner p-0" in told and "planner p-0 leads by epoch 1" in told
-        assert told.count("n-3") == 2
+        output = capsys.readouterr().out
+        assert "forwarder f-0: epoch 1 of planner p-0" in output and "planner p-0 leads by epoch 1" in output
+        assert output.count("n-3") == 2
         await rig.stop()
-        assert await asyncio.to_thread(command.main, ["status", f"127.0.0.1:{places['status'][1]}"]) == 1
+        assert await asyncio.to_thread(command.main, ["status", f"127.0.0.1:{addresses['status'][1]}"]) == 1
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
-    ("given", "named"),
+    ("values", "field"),
     [
         ({"planners": ["nowhere"]}, "planning.planners"),
         ({"planners": [f"127.0.0.1:{each}" for each in range(1, 9)]}, "planning.planners"),
@@ -213,6 +215,6 @@
         ({"planner": []}, "planning.planner"),
     ],
 )
-def test_a_bad_setting_is_named(given: dict[str, Any], named: str) -> None:
-    with pytest.raises(ValueError, match=named):
-        operator_config_from({"planning": given})
+def test_an_invalid_setting_is_named(values: dict[str, Any], field: str) -> None:
+    with pytest.raises(ValueError, match=field):
+        operator_config_from({"planning": values})
--- a/tests/planning/test_plan.py
+++ b/tests/planning/test_plan.py
@@ -1,4 +1,4 @@
-"""Following plans: any order of any plans, and what one may never do."""
+"""Following plans: any order of any plans, and what follower may never do."""
 
 from __future__ import annotations
 
@@ -22,49 +22,49 @@
 from topazbank.planning.follower import CONFIDENCE_RISE_US, PlanFollower
 from topazbank.planning.plan import DATA_AGE_US_MAX, US_PER_S, Plan, PlanVerdict, ServerShare
 
-NODES = [f"n-{number}" for number in range(6)]
-SHARES = {name: ServerShare(1.0) for name in NODES}
+SERVERS = [f"n-{number}" for number in range(6)]
+SHARES = {name: ServerShare(1.0) for name in SERVERS}
 PLAN = Plan("f", "life", 3, "p", 10, 2 * US_PER_S, 0, SHARES)
 
 
-def follower(*plans: Plan, at: int = START) -> PlanFollower:
-    made = PlanFollower("f", "life")
+def following(*plans: Plan, at: int = START) -> PlanFollower:
+    follower = PlanFollower("f", "life")
     for plan in plans:
-        assert made.offer(at, at, plan, NODES) is PlanVerdict.ACCEPTED
-    return made
+        assert follower.offer(at, at, plan, SERVERS) is PlanVerdict.ACCEPTED
+    return follower
 
 
-def test_trust_rises_and_fades_by_degrees_and_ends_with_the_lease() -> None:
-    one = follower(PLAN)
-    assert one.confidence(START) == 0.0
-    assert one.confidence(START + CONFIDENCE_RISE_US // 4) == pytest.approx(0.25)
+def test_confidence_rises_and_falls_gradually_and_ends_with_the_lease() -> None:
+    follower = following(PLAN)
+    assert follower.confidence(START) == 0.0
+    assert follower.confidence(START + CONFIDENCE_RISE_US // 4) == pytest.approx(0.25)
     assert (
-        one.offer(
+        follower.offer(
             START + CONFIDENCE_RISE_US // 2,
             START + CONFIDENCE_RISE_US // 2,
             replace(PLAN, sequence=11),
-            NODES,
+            SERVERS,
         )
         is PlanVerdict.ACCEPTED
     )
     at = START + CONFIDENCE_RISE_US // 2
-    assert one.confidence(at) == pytest.approx(0.5)  # no step where one plan takes another's place
-    assert one.confidence(at + US_PER_S) == pytest.approx(1.0)
-    assert one.confidence(at + US_PER_S + US_PER_S // 2) == pytest.approx(
+    assert follower.confidence(at) == pytest.approx(0.5)  # no step from follower plan to the next
+    assert follower.confidence(at + US_PER_S) == pytest.approx(1.0)
+    assert follower.confidence(at + US_PER_S + US_PER_S // 2) == pytest.approx(
         0.5
     )  # unrenewed, over the lease's second half
-    assert one.confidence(at + 2 * US_PER_S) == 0.0 and not one.sample(
+    assert follower.confidence(at + 2 * US_PER_S) == 0.0 and not follower.sample(
         at + 2 * US_PER_S, random.Random(1).random
     )
-    assert one.confidence(at - US_PER_S) == 0.0  # a clock that went back
+    assert follower.confidence(at - US_PER_S) == 0.0  # a clock that went back
 
 
-def test_the_part_that_draws_from_the_plan_is_its_trust() -> None:
-    one, chance = follower(PLAN), random.Random(1).random
-    drawn = [bool(one.sample(START + CONFIDENCE_RISE_US // 2, chance)) for _ in range(2000)]
+def test_the_ratio_of_requests_that_follow_the_plan_is_its_confidence() -> None:
+    follower, chance = following(PLAN), random.Random(1).random
+    drawn = [bool(follower.sample(START + CONFIDENCE_RISE_US // 2, chance)) for _ in range(2000)]
     assert 0.45 < sum(drawn) / len(drawn) < 0.55
-    less = follower(replace(PLAN, confidence_max=0.2))
-    assert less.confidence(START + US_PER_S) == pytest.approx(0.2)
+    limited = following(replace(PLAN, confidence_max=0.2))
+    assert limited.confidence(START + US_PER_S) == pytest.approx(0.2)
 
 
 @pytest.mark.parametrize(
@@ -74,13 +74,16 @@
         ({"forwarder": "g"}, PlanVerdict.OTHER),
         ({"epoch": 2, "sequence": 99}, PlanVerdict.OLD_EPOCH),  # the larger sequence and the older epoch
         ({"planner": "q", "sequence": 99}, PlanVerdict.OTHER_PLANNER),
-        ({"sequence": 10}, PlanVerdict.OLD_SEQUENCE),  # twice
+        ({"sequence": 10}, PlanVerdict.OLD_SEQUENCE),  # a duplicate
         ({"sequence": 9}, PlanVerdict.OLD_SEQUENCE),  # out of order
         ({"sequence": 12, "base_sequence": 9}, PlanVerdict.NO_BASE),
-        ({"sequence": 12, "base_sequence": 10, "shares": dict.fromkeys(NODES)}, PlanVerdict.TOO_FEW),
+        ({"sequence": 12, "base_sequence": 10, "shares": dict.fromkeys(SERVERS)}, PlanVerdict.TOO_FEW),
         ({"sequence": 11, "data_age_us": DATA_AGE_US_MAX + 1}, PlanVerdict.OLD_DATA),
         ({"sequence": 11, "shares": {}}, PlanVerdict.TOO_FEW),
-        ({"sequence": 11, "shares": {f"gone-{n}": ServerShare(1.0) for n in range(9)}}, PlanVerdict.TOO_FEW),
+        (
+            {"sequence": 11, "shares": {f"removed-{n}": ServerShare(1.0) for n in range(9)}},
+            PlanVerdict.TOO_FEW,
+        ),
         ({"sequence": 11, "shares": {"n-0": ServerShare(1.0)}}, PlanVerdict.TOO_FEW),
         ({"sequence": 11, "shares": {**SHARES, "n-0": ServerShare(float("nan"))}}, PlanVerdict.NONSENSE),
         ({"sequence": 11, "shares": {**SHARES, "n-0": ServerShare(-1.0)}}, PlanVerdict.NONSENSE),
@@ -92,59 +95,63 @@
         ({"sequence": 11, "confidence_max": 1.5}, PlanVerdict.NONSENSE),
     ],
 )
-def test_a_plan_that_may_not_be_followed_is_named_and_changes_nothing(
+def test_a_plan_that_must_not_be_followed_changes_nothing_and_its_verdict_is_shown(
     changes: dict[str, object], verdict: PlanVerdict
 ) -> None:
-    one = follower(PLAN)
-    before = dict(one.shares())
+    follower = following(PLAN)
+    before = dict(follower.shares())
     later = START + US_PER_S // 10
-    assert one.offer(later, later, replace(PLAN, **changes), NODES) is verdict  # type: ignore[arg-type]
-    following = one.status(later)
-    assert (following.epoch, following.sequence, one.shares()) == (3, 10, before)
-    assert following.rejected == {verdict.name: 1} and following.last_verdict == verdict.value
+    assert follower.offer(later, later, replace(PLAN, **changes), SERVERS) is verdict  # type: ignore[arg-type]
+    status = follower.status(later)
+    assert (status.epoch, status.sequence, follower.shares()) == (3, 10, before)
+    assert status.rejected == {verdict.name: 1} and status.last_verdict == verdict.value
 
 
-def test_a_plan_that_comes_after_its_lease_is_not_followed_and_one_that_comes_late_is_as_old_as_its_asking() -> (
-    None
-):
-    one = PlanFollower("f", "life")
-    assert one.offer(START + 2 * US_PER_S, START, PLAN, NODES) is PlanVerdict.LAPSED
-    assert one.offer(START + US_PER_S, START, PLAN, NODES) is PlanVerdict.ACCEPTED
-    assert one.confidence(START + 2 * US_PER_S - 1) < 1e-3
+def test_the_lease_counts_from_the_time_of_the_request() -> None:
+    follower = PlanFollower("f", "life")
+    assert follower.offer(START + 2 * US_PER_S, START, PLAN, SERVERS) is PlanVerdict.LAPSED
+    assert follower.offer(START + US_PER_S, START, PLAN, SERVERS) is PlanVerdict.ACCEPTED
+    assert follower.confidence(START + 2 * US_PER_S - 1) < 1e-3
 
 
-def test_a_newer_epoch_deposes_also_where_its_plan_can_t_be_followed() -> None:
-    one = follower(PLAN)
+def test_a_higher_epoch_deposes_the_former_planner_also_where_its_plan_is_rejected() -> None:
+    follower = following(PLAN)
     at = START + US_PER_S // 2
-    assert one.offer(at, at, replace(PLAN, epoch=4, planner="q", shares={}), NODES) is PlanVerdict.TOO_FEW
-    assert one.offer(at, at, replace(PLAN, sequence=11), NODES) is PlanVerdict.OLD_EPOCH
-    assert one.confidence(at + US_PER_S) == 0.0  # and the former plan ends soon
+    assert (
+        follower.offer(at, at, replace(PLAN, epoch=4, planner="q", shares={}), SERVERS) is PlanVerdict.TOO_FEW
+    )
+    assert follower.offer(at, at, replace(PLAN, sequence=11), SERVERS) is PlanVerdict.OLD_EPOCH
+    assert follower.confidence(at + US_PER_S) == 0.0  # and the former plan ends soon
 
 
-def test_changes_add_to_the_plan_they_are_based_on() -> None:
-    one = follower(PLAN)
+def test_changes_are_applied_to_the_plan_they_are_based_on() -> None:
+    follower = following(PLAN)
     change = replace(
         PLAN,
         sequence=11,
         base_sequence=10,
         shares={"n-0": None, "n-1": ServerShare(5.0, in_flight_limit=1.0)},
     )
-    assert one.offer(START + 1, START, change, NODES) is PlanVerdict.ACCEPTED
-    assert "n-0" not in one.shares() and one.capacity("n-1") == 1.0 and one.capacity("n-0") == float("inf")
+    assert follower.offer(START + 1, START, change, SERVERS) is PlanVerdict.ACCEPTED
+    assert (
+        "n-0" not in follower.shares()
+        and follower.capacity("n-1") == 1.0
+        and follower.capacity("n-0") == float("inf")
+    )
 
 
-def test_no_node_draws_more_than_a_part_however_wrong_the_odds_are() -> None:
-    one = follower(replace(PLAN, shares={**SHARES, "n-3": ServerShare(1e6, relative_wait=0.0)}))
+def test_no_server_is_sampled_beyond_a_limit_however_wrong_the_weights_are() -> None:
+    follower = following(replace(PLAN, shares={**SHARES, "n-3": ServerShare(1e6, relative_wait=0.0)}))
     chance = random.Random(1).random
-    first = [one.sample(START + US_PER_S, chance) for _ in range(3000)]
+    first = [follower.sample(START + US_PER_S, chance) for _ in range(3000)]
     drawn = [name for names in first for name in names[:1]]
-    assert drawn.count("n-3") < 0.75 * len(drawn)  # of one draw it would be 1.0
+    assert drawn.count("n-3") < 0.75 * len(drawn)  # without the limit it would be all
 
 
-def test_a_node_that_the_own_list_lost_is_not_drawn() -> None:
-    one, chance = follower(PLAN), random.Random(1).random
-    one.update_ready_servers(NODES[1:])
-    assert all("n-0" not in one.sample(START + US_PER_S, chance) for _ in range(500))
+def test_a_server_that_left_the_own_endpoint_list_is_not_sampled() -> None:
+    follower, chance = following(PLAN), random.Random(1).random
+    follower.update_ready_servers(SERVERS[1:])
+    assert all("n-0" not in follower.sample(START + US_PER_S, chance) for _ in range(500))
 
 
 @given(
@@ -155,39 +162,41 @@
             st.integers(0, 6),  # sequence
             st.one_of(st.none(), st.integers(0, 6)),  # base
             st.integers(US_PER_S // 5, 3 * US_PER_S),  # lease
-            st.integers(0, 4 * US_PER_S),  # asked so long before it came
+            st.integers(0, 4 * US_PER_S),  # from the request to the arrival
             st.integers(0, US_PER_S),  # time that passes first
             st.sampled_from(["life", "life", "life", "earlier"]),
-            st.lists(st.sampled_from([*NODES, "gone"]), max_size=8, unique=True),
+            st.lists(st.sampled_from([*SERVERS, "removed"]), max_size=8, unique=True),
         ),
         max_size=25,
     ),
     st.integers(0, 2**32),
 )
-def test_any_order_of_any_plans(history: list[tuple[object, ...]], seed: int) -> None:
-    """The epoch never goes back, nor the sequence in it; no lapsed plan is followed; only listed nodes are sent to."""
-    one, now = PlanFollower("f", "life"), START
-    balancer = Balancer(settings(), seed, one)
-    listed = [ServerDescription(name, "east") for name in NODES]
+def test_plans_in_any_order_never_break_the_rules(history: list[tuple[object, ...]], seed: int) -> None:
+    """Epoch and sequence never go back; no plan is followed after its lease; only ready servers are sent to."""
+    follower, now = PlanFollower("f", "life"), START
+    balancer = Balancer(settings(), seed, follower)
+    listed = [ServerDescription(name, "east") for name in SERVERS]
     listed[0] = replace(listed[0], state=ServerState.DRAINING)
     balancer.handle(now, EndpointsUpdated(UpdateKind.SNAPSHOT, listed, 1))
-    ready = NODES[1:]
+    ready = SERVERS[1:]
     highest = followed = (-1, -1)
-    until = 0
-    for number, (epoch, planner, sequence, base, lease, before, passes, life, names) in enumerate(history):
+    lease_ends_at = 0
+    for number, (epoch, planner, sequence, base, lease, delay, passes, incarnation, names) in enumerate(
+        history
+    ):
         now += passes  # type: ignore[operator]
         shares = {name: ServerShare(1.0) for name in names}  # type: ignore[attr-defined]
-        plan = Plan("f", life, epoch, planner, sequence, lease, 0, shares, base)  # type: ignore[arg-type]
-        asked_at = now - before  # type: ignore[operator]
-        verdict = one.offer(now, asked_at, plan, ready)
-        seen = one.status(now)
-        assert seen.epoch >= highest[0]
-        highest = (seen.epoch, seen.sequence)
+        plan = Plan("f", incarnation, epoch, planner, sequence, lease, 0, shares, base)  # type: ignore[arg-type]
+        requested_at = now - delay  # type: ignore[operator]
+        verdict = follower.offer(now, requested_at, plan, ready)
+        status = follower.status(now)
+        assert status.epoch >= highest[0]
+        highest = (status.epoch, status.sequence)
         if verdict is PlanVerdict.ACCEPTED:
-            assert life == "life" and now < asked_at + lease  # type: ignore[operator]
+            assert incarnation == "life" and now < requested_at + lease  # type: ignore[operator]
             assert (epoch, sequence) > followed
-            followed, until = (epoch, sequence), asked_at + lease  # type: ignore[assignment,operator]
-        if now >= until:
-            assert one.confidence(now) == 0.0 and not one.sample(now, random.Random(seed).random)
+            followed, lease_ends_at = (epoch, sequence), requested_at + lease  # type: ignore[assignment,operator]
+        if now >= lease_ends_at:
+            assert follower.confidence(now) == 0.0 and not follower.sample(now, random.Random(seed).random)
         actions = balancer.handle(now, RequestArrived(number, "look", None, None, US_PER_S, None, False))
         assert all(each.server in ready for each in actions if isinstance(each, SendAttempt))
