--- a/benchmarks/planners.py
+++ b/benchmarks/planners.py
@@ -1,10 +1,10 @@
-"""Planners' failover, and what a planner costs by the number of forwarders.
+"""The time of a failover between planners, and the cost of a planner by the number of forwarders.
 
     .venv/bin/python -m benchmarks.planners failover [--times 50] [--session 1.0]
     .venv/bin/python -m benchmarks.planners size [--forwarders 200 1000 5000] [--seconds 10]
 
-`failover`: over the stand-in ensemble on loopback, two planners and two forwarders in one process; from the leader's
-death to the first plan that a forwarder follows from the next.  `size`: one planner's process, and forwarders' links
+`failover`: with the emulated ensemble on loopback, two planners and two forwarders in one process; from the kill of the
+leader to the time when both forwarders follow a plan of the next.  `size`: one planner's process, and forwarders' links
 (real summaries over real connections, no requests) in four processes; CPU and bytes of the planner.
 """
 
@@ -30,7 +30,7 @@
 from topazbank.planning.forwarder import PlanningClient
 from topazbank.planning.planner_server import PlannerServer
 
-NODES = 15
+SERVERS = 15
 PROCESSES = 4
 
 
@@ -41,29 +41,30 @@
     return rig.leader() is not None and min(rig.trusts()) > 0.85
 
 
-async def failover(times: int, session_s: float, by_rank: bool) -> int:
-    took = []
+async def measure_failover(times: int, session_s: float, by_rank: bool) -> int:
+    durations_s = []
     for number in range(times):
         rig = Rig(planners=2, nodes=4, seed=number + 1, session_s=session_s, by_rank=by_rank)
         await rig.start()
         await until(partial(all_follow, rig))
         first = rig.leader()
         assert first is not None
-        began = time.monotonic()
+        started_s = time.monotonic()
         rig.kill_planner(first)
 
         def followed(rig: Rig = rig, name: str = f"p-{1 - first}") -> bool:
-            found = [rig.following(each) for each in range(len(rig.processes))]
+            statuses = [rig.following(number) for number in range(len(rig.processes))]
             return all(
-                each is not None and each.planner == name and each.plan_age_us is not None for each in found
+                status is not None and status.planner == name and status.plan_age_us is not None
+                for status in statuses
             )
 
         await until(followed)
-        took.append(time.monotonic() - began)
+        durations_s.append(time.monotonic() - started_s)
         await rig.stop()
         if number % 10 == 9:
             print(f"{number + 1} of {times}", file=sys.stderr, flush=True)
-    ordered = sorted(took)
+    ordered = sorted(durations_s)
     how = "by rank" if by_rank else f"by the ensemble, sessions of {session_s:g} s"
     print(
         f"failover {how}: {times} times, median {statistics.median(ordered):.2f} s, worst {ordered[-1]:.2f} s"
@@ -74,11 +75,11 @@
 # -- Size --------------------------------------------------------------------------------------------
 
 
-class Fixed:
-    """A membership source of nodes that stay."""
+class FixedSource:
+    """A source of an endpoint list that never changes."""
 
-    def __init__(self, told: Any) -> None:
-        self._told = told
+    def __init__(self, on_list: Any) -> None:
+        self._on_list = on_list
 
     def follow(self, wanted: bool) -> None:
         lines = [
@@ -86,9 +87,9 @@
                 ServerDescription(f"n-{each:02}", "a", "std", each % 3, ServerState.READY, 1.0),
                 ("127.0.0.1", 9000 + each),
             )
-            for each in range(NODES)
+            for each in range(SERVERS)
         ]
-        self._told(EndpointList(1, True, lines))
+        self._on_list(EndpointList(1, True, lines))
 
     def fetch(self) -> None: ...
 
@@ -103,8 +104,8 @@
         return "fixed"
 
 
-async def planner_part() -> None:
-    server = PlannerServer("p", Fixed, None)
+async def run_planner() -> None:
+    server = PlannerServer("p", FixedSource, None)
     server.set_leadership(1)
     await server.start()
     print(json.dumps("{}:{}".format(*server.address)), flush=True)
@@ -127,40 +128,42 @@
         )
 
 
-async def forwarders_part(planner: Address, first: int, count: int) -> None:
+async def run_forwarders(planner: Address, first: int, count: int) -> None:
     def now() -> int:
         return time.monotonic_ns() // 1000
 
-    servers = [ServerDescription(f"n-{each:02}") for each in range(NODES)]
-    made = []
+    servers = [ServerDescription(f"n-{each:02}") for each in range(SERVERS)]
+    clients = []
     for number in range(first, first + count):
-        each = PlanningClient(f"f-{number}", [planner], now, number)
-        each.listed(servers)
-        each.start(list, lambda: None)
-        made.append(each)
+        client = PlanningClient(f"f-{number}", [planner], now, number)
+        client.listed(servers)
+        client.start(list, lambda: None)
+        clients.append(client)
         if number % 50 == 49:
             await asyncio.sleep(0.02)
-    chance = 0
+    group = 0
     while True:  # about one request a second each, as far as summaries tell
         await asyncio.sleep(0.1)
-        for each in made[chance::10]:
-            each.arrived("check")
-            each.sent(servers[chance].name)
-            each.ended(servers[chance].name, True, 50_000, {"inflight": 2.0, "queue": 0.0, "util": 0.5})
-            each.answered("check", True)
-        chance = (chance + 1) % 10
-        followed = sum(each.follower.confidence(now()) > 0.0 for each in made)
+        for client in clients[group::10]:
+            client.arrived("check")
+            client.sent(servers[group].name)
+            client.ended(servers[group].name, True, 50_000, {"inflight": 2.0, "queue": 0.0, "util": 0.5})
+            client.answered("check", True)
+        group = (group + 1) % 10
+        followed = sum(client.follower.confidence(now()) > 0.0 for client in clients)
         print(json.dumps({"followed": followed}), flush=True)
 
 
-class Part:
+class BenchmarkProcess:
+    """A process of this benchmark that prints lines of JSON."""
+
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
-        self.told: Any = None  # the newest
+        self.latest: Any = None  # line of JSON that it has printed
         self._reading = asyncio.create_task(self._read())
 
     @classmethod
-    async def start(cls, *arguments: str) -> Part:
+    async def start(cls, *arguments: str) -> BenchmarkProcess:
         command = [sys.executable, "-m", "benchmarks.planners", *arguments]
         return cls(
             await asyncio.create_subprocess_exec(
@@ -171,12 +174,12 @@
     async def _read(self) -> None:
         assert self.process.stdout is not None
         while line := await self.process.stdout.readline():
-            self.told = json.loads(line)
+            self.latest = json.loads(line)
 
     async def first(self) -> str:
-        while self.told is None:
+        while self.latest is None:
             await asyncio.sleep(0.05)
-        return str(self.told)
+        return str(self.latest)
 
     async def stop(self) -> None:
         with contextlib.suppress(ProcessLookupError):
@@ -185,26 +188,28 @@
         self._reading.cancel()
 
 
-async def size(counts: list[int], seconds: float) -> int:
+async def measure_size(counts: list[int], seconds: float) -> int:
     print(
         f"{'forwarders':>10}{'connected':>11}{'following':>11}{'period s':>10}{'CPU %':>8}{'kB/s in':>9}"
         f"{'kB/s out':>10}{'B/s each':>10}{'shed':>8}{'MB':>7}"
     )
     for count in counts:
-        planner = await Part.start("part-planner")
+        planner = await BenchmarkProcess.start("part-planner")
         address = await planner.first()
-        each = count // PROCESSES
+        per_process = count // PROCESSES
         parts = [
-            await Part.start("part-forwarders", address, str(number * each), str(each))
+            await BenchmarkProcess.start(
+                "part-forwarders", address, str(number * per_process), str(per_process)
+            )
             for number in range(PROCESSES)
         ]
         await asyncio.sleep(6.0 + count / 500)
-        before, began = dict[str, float](planner.told), time.monotonic()
+        before, started_s = dict[str, float](planner.latest), time.monotonic()
         await asyncio.sleep(seconds)
-        after, lapse = dict[str, float](planner.told), time.monotonic() - began
-        followed = sum(part.told["followed"] for part in parts)
-        read, written = ((after[way] - before[way]) / lapse for way in ("in", "out"))
-        cpu = (after["cpu_s"] - before["cpu_s"]) / lapse
+        after, elapsed_s = dict[str, float](planner.latest), time.monotonic() - started_s
+        followed = sum(part.latest["followed"] for part in parts)
+        read, written = ((after[direction] - before[direction]) / elapsed_s for direction in ("in", "out"))
+        cpu = (after["cpu_s"] - before["cpu_s"]) / elapsed_s
         print(
             f"{count:>10}{after['connections']:>11}{followed:>11}{after['period_s']:>10.2f}{cpu:>8.0%}"
             f"{read / 1e3:>9.0f}{written / 1e3:>10.0f}{(read + written) / count:>10.0f}"
@@ -218,31 +223,31 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(prog="benchmarks.planners", description=__doc__)
-    ways = parser.add_subparsers(dest="way", required=True)
-    one = ways.add_parser("failover")
-    one.add_argument("--times", type=int, default=50)
-    one.add_argument("--session", type=float, default=1.0)
-    one.add_argument("--by-rank", action="store_true")
-    other = ways.add_parser("size")
-    other.add_argument("--forwarders", type=int, nargs="+", default=[200, 1000, 5000])
-    other.add_argument("--seconds", type=float, default=10.0)
-    ways.add_parser("part-planner")
-    part = ways.add_parser("part-forwarders")
-    part.add_argument("planner")
-    part.add_argument("first", type=int)
-    part.add_argument("count", type=int)
-    given = parser.parse_args()
-    if given.way == "failover":
-        return asyncio.run(failover(given.times, given.session, given.by_rank))
+    commands = parser.add_subparsers(dest="way", required=True)
+    failover = commands.add_parser("failover")
+    failover.add_argument("--times", type=int, default=50)
+    failover.add_argument("--session", type=float, default=1.0)
+    failover.add_argument("--by-rank", action="store_true")
+    size = commands.add_parser("size")
+    size.add_argument("--forwarders", type=int, nargs="+", default=[200, 1000, 5000])
+    size.add_argument("--seconds", type=float, default=10.0)
+    commands.add_parser("part-planner")
+    forwarders = commands.add_parser("part-forwarders")
+    forwarders.add_argument("planner")
+    forwarders.add_argument("first", type=int)
+    forwarders.add_argument("count", type=int)
+    arguments = parser.parse_args()
+    if arguments.way == "failover":
+        return asyncio.run(measure_failover(arguments.times, arguments.session, arguments.by_rank))
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     with contextlib.suppress(ValueError, OSError):
         resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, min(hard, 16_384)), hard))
-    if given.way == "size":
-        return asyncio.run(size(given.forwarders, given.seconds))
-    if given.way == "part-planner":
-        asyncio.run(planner_part())
+    if arguments.way == "size":
+        return asyncio.run(measure_size(arguments.forwarders, arguments.seconds))
+    if arguments.way == "part-planner":
+        asyncio.run(run_planner())
     else:
-        asyncio.run(forwarders_part(parse_address(given.planner), given.first, given.count))
+        asyncio.run(run_forwarders(parse_address(arguments.planner), arguments.first, arguments.count))
     return os.EX_OK
 
 
--- a/benchmarks/quiet_forwarders.py
+++ b/benchmarks/quiet_forwarders.py
@@ -2,7 +2,7 @@
 
     .venv/bin/python -m benchmarks.quiet_forwarders [--forwarders 200] [--seeds 10] [--loads 0.6 0.7 0.8]
 
-In played time (testbed.fleet.simulated): the real decision module, followers and planner; 15 nodes of three speeds,
+In simulated time (testbed.fleet.simulated): the real balancers, followers and planner; 15 nodes of three speeds,
 about one request a second a forwarder.  Error bars are two standard errors of the difference, seed by seed.
 """
 
@@ -16,32 +16,33 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from testbed.fleet.simulated import START, Fleet, S, Service, service
+from testbed.fleet.simulated import START, Fleet, ServiceLevel, service_level
+from testbed.fleet.simulated_server import US_PER_S
 from topazbank.platform_names import settings_from_wire
 
 SPEEDS = (0.5, 1.0, 2.0)
-NODES, SLOTS = 15, 2
+SERVERS, CONCURRENCY = 15, 2
 WARM_S, SPAN_S = 20.0, 60.0
 EXAMPLE = Path(__file__).parent.parent / "deploy" / "example.json"
 
 
-def play(forwarders: int, load: float, seed: int, planners: int, lost: bool = False) -> Service:
+def simulate(forwarders: int, load: float, seed: int, planners: int, lost: bool = False) -> ServiceLevel:
     settings = settings_from_wire(json.loads(EXAMPLE.read_text(encoding="utf-8"))["settings"])
-    nodes = [(f"n-{each:02}", SPEEDS[each % 3], SLOTS, each % 3) for each in range(NODES)]
-    fleet = Fleet(settings, forwarders=forwarders, nodes=nodes, planners=planners, seed=seed)
-    able = sum(speed * slots for _, speed, slots, _ in nodes)
-    fleet.load(float(forwarders), WARM_S + SPAN_S, load * able / forwarders, seed)
-    until = START + int((WARM_S + SPAN_S) * S)
-    fleet.run(START + int(WARM_S * S))
+    servers = [(f"n-{each:02}", SPEEDS[each % 3], CONCURRENCY, each % 3) for each in range(SERVERS)]
+    fleet = Fleet(settings, forwarders=forwarders, servers=servers, planners=planners, seed=seed)
+    capacity = sum(speed * concurrency for _, speed, concurrency, _ in servers)
+    fleet.offer_load(float(forwarders), WARM_S + SPAN_S, load * capacity / forwarders, seed)
+    until = START + int((WARM_S + SPAN_S) * US_PER_S)
+    fleet.run(START + int(WARM_S * US_PER_S))
     if lost:
-        fleet.cut |= {("*", each.name) for each in fleet.planners}
-    fleet.run(until + 3 * S)
-    return service(fleet, START + int(WARM_S * S), until)
+        fleet.cut_links |= {("*", each.name) for each in fleet.planners}
+    fleet.run(until + 3 * US_PER_S)
+    return service_level(fleet, START + int(WARM_S * US_PER_S), until)
 
 
-def both(job: tuple[int, float, int, bool]) -> tuple[Service, Service]:
+def without_and_with_planners(job: tuple[int, float, int, bool]) -> tuple[ServiceLevel, ServiceLevel]:
     forwarders, load, seed, lost = job
-    return play(forwarders, load, seed, 0), play(forwarders, load, seed, 1, lost)
+    return simulate(forwarders, load, seed, 0), simulate(forwarders, load, seed, 1, lost)
 
 
 def mean_and_bar(values: list[float]) -> tuple[float, float]:
@@ -57,20 +58,22 @@
     parser.add_argument(
         "--lost", action="store_true", help="all planners are unreachable throughout what is counted"
     )
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     print(f"{'load':>5}  {'':<12}{'alone':>9}{'planned':>9}{'difference':>12}{'bar':>8}")
     with ProcessPoolExecutor(6) as pool:
-        for load in given.loads:
-            jobs = [(given.forwarders, load, seed, given.lost) for seed in range(1, given.seeds + 1)]
-            pairs = list(pool.map(both, jobs))
+        for load in arguments.loads:
+            jobs = [
+                (arguments.forwarders, load, seed, arguments.lost) for seed in range(1, arguments.seeds + 1)
+            ]
+            pairs = list(pool.map(without_and_with_planners, jobs))
             for name in ("late", "p99", "p50", "served"):
                 alone = [getattr(each, name) for each, _ in pairs]
                 planned = [getattr(each, name) for _, each in pairs]
                 difference, bar = mean_and_bar([b - a for a, b in zip(alone, planned, strict=True)])
-                told = "" if abs(difference) > bar else "  can't be told apart"
+                remark = "" if abs(difference) > bar else "  can't be told apart"
                 print(
                     f"{load:>5.2f}  {name:<12}{statistics.fmean(alone):>9.4f}{statistics.fmean(planned):>9.4f}"
-                    f"{difference:>+12.4f}{bar:>8.4f}{told}",
+                    f"{difference:>+12.4f}{bar:>8.4f}{remark}",
                     flush=True,
                 )
     return 0
