--- a/benchmarks/list_hold.py
+++ b/benchmarks/list_hold.py
@@ -28,7 +28,7 @@
 from topazbank.discovery.registration_view import RegistrationView
 from topazbank.operator_config import OperatorConfig
 from topazbank.platform_names import settings_from_wire
-from topazbank.wiring import wire
+from topazbank.wiring import build_components
 
 ROUNDS = 40  # of one change; the median is given
 WHOLE_ROUNDS = 5
@@ -107,7 +107,7 @@
     whole = lines(size)
     holds, steps = [], 0
     for _ in range(WHOLE_ROUNDS):
-        made = Sidecar(config, wire(OperatorConfig()))
+        made = Sidecar(config, build_components(OperatorConfig()))
         made.endpoint_watcher.source.stop()  # nobody answers there
         turns = Turns()
         began = time.perf_counter()
--- a/tests/cluster/test_service.py
+++ b/tests/cluster/test_service.py
@@ -22,10 +22,10 @@
 from topazbank.core.gossip_transport import GossipAddresses
 from topazbank.core.net import Address
 from topazbank.estimation.fleet_size import FleetSize
-from topazbank.operator_config import Tiering
+from topazbank.operator_config import ClusterConfig
 
 MEMBERS = 5
-FAST = Tiering(True, period_ms=50, pause_ms=100, forget_s=60)
+FAST = ClusterConfig(True, probe_period_ms=50, tolerated_pause_ms=100, forget_after_s=60)
 HOUR_MS = 3_600_000
 START_MS = 1_800_000_000_000
 
@@ -43,7 +43,7 @@
         self.wall = START_MS
 
     def start(
-        self, number: int, operator: Tiering = FAST, at: Address | None = None, wall: int | None = None
+        self, number: int, operator: ClusterConfig = FAST, at: Address | None = None, wall: int | None = None
     ) -> ClusterService:
         listen = at or address_of(number)
         members = tuple(address_of(member) for member in range(MEMBERS))
@@ -125,10 +125,10 @@
 
 def test_with_a_key_any_sender_that_has_it_may_join_and_others_may_not(network: Network) -> None:
     async def scenario() -> None:
-        keyed = Tiering(True, "desk-a", 50, 100, 60, key="secret")
+        keyed = ClusterConfig(True, "desk-a", 50, 100, 60, key="secret")
         a = network.start(0, keyed)
-        b = network.start(1, Tiering(True, "desk-b", 50, 100, 60, key="secret"), at=("127.0.0.1", 7900))
-        c = network.start(2, Tiering(True, "desk-c", 50, 100, 60, key="another"))
+        b = network.start(1, ClusterConfig(True, "desk-b", 50, 100, 60, key="secret"), at=("127.0.0.1", 7900))
+        c = network.start(2, ClusterConfig(True, "desk-c", 50, 100, 60, key="another"))
         await until(lambda: a.view.present_count() == 2 and b.view.present_count() == 2)
         await until(lambda: a.dropped["unreadable"] > 0)
         assert c.view.present_count() == 1 and c.view.is_isolated
@@ -197,8 +197,8 @@
 
 def test_of_two_processes_with_one_name_the_later_keeps_it_and_the_older_reports_it(network: Network) -> None:
     async def scenario() -> None:
-        def named(name: str) -> Tiering:
-            return Tiering(True, name, 50, 100, 60, key="k")
+        def named(name: str) -> ClusterConfig:
+            return ClusterConfig(True, name, 50, 100, 60, key="k")
 
         first = network.start(0, named("desk"))
         other, third = network.start(1, named("b")), network.start(2, named("c"))
--- a/tests/discovery/test_zookeeper_source.py
+++ b/tests/discovery/test_zookeeper_source.py
@@ -22,9 +22,9 @@
 from topazbank.discovery.zkclient import ConnectionLossError, EnsembleConfig, Session, SessionState
 from topazbank.discovery.zkwire import OPEN_ACL
 from topazbank.discovery.zookeeper import ZooKeeperSource
-from topazbank.operator_config import REGISTRY, ZOOKEEPER, Membership, OperatorConfig, ZooKeeper
+from topazbank.operator_config import REGISTRY, ZOOKEEPER, DiscoveryConfig, OperatorConfig, ZooKeeperConfig
 from topazbank.roster import format_endpoint_table
-from topazbank.wiring import wire
+from topazbank.wiring import build_components
 
 pytestmark = pytest.mark.usefixtures("each_node")
 PATH = "/lodge/nodes"
@@ -47,8 +47,8 @@
     return EnsembleConfig(ensemble.addresses, timeout_s)
 
 
-def membership(ensemble: Ensemble, *sources: str, timeout_s: float = 20.0) -> Membership:
-    return Membership(sources or (ZOOKEEPER,), ZooKeeper(ensemble.addresses, PATH, "", timeout_s))
+def membership(ensemble: Ensemble, *sources: str, timeout_s: float = 20.0) -> DiscoveryConfig:
+    return DiscoveryConfig(sources or (ZOOKEEPER,), ZooKeeperConfig(ensemble.addresses, PATH, "", timeout_s))
 
 
 def registrar_of(
@@ -402,8 +402,8 @@
                 count = len(statuses)
                 if REGISTRY in sources:
                     one_world.discovery.say(50, entries, snapshot=True)
-                operator = OperatorConfig(membership=membership(fixture.ensemble, *sources))
-                one_world.sidecar.replace_source(config, wire(operator))
+                operator = OperatorConfig(discovery=membership(fixture.ensemble, *sources))
+                one_world.sidecar.replace_source(config, build_components(operator))
                 await until(partial(has_more_than, statuses, count + 50))
                 assert fixture.ready == {"s-0", "s-1"}
             stop.set()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -22,8 +22,8 @@
 from topazbank.core.net import Address
 from topazbank.core.sidecar import Sidecar
 from topazbank.discovery.list_format import parse_list
-from topazbank.operator_config import Membership, MsgpackRpc, OperatorConfig
-from topazbank.wiring import wire
+from topazbank.operator_config import DiscoveryConfig, MsgpackRpcConfig, OperatorConfig
+from topazbank.wiring import build_components
 
 PATIENCE_S = 20.0  # for what must come; no test proves anything by it
 
@@ -277,7 +277,7 @@
 async def world(
     *scripts: Callable[[str, Head, bytes], bytes | None],
     sockets: int = 256,
-    membership: Membership | None = None,
+    membership: DiscoveryConfig | None = None,
     **changes: Any,
 ) -> AsyncIterator[World]:
     """A sidecar with one server for each script; by another discovery than the registry none is known at first."""
@@ -291,9 +291,11 @@
     known = parse_list({"index": 41, "snapshot": True, "endpoints": entries})
     config = SidecarConfig(("127.0.0.1", 0), discovery.address, 7, sockets, sidecar_settings, known)
     operator = OperatorConfig(
-        MsgpackRpc(clients=True, nodes=True), membership=membership or Membership(), show_roster=True
+        MsgpackRpcConfig(accepts_clients=True, calls_servers=True),
+        discovery=membership or DiscoveryConfig(),
+        status_page_enabled=True,
     )
-    running_world = World(Sidecar(config, wire(operator)), servers, discovery)
+    running_world = World(Sidecar(config, build_components(operator)), servers, discovery)
     running = asyncio.create_task(running_world.sidecar.run(running_world.stop))
     await until(lambda: running_world.sidecar._balancer._started)
     try:
--- a/tests/planning/test_leadership.py
+++ b/tests/planning/test_leadership.py
@@ -1,4 +1,4 @@
-"""Who leads: by rank without an ensemble (no I/O), and by an ensemble."""
+"""Leader election among planners: by rank, without I/O, and by a ZooKeeper ensemble."""
 
 from __future__ import annotations
 
@@ -12,69 +12,78 @@
 from testbed.zookeeper import Ensemble
 from topazbank.discovery.zkclient import EnsembleConfig
 from topazbank.planning.election import Election
-from topazbank.planning.leadership import FRESH, PATIENCE, PATIENCE_RANK, StaticLead
-from topazbank.planning.plan import S
-from topazbank.planning.summary import Summary
+from topazbank.planning.leadership import (
+    FRESH_PLAN_AGE_US_MAX,
+    TAKEOVER_DELAY_PER_RANK_US,
+    TAKEOVER_DELAY_US,
+    RankedLeadership,
+)
+from topazbank.planning.plan import US_PER_S
+from topazbank.planning.summary import SummaryReport
 
 UNIX = 1_764_583_200
-SUMMARY = Summary("f", "life", 1, S // 10, -1, "", -1)
+SUMMARY = SummaryReport("f", "life", 1, US_PER_S // 10, -1, "", -1)
 
 
-def following(planner: str, epoch: int, age: int = 0) -> Summary:
-    return replace(SUMMARY, planner=planner, epoch=epoch, age=age)
+def following(planner: str, epoch: int, age: int = 0) -> SummaryReport:
+    return replace(SUMMARY, planner=planner, epoch=epoch, plan_age_us=age)
 
 
-def hear(lead: StaticLead, summary: Summary, since: int, until: int) -> int:
-    for at in range(since, until, S // 10):
-        lead.heard(at, summary)
-        if lead.look(at, UNIX) is not None:
+def report(leadership: RankedLeadership, summary: SummaryReport, since: int, until: int) -> int:
+    for at in range(since, until, US_PER_S // 10):
+        leadership.observe_summary(at, summary)
+        if leadership.current_epoch(at, UNIX) is not None:
             return at
     return until
 
 
-def test_the_first_rank_leads_after_its_patience_and_the_next_waits_longer() -> None:
-    first, second = StaticLead("p", 0, START), StaticLead("q", 1, START)
-    at = hear(first, SUMMARY, START, START + 20 * S)
-    assert START + PATIENCE <= at < START + PATIENCE + S // 5 and first.epoch is not None
-    later = hear(second, SUMMARY, START, START + 20 * S)
-    assert later >= at + PATIENCE_RANK - S // 5
+def test_the_first_rank_leads_after_its_takeover_delay_and_the_next_waits_longer() -> None:
+    first, second = RankedLeadership("p", 0, START), RankedLeadership("q", 1, START)
+    at = report(first, SUMMARY, START, START + 20 * US_PER_S)
     assert (
-        hear(StaticLead("q", 1, START), following("p", first.epoch), START, START + 20 * S) == START + 20 * S
+        START + TAKEOVER_DELAY_US <= at < START + TAKEOVER_DELAY_US + US_PER_S // 5
+        and first.epoch is not None
+    )
+    later = report(second, SUMMARY, START, START + 20 * US_PER_S)
+    assert later >= at + TAKEOVER_DELAY_PER_RANK_US - US_PER_S // 5
+    assert (
+        report(RankedLeadership("q", 1, START), following("p", first.epoch), START, START + 20 * US_PER_S)
+        == START + 20 * US_PER_S
     )
 
 
-def test_nobody_leads_whom_no_forwarder_tells_of_anything() -> None:
-    lead = StaticLead("p", 0, START)
-    assert lead.look(START + 60 * S, UNIX) is None
+def test_a_planner_without_summaries_never_leads() -> None:
+    leadership = RankedLeadership("p", 0, START)
+    assert leadership.current_epoch(START + 60 * US_PER_S, UNIX) is None
 
 
-def test_one_that_starts_anew_comes_out_above_its_former_self_whatever_its_clock_says() -> None:
-    first = StaticLead("p", 0, START)
-    hear(first, SUMMARY, START, START + 20 * S)
+def test_a_restarted_planner_gets_a_higher_epoch_although_its_clock_is_behind() -> None:
+    first = RankedLeadership("p", 0, START)
+    report(first, SUMMARY, START, START + 20 * US_PER_S)
     assert first.epoch is not None
-    again = StaticLead("p", 0, START)
-    old = following("p", first.epoch, age=FRESH * 10)
-    for at in range(START, START + 4 * S, S // 10):
-        again.heard(at, old)
-        again.look(at, UNIX - 600)  # ten minutes behind
+    again = RankedLeadership("p", 0, START)
+    old = following("p", first.epoch, age=FRESH_PLAN_AGE_US_MAX * 10)
+    for at in range(START, START + 4 * US_PER_S, US_PER_S // 10):
+        again.observe_summary(at, old)
+        again.current_epoch(at, UNIX - 600)  # ten minutes behind
     assert again.epoch is not None and again.epoch > first.epoch
 
 
-def test_two_that_lead_at_once_differ_and_the_lower_one_is_deposed_when_they_meet() -> None:
-    pair = [StaticLead("p", 0, START), StaticLead("q", 1, START)]
-    for each in pair:
-        hear(each, SUMMARY, START, START + 20 * S)
-    epochs = [each.epoch for each in pair]
+def test_two_leaders_have_different_epochs_and_the_lower_is_deposed_when_they_meet() -> None:
+    pair = [RankedLeadership("p", 0, START), RankedLeadership("q", 1, START)]
+    for leadership in pair:
+        report(leadership, SUMMARY, START, START + 20 * US_PER_S)
+    epochs = [leadership.epoch for leadership in pair]
     assert epochs[0] is not None and epochs[1] is not None and epochs[0] > epochs[1]
-    pair[1].heard(START + 21 * S, following("p", epochs[0]))
-    assert pair[1].epoch is None and pair[1].look(START + 21 * S, UNIX) is None
-    pair[0].heard(START + 21 * S, following("q", epochs[1]))
+    pair[1].observe_summary(START + 21 * US_PER_S, following("p", epochs[0]))
+    assert pair[1].epoch is None and pair[1].current_epoch(START + 21 * US_PER_S, UNIX) is None
+    pair[0].observe_summary(START + 21 * US_PER_S, following("q", epochs[1]))
     assert pair[0].epoch == epochs[0]
 
 
-def test_a_rank_out_of_bounds_is_named() -> None:
+def test_a_rank_out_of_bounds_is_refused() -> None:
     with pytest.raises(ValueError, match="rank"):
-        StaticLead("p", 256, START)
+        RankedLeadership("p", 256, START)
 
 
 # -- By an ensemble ----------------------------------------------------------------------------------
@@ -94,53 +103,53 @@
         return self.election.epoch
 
 
-def test_epochs_grow_from_leader_to_leader_through_deaths_and_lost_sessions() -> None:
-    async def scene() -> None:
+def test_epochs_grow_from_leader_to_leader_through_kills_and_expired_sessions() -> None:
+    async def scenario() -> None:
         ensemble = Ensemble(3)
         await ensemble.start()
-        one = Candidate(ensemble, "p-0", 1)
-        await until(lambda: one.epoch is not None)
-        two = Candidate(ensemble, "p-1", 2)
-        three = Candidate(ensemble, "p-2", 3)
-        await until(lambda: two.election._node is not None and three.election._node is not None)
-        assert two.epoch is None and three.epoch is None
-        seen = [one.epoch]
+        first = Candidate(ensemble, "p-0", 1)
+        await until(lambda: first.epoch is not None)
+        second = Candidate(ensemble, "p-1", 2)
+        third = Candidate(ensemble, "p-2", 3)
+        await until(lambda: second.election._node is not None and third.election._node is not None)
+        assert second.epoch is None and third.epoch is None
+        leaders_epochs = [first.epoch]
         ensemble.expire(
-            one.election._session.session_id
-        )  # it does not know yet; the ensemble gave its place away
-        await until(lambda: two.epoch is not None or three.epoch is not None)
-        leader, other = (two, three) if two.epoch is not None else (three, two)
-        seen.append(leader.epoch)
-        await until(lambda: one.epoch is None)
+            first.election._session.session_id
+        )  # it does not know yet; the ensemble elects another
+        await until(lambda: second.epoch is not None or third.epoch is not None)
+        leader, other = (second, third) if second.epoch is not None else (third, second)
+        leaders_epochs.append(leader.epoch)
+        await until(lambda: first.epoch is None)
         await leader.election.close()
         await until(lambda: other.epoch is not None)
-        seen.append(other.epoch)
+        leaders_epochs.append(other.epoch)
         other.election.stop()  # killed: its session has to time out
-        await until(lambda: one.epoch is not None)
-        seen.append(one.epoch)
-        epochs = [each for each in seen if each is not None]
+        await until(lambda: first.epoch is not None)
+        leaders_epochs.append(first.epoch)
+        epochs = [epoch for epoch in leaders_epochs if epoch is not None]
         assert len(epochs) == 4 and epochs == sorted(set(epochs))
-        one.election.stop()
+        first.election.stop()
         ensemble.stop()
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_leader_out_of_touch_does_not_lead_and_is_again_the_same_when_its_session_lived() -> None:
-    async def scene() -> None:
+def test_a_leader_cut_off_from_the_ensemble_stops_leading_and_resumes_with_its_session() -> None:
+    async def scenario() -> None:
         ensemble = Ensemble(3)
         await ensemble.start()
-        one = Candidate(ensemble, "p-0", 1)
-        await until(lambda: one.epoch is not None)
-        epoch = one.epoch
+        first = Candidate(ensemble, "p-0", 1)
+        await until(lambda: first.epoch is not None)
+        epoch = first.epoch
         ensemble.outage()
-        await until(lambda: one.epoch is None)
+        await until(lambda: first.epoch is None)
         await asyncio.sleep(0.3)
-        assert one.epoch is None
+        assert first.epoch is None
         ensemble.restore()
-        await until(lambda: one.epoch is not None)
-        assert one.epoch == epoch
-        one.election.stop()
+        await until(lambda: first.epoch is not None)
+        assert first.epoch == epoch
+        first.election.stop()
         ensemble.stop()
 
-    play(scene())
+    play(scenario())
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -567,11 +567,11 @@
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(request()[:30])
             await until(lambda: w.sidecar.listener.connections)
-            w.sidecar.drain.standby(asyncio.get_running_loop().time())
+            w.sidecar.drain.start_drain(asyncio.get_running_loop().time())
             w.sidecar.apply_drain()
             assert await is_closed(reader)
             assert not w.sidecar.drain.is_ready()
-            w.sidecar.drain.active()
+            w.sidecar.drain.cancel_drain()
             w.sidecar.apply_drain()
             assert (await w.ask())[0] == 200
             writer.close()
--- a/topazbank/cluster/service.py
+++ b/topazbank/cluster/service.py
@@ -31,7 +31,7 @@
 from topazbank.core.components import SidecarConfig
 from topazbank.core.net import Address
 from topazbank.estimation.fleet_size import FleetSize
-from topazbank.operator_config import Tiering
+from topazbank.operator_config import ClusterConfig
 from topazbank.quota.service import QuotaService
 from topazbank.quota.wire import is_quota_message
 
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        operator: Tiering,
+        operator: ClusterConfig,
         config: SidecarConfig,
         fleet_size: FleetSize,
         predecessor: Mapping[str, Any],
@@ -278,10 +278,10 @@
         }
 
 
-def _protocol_settings(operator: Tiering) -> ProtocolSettings:
+def _protocol_settings(operator: ClusterConfig) -> ProtocolSettings:
     return ProtocolSettings(
-        operator.period_ms * 1000,
-        operator.pause_ms * 1000,
-        operator.forget_s * 1_000_000,
-        operator.datagram,
+        operator.probe_period_ms * 1000,
+        operator.tolerated_pause_ms * 1000,
+        operator.forget_after_s * 1_000_000,
+        operator.datagram_bytes_max,
     )
--- a/topazbank/core/components.py
+++ b/topazbank/core/components.py
@@ -40,8 +40,10 @@
 class RequestObserver(RoutingPlan, Protocol):
     """Observes requests and may guide the balancer with a routing plan."""
 
-    def start(self, ejected: Callable[[], Collection[str]], lives: Callable[[], Generations | None]) -> None:
-        """Begin; `ejected`: names of the servers ejected now, `lives`: the generations of the cluster's members."""
+    def start(
+        self, ejected: Callable[[], Collection[str]], generations: Callable[[], Generations | None]
+    ) -> None:
+        """Begin; `ejected`: names of the servers ejected now, `generations`: those of the cluster's members."""
 
     def stop(self) -> None:
         """End."""
--- a/topazbank/core/listener.py
+++ b/topazbank/core/listener.py
@@ -16,7 +16,7 @@
 from topazbank.core.counters import ClientEvent, Counters
 from topazbank.core.net import Address, peer_has_closed
 from topazbank.core.request_checks import RequestClasses
-from topazbank.operations.drain import Orders
+from topazbank.operations.drain import DrainDecision
 
 log = logging.getLogger(__name__)
 
@@ -88,13 +88,13 @@
         self._resume_accepting()
         self._schedule_sweep()
 
-    def apply(self, orders: Orders) -> None:
+    def apply(self, orders: DrainDecision) -> None:
         """Carry out what a drain, or its end, orders now."""
-        self.table.draining, self.table.rejects_new = orders.closes, orders.closes_new
-        if not orders.listens:
+        self.table.draining, self.table.rejects_new = orders.closes_idle, orders.closes_unused
+        if not orders.accepts_connections:
             self.stop(orders.ready)
-        if orders.closes:
-            self.table.close_idle(only_used=not orders.closes_new)
+        if orders.closes_idle:
+            self.table.close_idle(only_used=not orders.closes_unused)
 
     def stop(self, has_successor: bool = False) -> None:
         """Listen no more; accept what waits first, unless another process accepts from the same queue.
--- a/topazbank/core/sidecar.py
+++ b/topazbank/core/sidecar.py
@@ -163,7 +163,7 @@
         await self._start()
         lag = asyncio.get_running_loop().create_task(log_loop_lag())
         on_started()
-        self.drain.serve()
+        self.drain.mark_started()
         self.apply_drain()  # an operator may have ordered one already
         await stop.wait()
         await self._drain_all(has_successor())
@@ -201,7 +201,7 @@
     async def _drain_all(self, has_successor: bool) -> None:
         """Answer all requests in progress, in the time that the platform gives."""
         log.info("draining: %d requests in progress", self._requests.unanswered_count)
-        self.drain.end(asyncio.get_running_loop().time(), has_successor)
+        self.drain.terminate(asyncio.get_running_loop().time(), has_successor)
         self.apply_drain()
         await self._drained.wait()
         self._requests.fail_unanswered()
@@ -221,14 +221,14 @@
 
     def apply_drain(self) -> None:
         """Carry out what the drain orders now, and again at short intervals until it is over."""
-        orders = self.drain.look(asyncio.get_running_loop().time(), self.listener.open_connections)
+        orders = self.drain.decide(asyncio.get_running_loop().time(), self.listener.open_connections)
         self.listener.apply(orders)
         if self._drain_step is not None:
             self._drain_step.cancel()
             self._drain_step = None
-        if orders.over:
+        if orders.finished:
             self._drained.set()
-        elif orders.closes:
+        elif orders.closes_idle:
             self._drain_step = asyncio.get_running_loop().call_later(_DRAIN_STEP_S, self.apply_drain)
 
     # -- Replacement, of this process or of its source ------------------------------------------------
--- a/topazbank/operations/service.py
+++ b/topazbank/operations/service.py
@@ -1,9 +1,8 @@
-"""A sidecar in service: the operators' desk beside it, and the process that came before or comes after."""
+"""One process of a sidecar: takes over from the former process, serves with its admin API, hands over to the next."""
 
 from __future__ import annotations
 
 import asyncio
-import logging
 from collections.abc import Mapping
 from dataclasses import replace
 from pathlib import Path
@@ -11,111 +10,115 @@
 
 from topazbank.core.components import Components, SidecarConfig
 from topazbank.core.sidecar import Sidecar
-from topazbank.discovery.list_format import encode_list, parse_list
-from topazbank.operations.admin_api import AdminApi, Calls
-from topazbank.operations.handover import Handover, inherit
-from topazbank.operations.upgrade import parts
+from topazbank.operations.admin_api import AdminCommands, AdminServer
+from topazbank.operations.connection_split import split_connection_limit
+from topazbank.operations.handover import InheritedState, take_over
+from topazbank.operations.handover_server import HandoverServer
+from topazbank.operations.handover_state import HandoverState, state_from_json, state_to_json
 
-log = logging.getLogger(__name__)
 
-
-def path_of(config: SidecarConfig) -> Path | None:
-    """Where a sidecar at this address hands over; None: nowhere."""
+def handover_path(config: SidecarConfig) -> Path | None:
+    """The path of the hand-over socket of the sidecar at this address; None: there is no hand-over."""
     if not config.handover_folder:
         return None
     return Path(config.handover_folder) / f"topazbank-{config.listen[0]}-{config.listen[1]}.sock"
 
 
-class Service:
+class SidecarService:
     """One process of a sidecar, from its start to its end."""
 
-    def __init__(self, config: SidecarConfig, wiring: Components) -> None:
-        """Take over from the process before, if one is there; raise OSError where an address can't be listened at."""
-        path = path_of(config)
-        self._before = inherit(path)
-        known = self._before.known
-        if known:
-            config = _told(config, known)
-        tier = known.get("tier")
-        self.sidecar = Sidecar(
-            config,
-            wiring,
-            client_socket=self._before.clients,
-            gossip_socket=self._before.peers,
-            cluster_state=tier if isinstance(tier, dict) else None,
-        )
-        self._handover = None
-        if path is not None:
-            self._handover = Handover(
-                path, lambda: self.sidecar.listening_sockets, self._snapshot, self._share, self._taken
-            )
-        if self._before.link is not None:
-            held = (known.get("clients"), known.get("nodes"))
-            self._bound([parts(self.sidecar.max_connections, _count(each)).new for each in held])
-        self._desk: AdminApi | None = None
-        if config.admin_address is not None:
-            # Both clocks are the monotonic one; the desk's thread has no loop.
-            self._desk = AdminApi(config.admin_address, Calls(self.sidecar.drain, self._changed).answer)
+    def __init__(self, config: SidecarConfig, components: Components) -> None:
+        """Take over from the former process, if one runs; raise OSError where an address can't be listened at."""
+        path = handover_path(config)
+        self._inherited = take_over(path)
+        former = state_from_json(self._inherited.snapshot) if self._inherited.snapshot else None
+        self.sidecar = _sidecar(config, components, self._inherited, former)
+        self._handover = self._handover_server(path)
+        if former is not None:
+            self._take_new_share(former)
+        self._admin = self._admin_server(config)
         self._loop: asyncio.AbstractEventLoop | None = None
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serve until `stop`, then answer all that is held and return."""
+        """Serve until `stop` is set, then finish the requests in flight and return."""
         self._loop = asyncio.get_running_loop()
-        if self._desk is not None:
-            self._desk.start()
+        if self._admin is not None:
+            self._admin.start()
         try:
-            await self.sidecar.run(stop, self._began, self._is_succeeded)
+            await self.sidecar.run(stop, self._on_started, self._has_successor)
         finally:
             if self._handover is not None:
                 self._handover.stop()
-            if self._desk is not None:
-                self._desk.stop()
+            if self._admin is not None:
+                self._admin.stop()
+
+    def _handover_server(self, path: Path | None) -> HandoverServer | None:
+        if path is None:
+            return None
+        return HandoverServer(
+            path,
+            lambda: self.sidecar.listening_sockets,
+            self._snapshot,
+            self._on_limits_shared,
+            self._on_successor_serving,
+        )
 
-    def _began(self) -> None:
+    def _admin_server(self, config: SidecarConfig) -> AdminServer | None:
+        if config.admin_address is None:
+            return None
+        commands = AdminCommands(self.sidecar.drain, self._wake_loop)
+        return AdminServer(config.admin_address, commands.answer)
+
+    def _on_started(self) -> None:
         if self._handover is not None:
-            self._handover.start(self._before)
+            self._handover.start(self._inherited)
 
-    def _is_succeeded(self) -> bool:
-        return self._handover is not None and self._handover.succeeded
+    def _has_successor(self) -> bool:
+        return self._handover is not None and self._handover.has_successor
 
-    def _changed(self) -> None:
-        """An operator has ordered something; called in the desk's thread."""
+    def _wake_loop(self) -> None:
+        """Make the event loop act on the drain's new state; called in the admin server's thread."""
         assert self._loop is not None
         self._loop.call_soon_threadsafe(self.sidecar.apply_drain)
 
     def _snapshot(self) -> Mapping[str, Any]:
-        """What the next process is told."""
-        known = self.sidecar.endpoint_list
-        clients, nodes = self.sidecar.open_connections
-        told = {"list": encode_list(known.version, known.entries), "clients": clients, "nodes": nodes}
-        return told | ({"tier": self.sidecar.cluster_state} if self.sidecar.cluster_state else {})
-
-    def _share(self, shared: bool) -> None:
-        """Take a part of the limits, or all: another process of this sidecar has come, or ended."""
-        if shared:
-            self._bound(
-                [parts(self.sidecar.max_connections, each).old for each in self.sidecar.open_connections]
-            )
-        else:
+        clients, servers = self.sidecar.open_connections
+        return state_to_json(
+            HandoverState(self.sidecar.endpoint_list, clients, servers, self.sidecar.cluster_state)
+        )
+
+    def _take_new_share(self, former: HandoverState) -> None:
+        """Limit connections to what the former process leaves."""
+        limit = self.sidecar.max_connections
+        clients = split_connection_limit(limit, former.client_connections).new
+        servers = split_connection_limit(limit, former.server_connections).new
+        self.sidecar.set_max_connections(clients, servers)
+
+    def _on_limits_shared(self, shared: bool) -> None:
+        """Share the limits with another process of this sidecar, or use all of them again."""
+        if not shared:
             self.sidecar.set_max_connections(None, None)
             self.sidecar.resume_membership()
+            return
+        limit = self.sidecar.max_connections
+        clients, servers = self.sidecar.open_connections
+        self.sidecar.set_max_connections(
+            split_connection_limit(limit, clients).old, split_connection_limit(limit, servers).old
+        )
 
-    def _taken(self) -> None:
-        """The process that came takes requests."""
+    def _on_successor_serving(self) -> None:
         self.sidecar.pause_membership()
 
-    def _bound(self, most: list[int]) -> None:
-        self.sidecar.set_max_connections(most[0], most[1])
-
-
-def _told(config: SidecarConfig, known: Mapping[str, Any]) -> SidecarConfig:
-    """The configuration with the list as the process before had it, where that is one."""
-    try:
-        return replace(config, cached_endpoints=parse_list(known.get("list")), inherited=True)
-    except ValueError as junk:
-        log.warning("the list of the process before is not taken: %s", junk)
-        return config
-
 
-def _count(value: object) -> int:
-    return value if type(value) is int and value >= 0 else 0
+def _sidecar(
+    config: SidecarConfig, components: Components, inherited: InheritedState, former: HandoverState | None
+) -> Sidecar:
+    if former is not None and former.endpoints is not None:
+        config = replace(config, cached_endpoints=former.endpoints, inherited=True)
+    return Sidecar(
+        config,
+        components,
+        client_socket=inherited.client_socket,
+        gossip_socket=inherited.gossip_socket,
+        cluster_state=former.cluster_state if former is not None else None,
+    )
