--- a/benchmarks/cluster_cost.py
+++ b/benchmarks/cluster_cost.py
@@ -25,9 +25,9 @@
 from benchmarks.forward_cost import OUT, ROOT, SETTINGS, WARM_S, process, until_up
 from benchmarks.load import Load, cpu_s
 from testbed.cluster.synthetic_peers import Crowd
-from testbed.ports import free, own_host
+from testbed.ports import free_addresses, private_loopback_host
 from testbed.registry import Registry
-from testbed.wire import HTTP, Address, place
+from testbed.wire import HTTP, Address, format_address
 from topazbank.cluster.__main__ import ask_tier
 
 SETTLE_S = 3.0
@@ -52,7 +52,7 @@
     on: bool, peers: Sequence[Address], registry: Address, ports: list[int], folder: Path
 ) -> Iterator[tuple[int, Address]]:
     """The sidecar, number 0 of these peers: its process and where it listens."""
-    (listen,) = free(own_host(), 1)
+    (listen,) = free_addresses(private_loopback_host(), 1)
     entries = [
         {"name": f"s-{n}", "address": f"127.0.0.1:{port}", "zone": "a", "type": "m", "group": 1}
         | {"status": "active", "weight": 1.0, "since_ms": 0}
@@ -60,9 +60,14 @@
     ]
     settings = SETTINGS | {"groupSize": len(peers), "me": 0}
     settings["bounds"] = SETTINGS["bounds"] | {"mayTell": True}
-    given = {"listen": place(listen), "discovery": place(registry), "seed": "8c1f", "settings": settings}
+    given = {
+        "listen": format_address(listen),
+        "discovery": format_address(registry),
+        "seed": "8c1f",
+        "settings": settings,
+    }
     given |= {"known": {"index": 1, "snapshot": True, "endpoints": entries}, "limits": {"sockets": 1024}}
-    given |= {"peer_listen": place(peers[0]), "peers": [place(each) for each in peers]}
+    given |= {"peer_listen": format_address(peers[0]), "peers": [format_address(each) for each in peers]}
     (folder / "relay.json").write_text(json.dumps(given), encoding="utf-8")
     operator = folder / "operator.toml"
     operator.write_text(
@@ -80,7 +85,7 @@
     registry = Registry()
     registry.index = 1
     await registry.start()
-    (here,) = free(own_host(), 1, socket.SOCK_DGRAM)
+    (here,) = free_addresses(private_loopback_host(), 1, socket.SOCK_DGRAM)
     crowd = Crowd(size, here)
     await crowd.start()
     try:
@@ -94,7 +99,7 @@
             memory = resident_mb(pid)
             seen = 0
             if on:
-                seen = (await asyncio.to_thread(ask_tier, place(listen)))["at_most"]
+                seen = (await asyncio.to_thread(ask_tier, format_address(listen)))["at_most"]
             return Figure(rest_ms, memory, await _request_us(pid, listen, given.seconds), seen)
     finally:
         crowd.stop()
--- a/benchmarks/forward_cost.py
+++ b/benchmarks/forward_cost.py
@@ -28,7 +28,7 @@
 
 from benchmarks.load import Bare, HttpNode, Load, RpcNode, cpu_s
 from testbed.registry import Registry
-from testbed.wire import HTTP, MSGPACK_RPC, Address, place
+from testbed.wire import HTTP, MSGPACK_RPC, Address, format_address
 
 ROOT = Path(__file__).parent.parent
 NODES = 6
@@ -127,7 +127,12 @@
         | {"status": "active", "weight": 1.0, "since_ms": 0, "protocol": case.nodes}
         for number, port in enumerate(ports)
     ]
-    config = {"listen": place(listen), "discovery": place(discovery), "seed": "8c1f", "settings": SETTINGS}
+    config = {
+        "listen": format_address(listen),
+        "discovery": format_address(discovery),
+        "seed": "8c1f",
+        "settings": SETTINGS,
+    }
     config |= {"known": {"index": 1, "snapshot": True, "endpoints": lines}, "limits": {"sockets": 1024}}
     path = folder / "config.json"
     path.write_text(json.dumps(config), encoding="utf-8")
--- a/benchmarks/notification_delay.py
+++ b/benchmarks/notification_delay.py
@@ -16,9 +16,9 @@
 from typing import Any
 
 from benchmarks.forward_cost import SETTINGS
-from testbed.backend import Lodge, LodgeServer, RunLog
-from testbed.clients import HttpCaller, Wish
-from testbed.wire import HTTP, Asked, Reply
+from testbed.backend import Backend, BackendServer, RunLog
+from testbed.clients import ClientCall, HttpClient
+from testbed.wire import HTTP, Message, Reply
 from testbed.zookeeper import Ensemble
 from topazbank.balancing.events import ServerState
 from topazbank.core.components import SidecarConfig
@@ -36,27 +36,27 @@
 WATCH_S = 0.15  # after a change, how long the node is watched for something new; the rule allows 0.5
 
 
-class Noting(Lodge):
+class Noting(Backend):
     """A node that notes when each request reached it."""
 
     reached: list[float]
 
-    async def serve(self, asked: Asked) -> Reply | None:
+    async def serve(self, asked: Message) -> Reply | None:
         self.reached.append(asyncio.get_running_loop().time())
         return await super().serve(asked)
 
 
-async def node(number: int) -> tuple[Noting, LodgeServer]:
+async def node(number: int) -> tuple[Noting, BackendServer]:
     lodge = Noting(
         f"n-{number}", RunLog(), asyncio.get_running_loop().time, slots=64, work=lambda asked: 0.001
     )
     lodge.reached = []
-    server = LodgeServer(lodge, HTTP)
+    server = BackendServer(lodge, HTTP)
     await server.start()
     return lodge, server
 
 
-def registrar(where: EnsembleConfig, server: LodgeServer) -> Registrar:
+def registrar(where: EnsembleConfig, server: BackendServer) -> Registrar:
     registration = Registration(server.address, 1, "m", "a", HTTP, 1.0, server.lodge.name, 0)
     made = Registrar(where, PATH, server.lodge.name, registration)
     made.start()
@@ -64,11 +64,11 @@
 
 
 async def load(target: Any, number: int) -> None:
-    caller = HttpCaller(target)
+    caller = HttpClient(target)
     count = 0
     while True:
         count += 1
-        await caller.call(Wish("look", f"{number}-{count}"))
+        await caller.call(ClientCall("look", f"{number}-{count}"))
 
 
 async def until(condition: Any) -> None:
--- a/benchmarks/planners.py
+++ b/benchmarks/planners.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Any
 
-from testbed.fleet.harness import Rig, until
+from testbed.fleet.harness import FleetHarness, wait_until
 from topazbank.balancing.events import ServerDescription, ServerState
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, SourceStatus
 from topazbank.core.net import Address, parse_address
@@ -37,26 +37,26 @@
 # -- Failover ----------------------------------------------------------------------------------------
 
 
-def all_follow(rig: Rig) -> bool:
+def all_follow(rig: FleetHarness) -> bool:
     return rig.leader() is not None and min(rig.trusts()) > 0.85
 
 
 async def failover(times: int, session_s: float, by_rank: bool) -> int:
     took = []
     for number in range(times):
-        rig = Rig(planners=2, nodes=4, seed=number + 1, session_s=session_s, by_rank=by_rank)
+        rig = FleetHarness(planners=2, nodes=4, seed=number + 1, session_s=session_s, by_rank=by_rank)
         await rig.start()
-        await until(partial(all_follow, rig))
+        await wait_until(partial(all_follow, rig))
         first = rig.leader()
         assert first is not None
         began = time.monotonic()
         rig.kill_planner(first)
 
-        def followed(rig: Rig = rig, name: str = f"p-{1 - first}") -> bool:
+        def followed(rig: FleetHarness = rig, name: str = f"p-{1 - first}") -> bool:
             found = [rig.following(each) for each in range(len(rig.processes))]
             return all(each is not None and each.planner == name and each.age is not None for each in found)
 
-        await until(followed)
+        await wait_until(followed)
         took.append(time.monotonic() - began)
         await rig.stop()
         if number % 10 == 9:
--- a/testbed/backend/__main__.py
+++ b/testbed/backend/__main__.py
@@ -11,29 +11,29 @@
 import signal
 import time
 
-from testbed.backend import SPEEDS, Lodge, LodgeServer, RunLog
-from testbed.backend.model import COLD_S
-from testbed.wire import HTTP, MSGPACK_RPC, place
+from testbed.backend import SPEED_RATIOS, Backend, BackendServer, RunLog
+from testbed.backend.model import WARMUP_S
+from testbed.wire import HTTP, MSGPACK_RPC, format_address
 
 
 async def run(given: argparse.Namespace) -> None:
     with contextlib.ExitStack() as stack:
         file = stack.enter_context(open(given.log, "a", encoding="utf-8")) if given.log else None
-        speed, work_s = SPEEDS[given.speed], given.work_ms / 1000
-        lodge = Lodge(
+        speed, work_s = SPEED_RATIOS[given.speed], given.work_ms / 1000
+        lodge = Backend(
             given.name,
             RunLog(file),
             time.time,
             speed,
             given.slots,
             given.queue,
-            COLD_S if given.cold else 0.0,
+            WARMUP_S if given.cold else 0.0,
             lambda asked: work_s,
         )
-        server = LodgeServer(lodge, given.protocol, given.pod, given.speed)
+        server = BackendServer(lodge, given.protocol, given.pod, given.speed)
         host, _, port = given.listen.rpartition(":")
         await server.start(host, int(port))
-        print(f"{given.name} listens at {place(server.address)}, {given.protocol}", flush=True)
+        print(f"{given.name} listens at {format_address(server.address)}, {given.protocol}", flush=True)
         stop = asyncio.Event()
         for each in (signal.SIGTERM, signal.SIGINT):
             asyncio.get_running_loop().add_signal_handler(each, stop.set)
@@ -50,7 +50,7 @@
     parser.add_argument("--name", default="lodge-1")
     parser.add_argument("--protocol", choices=(HTTP, MSGPACK_RPC), default=HTTP)
     parser.add_argument("--pod", type=int, default=1)
-    parser.add_argument("--speed", choices=tuple(SPEEDS), default="std")
+    parser.add_argument("--speed", choices=tuple(SPEED_RATIOS), default="std")
     parser.add_argument("--slots", type=int, default=8, help="requests in work at once")
     parser.add_argument("--queue", type=int, default=32, help="requests that may wait")
     parser.add_argument("--work-ms", type=float, default=5.0, help="work of a request on a standard machine")
--- a/testbed/backend/model.py
+++ b/testbed/backend/model.py
@@ -9,12 +9,18 @@
 from dataclasses import asdict, dataclass, field
 from typing import IO
 
-from testbed.wire import Asked, Reply
-
-SPEEDS = {"slow": 0.5, "std": 1.0, "fast": 2.0}  # work done in a second, by kind of machine
-COLD_FROM, COLD_S = 0.14, 22.0  # a node that starts can do this part of its work, and all of it so much later
-_FALL_MULTIPLE, _FALL_S = 3.0, 2.0  # a cold node falls over under so many times its capacity for so long
-_MEMORY_S = 2.0  # how long a pod drops the repeats of a keyed request
+from testbed.wire import Message, Reply
+
+SPEED_RATIOS = {"slow": 0.5, "std": 1.0, "fast": 2.0}  # work done in a second, by kind of machine
+WARMUP_START_RATIO, WARMUP_S = (
+    0.14,
+    22.0,
+)  # a node that starts can do this part of its work, and all of it so much later
+_COLLAPSE_MULTIPLE, _COLLAPSE_WINDOW_S = (
+    3.0,
+    2.0,
+)  # a cold node falls over under so many times its capacity for so long
+_IDEMPOTENCY_WINDOW_S = 2.0  # how long a pod drops the repeats of a keyed request
 REJECTED = Reply(503, b"", {"X-Rejected": "1"})
 
 
@@ -51,25 +57,27 @@
         return [effect for effect, count in effects.items() if count > 1]
 
 
-class Memory:
+class IdempotencyCache:
     """A pod's memory of keyed requests: a repeat within 2 s is dropped and gets the first one's answer."""
 
     def __init__(self) -> None:
         self._kept: dict[str, tuple[float, asyncio.Future[Reply]]] = {}
 
     def recall(self, key: str, now: float) -> asyncio.Future[Reply] | None:
-        self._kept = {each: kept for each, kept in self._kept.items() if kept[0] + _MEMORY_S > now}
+        self._kept = {
+            each: kept for each, kept in self._kept.items() if kept[0] + _IDEMPOTENCY_WINDOW_S > now
+        }
         return self._kept[key][1] if key in self._kept else None
 
     def keep(self, key: str, now: float, reply: asyncio.Future[Reply]) -> None:
         self._kept[key] = (now, reply)
 
 
-Work = Callable[[Asked], float]  # seconds of a standard machine that a request takes
+WorkModel = Callable[[Message], float]  # seconds of a standard machine that a request takes
 
 
 @dataclass(slots=True, eq=False)
-class Lodge:
+class Backend:
     """One node's process."""
 
     name: str
@@ -79,8 +87,8 @@
     slots: int = 8  # requests in work
     queue: int = 32  # and waiting; beyond it they are turned away unseen
     cold_s: float = 0.0  # 0: it starts warm
-    work: Work = lambda asked: 0.005
-    memory: Memory = field(default_factory=Memory)
+    work: WorkModel = lambda asked: 0.005
+    memory: IdempotencyCache = field(default_factory=IdempotencyCache)
     draining: bool = False
     fallen: bool = False  # pushed over while cold: it stays down
     hung: bool = False  # takes requests and answers nothing
@@ -97,19 +105,21 @@
         """The part of its work that it can do by now."""
         if self.cold_s <= 0.0:
             return 1.0
-        return min(1.0, COLD_FROM + (1.0 - COLD_FROM) * (self.clock() - self.began) / self.cold_s)
+        return min(
+            1.0, WARMUP_START_RATIO + (1.0 - WARMUP_START_RATIO) * (self.clock() - self.began) / self.cold_s
+        )
 
     def _offer(self, work: float) -> None:
         now = self.clock()
         self._offered.append((now, work))
-        while self._offered[0][0] < now - _FALL_S:
+        while self._offered[0][0] < now - _COLLAPSE_WINDOW_S:
             self._offered.popleft()
         able = self.capacity()
-        bearable = _FALL_MULTIPLE * able * self.speed * self.slots * _FALL_S
+        bearable = _COLLAPSE_MULTIPLE * able * self.speed * self.slots * _COLLAPSE_WINDOW_S
         if able < 1.0 and sum(each for _, each in self._offered) > bearable:
             self.fallen = True
 
-    async def serve(self, asked: Asked) -> Reply | None:
+    async def serve(self, asked: Message) -> Reply | None:
         """Run a request, or turn it away; None is silence, from a node that has fallen over."""
         work = self.work(asked)
         self.log.arrived[asked.ident] += 1
@@ -134,7 +144,7 @@
             # A process that dies under the run has had its effect, and the pod remembers that.
             reply.set_result(made)
 
-    async def _run(self, asked: Asked, key: str | None, work: float) -> Reply:
+    async def _run(self, asked: Message, key: str | None, work: float) -> Reply:
         self.held += 1
         try:
             async with self._free:
--- a/testbed/backend/server.py
+++ b/testbed/backend/server.py
@@ -7,14 +7,14 @@
 
 import msgpack
 
-from testbed.backend.model import Lodge
-from testbed.wire import HTTP, Listening, Reply, pack, place, read_http, read_rpc, reset
+from testbed.backend.model import Backend
+from testbed.wire import HTTP, Reply, TcpServer, format_address, pack, read_http, read_rpc, reset_connection
 
 
-class LodgeServer(Listening):
+class BackendServer(TcpServer):
     """Serves one node; `die` ends it as a killed process ends."""
 
-    def __init__(self, lodge: Lodge, protocol: str = HTTP, pod: int = 1, kind: str = "std") -> None:
+    def __init__(self, lodge: Backend, protocol: str = HTTP, pod: int = 1, kind: str = "std") -> None:
         self.lodge = lodge
         self.protocol = protocol
         self.pod = pod
@@ -27,7 +27,7 @@
         """This node's line in the registry."""
         entry: dict[str, Any] = {
             "name": self.lodge.name,
-            "address": place(self.address),
+            "address": format_address(self.address),
             "zone": "a",
             "type": self.kind,
         }
@@ -81,6 +81,6 @@
         """End at once: connections break, what runs is cut off, new connections are refused."""
         self.stop()
         for writer in list(self._writers):
-            reset(writer)
+            reset_connection(writer)
         for task in list(self._tasks):
             task.cancel()
--- a/testbed/clients/__init__.py
+++ b/testbed/clients/__init__.py
@@ -12,11 +12,11 @@
 
 from testbed.wire import HTTP, Address, pack, read_http
 
-_GRACE_S = 1.0  # beyond its budget, how long a client waits before it takes the answer for lost
+_TIMEOUT_MARGIN_S = 1.0  # beyond its budget, how long a client waits before it takes the answer for lost
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class ClientCall:
     """What a client wants done."""
 
     kind: str
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Got:
+class CallResult:
     """A final answer; status 0 is none: the connection broke, or time ran out."""
 
     status: int
@@ -46,22 +46,22 @@
         return "failed" if self.status else "lost"
 
 
-class HttpCaller:
+class HttpClient:
     """One HTTP connection, one call at a time; it is opened again when it has ended."""
 
     def __init__(self, target: Address) -> None:
         self._target = target
         self._stream: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
-    async def call(self, wish: Wish) -> Got:
+    async def call(self, wish: ClientCall) -> CallResult:
         try:
-            async with asyncio.timeout(wish.budget_s + _GRACE_S):
+            async with asyncio.timeout(wish.budget_s + _TIMEOUT_MARGIN_S):
                 return await self._once_more(wish)
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
             self.close()
-            return Got(0)
+            return CallResult(0)
 
-    async def _once_more(self, wish: Wish) -> Got:
+    async def _once_more(self, wish: ClientCall) -> CallResult:
         """A sidecar may close a connection between calls; a call that crosses that goes once more on a new one."""
         if self._stream is not None:
             with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
@@ -70,13 +70,15 @@
         self._stream = await asyncio.open_connection(*self._target)
         return await self._exchange(*self._stream, wish)
 
-    async def _exchange(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, wish: Wish) -> Got:
+    async def _exchange(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, wish: ClientCall
+    ) -> CallResult:
         writer.write(http_request(wish))
         answer = await read_http(reader)
         if answer.headers.get("connection") == "close":
             self.close()
         back = answer.headers.get("retry-after")
-        return Got(int(answer.first.split(" ")[1]), answer.body, float(back) if back else None)
+        return CallResult(int(answer.first.split(" ")[1]), answer.body, float(back) if back else None)
 
     def close(self) -> None:
         if self._stream is not None:
@@ -84,7 +86,7 @@
             self._stream = None
 
 
-def http_request(wish: Wish) -> bytes:
+def http_request(wish: ClientCall) -> bytes:
     """The bytes of a call over HTTP."""
     safe = not wish.body and wish.key is None
     lines = [
@@ -105,28 +107,28 @@
     return "\r\n".join([*lines, "", ""]).encode() + wish.body
 
 
-class RpcCaller:
+class RpcClient:
     """One MessagePack-RPC connection that carries any number of calls; opened again when it has ended."""
 
     def __init__(self, target: Address) -> None:
         self._target = target
         self._writer: asyncio.StreamWriter | None = None
         self._reading: asyncio.Task[None] | None = None
-        self._waiting: dict[int, asyncio.Future[Got]] = {}
+        self._waiting: dict[int, asyncio.Future[CallResult]] = {}
         self._msgids = itertools.count()
         self._opening = asyncio.Lock()
 
-    async def call(self, wish: Wish) -> Got:
+    async def call(self, wish: ClientCall) -> CallResult:
         msgid = next(self._msgids) & 0xFFFFFFFF
-        got: asyncio.Future[Got] = asyncio.get_running_loop().create_future()
+        got: asyncio.Future[CallResult] = asyncio.get_running_loop().create_future()
         try:
-            async with asyncio.timeout(wish.budget_s + _GRACE_S):
+            async with asyncio.timeout(wish.budget_s + _TIMEOUT_MARGIN_S):
                 writer = await self._connection()
                 self._waiting[msgid] = got
                 writer.write(pack([0, msgid, wish.kind, [_envelope(wish), wish.body]]))
                 return await got
         except (OSError, TimeoutError):
-            return Got(0)
+            return CallResult(0)
         finally:
             self._waiting.pop(msgid, None)
 
@@ -145,11 +147,11 @@
                 for _, msgid, error, result in unpacker:
                     waiting = self._waiting.get(msgid)
                     if waiting is not None and not waiting.done():
-                        waiting.set_result(_got(error, result))
+                        waiting.set_result(_parse_rpc_response(error, result))
         writer.close()
         for waiting in self._waiting.values():
             if not waiting.done():
-                waiting.set_result(Got(0))
+                waiting.set_result(CallResult(0))
 
     def close(self) -> None:
         if self._reading is not None:
@@ -158,7 +160,7 @@
             self._writer.close()
 
 
-def _envelope(wish: Wish) -> dict[str, Any]:
+def _envelope(wish: ClientCall) -> dict[str, Any]:
     envelope: dict[str, Any] = {"id": wish.ident, "budget": wish.budget_s, "path": wish.path}
     if wish.tenant is not None:
         envelope["tenant"] = wish.tenant
@@ -169,14 +171,14 @@
     return envelope
 
 
-def _got(error: Any, result: Any) -> Got:
+def _parse_rpc_response(error: Any, result: Any) -> CallResult:
     if error is None:
-        return Got(200, result.get("body", b""))
-    return Got(error[0], error[1].encode(), error[2].get("retry_after"))
+        return CallResult(200, result.get("body", b""))
+    return CallResult(error[0], error[1].encode(), error[2].get("retry_after"))
 
 
-Caller = HttpCaller | RpcCaller
+Client = HttpClient | RpcClient
 
 
-def caller(protocol: str, target: Address) -> Caller:
-    return HttpCaller(target) if protocol == HTTP else RpcCaller(target)
+def new_client(protocol: str, target: Address) -> Client:
+    return HttpClient(target) if protocol == HTTP else RpcClient(target)
--- a/testbed/cluster/__main__.py
+++ b/testbed/cluster/__main__.py
@@ -20,13 +20,13 @@
 from testbed.cluster.invariants import Found
 from testbed.cluster.scenarios import SCENES
 from testbed.cluster.virtual_time import Played
-from testbed.fleet.invariants import Verdicts
+from testbed.fleet.invariants import InvariantReport
 
 HEAD = f"{'scene':<22}{'seed':>5}{'false gone':>11}{'known s':>9}{'equal s':>9}{'doubted':>9}{'back':>6}"
 CALLS = f"{'calls':>8}{'served':>9}{'lost':>6}{'rules':>7}"
 
 
-def row(name: str, seed: int, found: Found, verdicts: Verdicts | None) -> str:
+def row(name: str, seed: int, found: Found, verdicts: InvariantReport | None) -> str:
     known = f"{max(found.known_s):.2f}" if found.known_s else "-"
     equal = f"{found.equal_s:.2f}" if found.equal_s is not None else "never"
     line = (
@@ -38,7 +38,7 @@
     return line
 
 
-def wrong(found: Found, verdicts: Verdicts | None) -> list[str]:
+def wrong(found: Found, verdicts: InvariantReport | None) -> list[str]:
     return found.faults + (verdicts.broken if verdicts is not None else [])
 
 
--- a/testbed/cluster/harness.py
+++ b/testbed/cluster/harness.py
@@ -17,17 +17,17 @@
 from pathlib import Path
 from typing import Any
 
-from testbed.backend import Lodge, LodgeServer, Memory, RunLog
+from testbed.backend import Backend, BackendServer, IdempotencyCache, RunLog
 from testbed.cluster.invariants import Done, Found, Looked, Noted, judge
 from testbed.cluster.relay import Relay
 from testbed.cluster.scenarios import NODES, PAUSE_BORNE_S, REGISTRY, Script, Step
-from testbed.fleet.calling import Clients
-from testbed.fleet.invariants import Reached, Verdicts, Word
-from testbed.fleet.invariants import judge as judge_rules
+from testbed.fleet.invariants import AttemptArrival, EndpointNotice, InvariantReport
+from testbed.fleet.invariants import check_invariants as judge_rules
+from testbed.fleet.load_generator import LoadGenerator
 from testbed.fleet.proxy import Proxy
-from testbed.ports import free, own_host
+from testbed.ports import free_addresses, private_loopback_host
 from testbed.registry import Registry
-from testbed.wire import HTTP, MSGPACK_RPC, Address, Asked, place
+from testbed.wire import HTTP, MSGPACK_RPC, Address, Message, format_address
 from topazbank.cluster.__main__ import ask_tier
 
 ROOT = Path(__file__).parent.parent.parent
@@ -61,12 +61,12 @@
     )
 
 
-class Noting(Lodge):
+class Noting(Backend):
     """A node that notes what reaches it, run or not."""
 
     note: Callable[[str, str], None]
 
-    async def serve(self, asked: Asked) -> Any:
+    async def serve(self, asked: Message) -> Any:
         self.note(self.name, asked.ident)
         return await super().serve(asked)
 
@@ -107,9 +107,9 @@
         self.count, self.seed, self.on, self._rate = members, seed, on, rate
         self.fleet_size = members  # as the settings tell it
         self._folder = tempfile.TemporaryDirectory(prefix="tier-")
-        root, host = Path(self._folder.name), own_host()
-        listens = free(host, 3 * members)  # for clients, and for operators of two processes
-        hears = free(host, members, socket.SOCK_DGRAM)
+        root, host = Path(self._folder.name), private_loopback_host()
+        listens = free_addresses(host, 3 * members)  # for clients, and for operators of two processes
+        hears = free_addresses(host, members, socket.SOCK_DGRAM)
         self.members = []
         for number in range(members):
             folder = root / str(number)
@@ -119,19 +119,19 @@
             )
         self.relay = Relay([each.hears for each in self.members], seed)
         self.registry = Registry()
-        self.nodes: list[LodgeServer] = []
+        self.nodes: list[BackendServer] = []
         self.ways: dict[int, Proxy] = {}  # to nodes by number, and to REGISTRY
-        self._words: list[Word] = []  # of nodes that drain
+        self._words: list[EndpointNotice] = []  # of nodes that drain
         self.log = RunLog()
-        self._reached: list[Reached] = []
+        self._reached: list[AttemptArrival] = []
         self.done: list[Done] = []
         self._noted: set[Noted] = set()
         self.looks: list[Looked] = []
         self.lives: dict[int, int] = {}
         self._began = now()
         self._tasks: set[asyncio.Task[None]] = set()
-        self.clients = Clients(random.Random(seed), protocols=(HTTP, MSGPACK_RPC))
-        self.hammers = Clients(random.Random(seed + 1), "x")
+        self.clients = LoadGenerator(random.Random(seed), protocols=(HTTP, MSGPACK_RPC))
+        self.hammers = LoadGenerator(random.Random(seed + 1), "x")
         self._burners: list[asyncio.subprocess.Process] = []
 
     # -- Life ------------------------------------------------------------------------------------------
@@ -141,14 +141,14 @@
         await self.relay.start()
         await self.registry.start()
         await self._way(REGISTRY, self.registry.address)
-        memories = [Memory(), Memory()]
+        memories = [IdempotencyCache(), IdempotencyCache()]
         for number in range(NODES):
             pod = number % 2
             lodge = self.node_class(
                 f"n-{number}", self.log, now, 1.0, work=lambda a: WORK_S[a.kind], memory=memories[pod]
             )
-            lodge.note = lambda node, ident: self._reached.append(Reached(now(), node, ident))
-            server = LodgeServer(lodge, (HTTP, MSGPACK_RPC)[pod], pod + 1)
+            lodge.note = lambda node, ident: self._reached.append(AttemptArrival(now(), node, ident))
+            server = BackendServer(lodge, (HTTP, MSGPACK_RPC)[pod], pod + 1)
             await server.start()
             self.nodes.append(server)
             await self._way(number, server.address)
@@ -166,7 +166,7 @@
         await self.ways[to].start()
 
     def _entry(self, node: int) -> dict[str, Any]:
-        return self.nodes[node].entry(address=place(self.ways[node].address))
+        return self.nodes[node].entry(address=format_address(self.ways[node].address))
 
     async def stop(self) -> None:
         for task in list(self._tasks):
@@ -190,13 +190,20 @@
         self._folder.cleanup()
 
     def _configuration(self, member: Member) -> Path:
-        peers = [place(each) for each in self.relay.doors]
-        peers[member.number] = place(member.hears)
+        peers = [format_address(each) for each in self.relay.doors]
+        peers[member.number] = format_address(member.hears)
         given = json.loads(EXAMPLE.read_text(encoding="utf-8"))
         given["settings"] |= {"groupSize": self.fleet_size, "me": member.number}
         given["settings"]["bounds"] |= {"mayTell": True}
-        given |= {"listen": place(member.listen), "discovery": place(self.ways[REGISTRY].address)}
-        given |= {"peer_listen": place(member.hears), "peers": peers, "seed": f"{member.number + 1:016x}"}
+        given |= {
+            "listen": format_address(member.listen),
+            "discovery": format_address(self.ways[REGISTRY].address),
+        }
+        given |= {
+            "peer_listen": format_address(member.hears),
+            "peers": peers,
+            "seed": f"{member.number + 1:016x}",
+        }
         given |= self._more_configuration(member)
         path = member.folder / "relay.json"
         path.write_text(json.dumps(given), encoding="utf-8")
@@ -218,8 +225,8 @@
     async def _spawn(self, member: Member) -> asyncio.subprocess.Process:
         env = os.environ | {
             "RELAY_CONFIG": str(self._configuration(member)),
-            "RELAY_LISTEN": place(member.listen),
-            "RELAY_OPERATOR": place(member.operators[0]),
+            "RELAY_LISTEN": format_address(member.listen),
+            "RELAY_OPERATOR": format_address(member.operators[0]),
             "TMPDIR": str(member.folder),
         }
         member.operators.reverse()  # the next process beside this one has the other
@@ -262,7 +269,7 @@
         """A process's account; None while it gives none."""
         try:
             async with asyncio.timeout(3.0):
-                return await asyncio.to_thread(ask_tier, place(member.listen))
+                return await asyncio.to_thread(ask_tier, format_address(member.listen))
         except (OSError, ValueError, TimeoutError):
             return None
 
@@ -430,7 +437,7 @@
         self.registry.put(self._entry(node))
         name = self.nodes[node].lodge.name
         at = now() + (TOLD_S if drains else 0.0)
-        self._words += [Word(at, each, name, not drains) for each in range(self.count)]
+        self._words += [EndpointNotice(at, each, name, not drains) for each in range(self.count)]
 
     async def _burn(self, seconds: float) -> None:
         """Keep every core busy beside the processes."""
@@ -443,7 +450,7 @@
 
     # -- Plays -----------------------------------------------------------------------------------------
 
-    async def play(self, script: Script) -> tuple[Found, Verdicts]:
+    async def play(self, script: Script) -> tuple[Found, InvariantReport]:
         """Play a scene under load and judge it; afterwards all run again and see one another."""
         self._begin()
         over = asyncio.Event()
--- a/testbed/cluster/relay.py
+++ b/testbed/cluster/relay.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from typing import Any
 
-from testbed.ports import own_host
+from testbed.ports import private_loopback_host
 from testbed.wire import Address
 
 
@@ -27,7 +27,7 @@
     def __init__(self, members: list[Address], seed: int) -> None:
         """`members`: where each really hears and sends from."""
         self._members = members
-        self._host = own_host()  # apart from the members', whose ports are free while none runs
+        self._host = private_loopback_host()  # apart from the members', whose ports are free while none runs
         self._numbers = {address: number for number, address in enumerate(members)}
         self._random = random.Random(seed)
         self._doors: list[asyncio.DatagramTransport] = []
--- a/testbed/cluster/virtual_time.py
+++ b/testbed/cluster/virtual_time.py
@@ -12,7 +12,7 @@
 
 from testbed.cluster.invariants import Done, Found, Looked, Noted, judge
 from testbed.cluster.scenarios import Script, Step
-from testbed.virtual_time import PlayedTime
+from testbed.virtual_time import VirtualTime
 from topazbank.cluster.failure_detector import FailureDetector, Out
 from topazbank.cluster.member import MemberRecord, MemberState, ident_of, mark_of
 from topazbank.cluster.rules import Rules
@@ -46,7 +46,7 @@
 Maker = Callable[..., FailureDetector]
 
 
-class Played(PlayedTime):
+class Played(VirtualTime):
     """The rig of played time."""
 
     def __init__(
--- a/testbed/demo/__main__.py
+++ b/testbed/demo/__main__.py
@@ -22,11 +22,11 @@
 from pathlib import Path
 from typing import Any
 
-from testbed.backend import SPEEDS, Lodge, LodgeServer, Memory, RunLog
-from testbed.clients import Caller, Wish, caller
-from testbed.ports import free, own_host
+from testbed.backend import SPEED_RATIOS, Backend, BackendServer, IdempotencyCache, RunLog
+from testbed.clients import Client, ClientCall, new_client
+from testbed.ports import free_addresses, private_loopback_host
 from testbed.registry import Registry
-from testbed.wire import HTTP, MSGPACK_RPC, Address, Asked, place
+from testbed.wire import HTTP, MSGPACK_RPC, Address, Message, format_address
 from testbed.zookeeper import Ensemble
 from topazbank.discovery.registrar import Registrar
 from topazbank.discovery.registration import Registration
@@ -46,7 +46,7 @@
 HTTP_CONNECTIONS = 64
 
 
-def work(asked: Asked) -> float:
+def work(asked: Message) -> float:
     return WORK_S[asked.kind]
 
 
@@ -58,30 +58,30 @@
         self.registry = Registry()
         self.ensemble = Ensemble(3) if membership == "zookeeper" else None
         self._registrars: dict[str, Registrar] = {}
-        self.servers: dict[str, LodgeServer] = {}
-        self._memories = {protocol: Memory() for protocol in PROTOCOLS}
+        self.servers: dict[str, BackendServer] = {}
+        self._memories = {protocol: IdempotencyCache() for protocol in PROTOCOLS}
 
     async def start(self) -> None:
         await self.registry.start()
         if self.ensemble is not None:
             await self.ensemble.start()
         for pod, protocol in enumerate(PROTOCOLS, start=1):
-            for speed in SPEEDS:
+            for speed in SPEED_RATIOS:
                 await self.launch(f"{speed}-{pod}", protocol, pod, speed)
 
     async def launch(self, name: str, protocol: str, pod: int, speed: str, cold_s: float = 0.0) -> None:
         memory = self._memories[protocol]
-        lodge = Lodge(
+        lodge = Backend(
             name,
             self.log,
             time.monotonic,
-            SPEEDS[speed],
+            SPEED_RATIOS[speed],
             cold_s=cold_s,
             slots=SLOTS,
             work=work,
             memory=memory,
         )
-        server = LodgeServer(lodge, protocol, pod, speed)
+        server = BackendServer(lodge, protocol, pod, speed)
         server.started_ms = int(time.time() * 1000) if cold_s else 0
         await server.start()
         self.servers[name] = server
@@ -90,7 +90,7 @@
         else:
             self._register(server)
 
-    def _register(self, server: LodgeServer) -> None:
+    def _register(self, server: BackendServer) -> None:
         assert self.ensemble is not None
         lodge = server.lodge
         registration = Registration(
@@ -120,7 +120,7 @@
         path = folder / "operator.toml"
         text = OPERATOR.read_text(encoding="utf-8")
         if self.ensemble is not None:
-            members = ", ".join(f'"{place(each)}"' for each in self.ensemble.addresses)
+            members = ", ".join(f'"{format_address(each)}"' for each in self.ensemble.addresses)
             text += (
                 f'\n[membership]\nsources = ["zookeeper"]\n[membership.zookeeper]\nmembers = [{members}]\n'
             )
@@ -148,11 +148,11 @@
 @contextlib.asynccontextmanager
 async def sidecar(fleet: Fleet, folder: Path) -> AsyncIterator[Address]:
     """The real program, with the example configuration made to fit; its log goes to a file in `folder`."""
-    (listen,) = free(own_host(), 1)
+    (listen,) = free_addresses(private_loopback_host(), 1)
     given: dict[str, Any] = json.loads(EXAMPLE.read_text(encoding="utf-8"))
     given |= {
-        "listen": place(listen),
-        "discovery": place(fleet.registry.address),
+        "listen": format_address(listen),
+        "discovery": format_address(fleet.registry.address),
         "known": fleet.registry.snapshot(),
     }
     path = folder / "config.json"
@@ -190,9 +190,9 @@
     def __init__(self, target: Address, seed: int) -> None:
         self._random = random.Random(seed)
         self._target = target
-        self._callers: dict[str, list[Caller]] = {
-            HTTP: [caller(HTTP, target) for _ in range(HTTP_CONNECTIONS)],
-            MSGPACK_RPC: [caller(MSGPACK_RPC, target) for _ in range(RPC_CONNECTIONS)],
+        self._callers: dict[str, list[Client]] = {
+            HTTP: [new_client(HTTP, target) for _ in range(HTTP_CONNECTIONS)],
+            MSGPACK_RPC: [new_client(MSGPACK_RPC, target) for _ in range(RPC_CONNECTIONS)],
         }
         self._out: set[asyncio.Task[None]] = set()
         self.got: Counter[tuple[str, str, str]] = Counter()  # by protocol, class and verdict
@@ -215,15 +215,15 @@
         key = f"key-{ident}" if kind == "amend" else None
         body = b"" if kind == "check" else b"declaration " + ident.encode()
         self.of[ident] = (protocol, kind)
-        wish = Wish(kind, ident, f"/api/{self._random.getrandbits(64):016x}", body, 2.0, None, key)
+        wish = ClientCall(kind, ident, f"/api/{self._random.getrandbits(64):016x}", body, 2.0, None, key)
         task = asyncio.get_running_loop().create_task(self._call(protocol, wish))
         self._out.add(task)
         task.add_done_callback(self._out.discard)
 
-    async def _call(self, protocol: str, wish: Wish) -> None:
+    async def _call(self, protocol: str, wish: ClientCall) -> None:
         callers = self._callers[protocol]
         if protocol == HTTP:  # one call at a time on a connection: take one that is free, or a new one
-            one = callers.pop() if callers else caller(HTTP, self._target)
+            one = callers.pop() if callers else new_client(HTTP, self._target)
         else:
             one = callers[int(wish.ident[1:], 16) // 2 % len(callers)]
         got = await one.call(wish)
@@ -297,7 +297,7 @@
     await fleet.start()
     with tempfile.TemporaryDirectory() as folder:
         async with sidecar(fleet, Path(folder)) as listen:
-            print(f"sidecar at {place(listen)}; {RATE} calls a second for {seconds:g} s")
+            print(f"sidecar at {format_address(listen)}; {RATE} calls a second for {seconds:g} s")
             clients = Clients(listen, seed)
             if fleet.ensemble is not None:
                 await asyncio.sleep(1.0)  # the ensemble's first list: nothing is known before it
--- a/testbed/fleet/child.py
+++ b/testbed/fleet/child_process.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 ROOT = Path(__file__).parent.parent.parent
-START_S = 180.0  # for a process to come up or to answer, on a machine that is busy
-LINE_MOST = 1 << 26  # bytes of one answer: a minute's notes of some hundreds of calls a second
+REPLY_TIMEOUT_S = 180.0  # for a process to come up or to answer, on a machine that is busy
+REPLY_BYTES_MAX = 1 << 26  # bytes of one answer: a minute's notes of some hundreds of calls a second
 
 
-class Child:
+class ChildProcess:
     """One such process, started as a module of this repository."""
 
     def __init__(self, module: str, *given: str) -> None:
@@ -31,13 +31,13 @@
             stdin=pipe,
             stdout=pipe,
             stderr=asyncio.subprocess.DEVNULL,
-            limit=LINE_MOST,
+            limit=REPLY_BYTES_MAX,
         )
         await self._line()
 
     async def _line(self) -> Any:
         assert self._process is not None and self._process.stdout is not None
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(REPLY_TIMEOUT_S):
             line = await self._process.stdout.readline()
         if not line:
             raise RuntimeError(f"a process of {self._module} has ended")
--- a/testbed/fleet/harness.py
+++ b/testbed/fleet/harness.py
@@ -12,11 +12,11 @@
 from pathlib import Path
 from typing import Any
 
-from testbed.backend import SPEEDS, Lodge, LodgeServer, Memory, RunLog
-from testbed.fleet.calling import Clients, Ears, now
-from testbed.fleet.invariants import Reached, Verdicts, judge
+from testbed.backend import SPEED_RATIOS, Backend, BackendServer, IdempotencyCache, RunLog
+from testbed.fleet.invariants import AttemptArrival, InvariantReport, check_invariants
+from testbed.fleet.load_generator import EndpointNoticeLog, LoadGenerator, now
 from testbed.fleet.proxy import Proxy
-from testbed.wire import HTTP, MSGPACK_RPC, Address, Asked
+from testbed.wire import HTTP, MSGPACK_RPC, Address, Message
 from testbed.zookeeper import Ensemble
 from topazbank.balancing.events import ServerDescription, ServerState
 from topazbank.core.components import SidecarConfig
@@ -34,17 +34,17 @@
 from topazbank.platform_names import settings_from_wire
 from topazbank.wiring import membership_source, wire
 
-EXAMPLE = Path(__file__).parent.parent.parent / "deploy" / "example.json"
-PATH = "/lodge/nodes"
+EXAMPLE_DEPLOYMENT = Path(__file__).parent.parent.parent / "deploy" / "example.json"
+REGISTRATION_PATH = "/lodge/nodes"
 WORK_S = {"check": 0.008, "amend": 0.012, "lodge": 0.020}  # on a standard machine
-SPEED_NAMES = tuple(SPEEDS)
+SPEED_NAMES = tuple(SPEED_RATIOS)
 
 
-def work(asked: Asked) -> float:
+def work_of_class(asked: Message) -> float:
     return WORK_S[asked.kind]
 
 
-class Silent:
+class FixedEndpointSource:
     """A source that never says anything: the list of before the start is all there is."""
 
     def watch(self, wanted: bool) -> None: ...
@@ -63,7 +63,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Process:
+class SidecarProcess:
     """One sidecar's life."""
 
     sidecar: Sidecar
@@ -73,7 +73,7 @@
     ended: float | None = None
 
 
-class Rig:
+class FleetHarness:
     """Nodes of three speeds in two pods, one of each protocol, some sidecars, and a steady rate of calls."""
 
     def __init__(
@@ -90,25 +90,27 @@
         """`by_rank`: planners tell who leads without the ensemble."""
         self.random = random.Random(seed)
         self.ensemble = Ensemble(3, seed)
-        self.nodes: dict[str, LodgeServer] = {}
+        self.nodes: dict[str, BackendServer] = {}
         self.registrars: dict[str, Registrar] = {}
         self.log = RunLog()
         self.fixed = fixed
-        self.clients = Clients(self.random)
-        self.ears = Ears(lambda: set(self.nodes))
+        self.clients = LoadGenerator(self.random)
+        self.ears = EndpointNoticeLog(lambda: set(self.nodes))
         self._fallen: list[str] = []
-        self._reached: list[Reached] = []
+        self._reached: list[AttemptArrival] = []
         self.planners: list[PlannerServer | None] = [None] * planners
         self.elections: list[Election | None] = [None] * planners
         self.ways: dict[tuple[int, int], Proxy] = {}  # from each sidecar to each planner
         self._planner_addresses: list[Address] = [("127.0.0.1", 0)] * planners
         self._by_rank = by_rank
         self._count, self._sidecars, self._session_s = nodes, sidecars, session_s
-        self._memories = [Memory(), Memory()]
-        self.processes: list[Process | None] = [None] * sidecars
+        self._memories = [IdempotencyCache(), IdempotencyCache()]
+        self.processes: list[SidecarProcess | None] = [None] * sidecars
         self._past: dict[int, list[tuple[float, float]]] = defaultdict(list)
         self._addresses: list[Address] = [("127.0.0.1", 0)] * sidecars
-        self._settings = settings_from_wire(json.loads(EXAMPLE.read_text(encoding="utf-8"))["settings"])
+        self._settings = settings_from_wire(
+            json.loads(EXAMPLE_DEPLOYMENT.read_text(encoding="utf-8"))["settings"]
+        )
 
     # -- Life ------------------------------------------------------------------------------------------
 
@@ -116,13 +118,13 @@
         await self.ensemble.start()
         for number in range(self._count):
             await self.launch(f"n-{number}")
-        await until(lambda: all(each.state is NodeState.REGISTERED for each in self.registrars.values()))
+        await wait_until(lambda: all(each.state is NodeState.REGISTERED for each in self.registrars.values()))
         for number in range(len(self.planners)):
             await self.start_planner(number)
         for number in range(self._sidecars):
             await self.start_sidecar(number, self._list() if self.fixed else [])
         everyone = set(self.nodes)
-        await until(lambda: all(self.ready(number) == everyone for number in range(self._sidecars)))
+        await wait_until(lambda: all(self.ready(number) == everyone for number in range(self._sidecars)))
 
     async def stop(self) -> None:
         self.clients.stop()
@@ -149,18 +151,24 @@
         number = int(name.rpartition("-")[2])
         pod = number % 2
         speed = SPEED_NAMES[number // 2 % len(SPEED_NAMES)]
-        lodge = Noting(
-            name, self.log, now, SPEEDS[speed], cold_s=cold_s, work=work, memory=self._memories[pod]
+        lodge = RecordingBackend(
+            name,
+            self.log,
+            now,
+            SPEED_RATIOS[speed],
+            cold_s=cold_s,
+            work=work_of_class,
+            memory=self._memories[pod],
         )
         lodge.note = self._note
-        server = LodgeServer(lodge, (HTTP, MSGPACK_RPC)[pod], pod + 1, speed)
+        server = BackendServer(lodge, (HTTP, MSGPACK_RPC)[pod], pod + 1, speed)
         server.started_ms = int(time.time() * 1000) if cold_s else 0
         await server.start()
         self.nodes[name] = server
         self.register(name)
 
     def _note(self, node: str, ident: str) -> None:
-        self._reached.append(Reached(now(), node, ident))
+        self._reached.append(AttemptArrival(now(), node, ident))
 
     def register(self, name: str) -> None:
         server = self.nodes[name]
@@ -175,7 +183,7 @@
             server.started_ms,
         )
         registrar = Registrar(
-            EnsembleConfig(self.ensemble.addresses, self._session_s), PATH, name, registration
+            EnsembleConfig(self.ensemble.addresses, self._session_s), REGISTRATION_PATH, name, registration
         )
         self.registrars[name] = registrar
         registrar.start()
@@ -191,7 +199,7 @@
         await self.registrars[name].drain()
         await asyncio.sleep(after_s)
         self.nodes[name].drain()
-        await until(lambda: not self.nodes[name].lodge.held)
+        await wait_until(lambda: not self.nodes[name].lodge.held)
         await self.registrars[name].stop()
         self._keep_fallen(name)
         self.nodes[name].die()
@@ -234,7 +242,7 @@
         )
         wiring = wire(operator)
         if self.fixed:
-            wiring = replace(wiring, endpoint_source=lambda config, told: Silent())
+            wiring = replace(wiring, endpoint_source=lambda config, told: FixedEndpointSource())
         wiring = self.ears.overhear(wiring, number)
         config = SidecarConfig(
             self._addresses[number],
@@ -247,9 +255,9 @@
         self.ears.hear(number, config.cached_endpoints)
         sidecar, stop = Sidecar(config, wiring), asyncio.Event()
         task = asyncio.get_running_loop().create_task(sidecar.run(stop))
-        await until(lambda: sidecar.listener.address[1] != 0)
+        await wait_until(lambda: sidecar.listener.address[1] != 0)
         self._addresses[number] = sidecar.listener.address
-        self.processes[number] = Process(sidecar, stop, task, now())
+        self.processes[number] = SidecarProcess(sidecar, stop, task, now())
 
     async def restart_sidecar(self, number: int) -> None:
         """Stop a sidecar as the platform does, and start it again with the list it had."""
@@ -292,11 +300,11 @@
     def sources(self) -> list[Any]:
         """The sidecars' own ensemble sources."""
         several = [each.sidecar.endpoint_watcher.source for each in self.processes if each is not None]
-        return [each._sources[ZOOKEEPER] for each in several if not isinstance(each, Silent)]  # type: ignore[attr-defined]
+        return [each._sources[ZOOKEEPER] for each in several if not isinstance(each, FixedEndpointSource)]  # type: ignore[attr-defined]
 
     def _membership(self) -> Membership:
         return Membership(
-            (ZOOKEEPER,), ZooKeeper(self.ensemble.addresses, PATH, "", max(self._session_s, 2.0))
+            (ZOOKEEPER,), ZooKeeper(self.ensemble.addresses, REGISTRATION_PATH, "", max(self._session_s, 2.0))
         )
 
     # -- Planners --------------------------------------------------------------------------------------
@@ -366,27 +374,29 @@
 
     # -- Judgement -------------------------------------------------------------------------------------
 
-    def verdicts(self) -> Verdicts:
+    def verdicts(self) -> InvariantReport:
         lives = {number: list(spans) for number, spans in self._past.items()}
         for number, process in enumerate(self.processes):
             if process is not None:
                 lives.setdefault(number, []).append((process.began, now()))
         for name in self.nodes:
             self._keep_fallen(name)
-        return judge(self.clients.calls, self._reached, self.log.runs, self.ears.words, lives, self._fallen)
+        return check_invariants(
+            self.clients.calls, self._reached, self.log.runs, self.ears.words, lives, self._fallen
+        )
 
 
-class Noting(Lodge):
+class RecordingBackend(Backend):
     """A node that says what reaches it, run or not."""
 
     note: Callable[[str, str], None]
 
-    async def serve(self, asked: Asked) -> Any:
+    async def serve(self, asked: Message) -> Any:
         self.note(self.name, asked.ident)
         return await super().serve(asked)
 
 
-async def until(condition: Callable[[], object], seconds: float = 20.0) -> None:
+async def wait_until(condition: Callable[[], object], seconds: float = 20.0) -> None:
     async with asyncio.timeout(seconds):
         while not condition():
             await asyncio.sleep(0.005)
--- a/testbed/fleet/invariants.py
+++ b/testbed/fleet/invariants.py
@@ -11,14 +11,14 @@
 
 from testbed.backend import Run
 
-ATTEMPTS_MOST = 3
-GRACE_S = 0.5  # after being told that a node drains or is gone
-SLACK_S = 0.25  # all parts of a rig share one loop: its turns are not the program's
-AIMS_S = {"check": 0.5, "amend": 0.5, "lodge": 0.8}  # answered within it, a call counts in full
+ATTEMPTS_MAX = 3
+DRAIN_GRACE_S = 0.5  # after being told that a node drains or is gone
+EVENT_LOOP_SLACK_S = 0.25  # all parts of a rig share one loop: its turns are not the program's
+LATENCY_OBJECTIVES_S = {"check": 0.5, "amend": 0.5, "lodge": 0.8}  # answered within it, a call counts in full
 
 
 @dataclass(slots=True)
-class Called:
+class CallRecord:
     """A call as its client saw it."""
 
     ident: str
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reached:
+class AttemptArrival:
     """A request that reached a node, run or not."""
 
     at: float
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class EndpointNotice:
     """What a sidecar was told of a node; `known` is its start's list."""
 
     at: float
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class Verdicts:
+class InvariantReport:
     """What came of a run."""
 
     broken: list[str] = field(default_factory=list)  # rules, with what broke them
@@ -72,27 +72,30 @@
         return (self.counts["served"] - self.late) / max(self.calls, 1)
 
 
-def judge(
-    calls: Iterable[Called],
-    reached: Sequence[Reached],
+def check_invariants(
+    calls: Iterable[CallRecord],
+    reached: Sequence[AttemptArrival],
     runs: Sequence[Run],
-    words: Sequence[Word],
+    words: Sequence[EndpointNotice],
     lives: Mapping[int, Sequence[tuple[float, float]]],
     fallen: Iterable[str],
-) -> Verdicts:
+) -> InvariantReport:
     """Hold a run against the rules.  `lives`: when each sidecar was there; `fallen`: cold nodes pushed over."""
-    verdicts = Verdicts()
+    verdicts = InvariantReport()
     by_ident = {each.ident: each for each in calls}
-    _answers(verdicts, by_ident, reached, runs)
-    _effects(verdicts, by_ident, reached, runs)
+    _check_answers(verdicts, by_ident, reached, runs)
+    _check_effects(verdicts, by_ident, reached, runs)
     by = {each.ident: each.sidecar for each in by_ident.values() if each.sidecar is not None}
-    verdicts.broken += _drains(reached, words, lives, by)
+    verdicts.broken += _check_drains(reached, words, lives, by)
     verdicts.broken += [f"cold node pushed over: {name}" for name in fallen]
     return verdicts
 
 
-def _answers(
-    verdicts: Verdicts, calls: Mapping[str, Called], reached: Sequence[Reached], runs: Sequence[Run]
+def _check_answers(
+    verdicts: InvariantReport,
+    calls: Mapping[str, CallRecord],
+    reached: Sequence[AttemptArrival],
+    runs: Sequence[Run],
 ) -> None:
     ran = {(run.node, run.ident) for run in runs} | {(run.node, run.key) for run in runs if run.key}
     for call in calls.values():
@@ -102,10 +105,10 @@
             verdicts.broken.append(f"request lost: {call.ident} ({call.kind})")
             continue
         took = call.answered_at - call.sent_at
-        if took > call.budget_s + SLACK_S:
+        if took > call.budget_s + EVENT_LOOP_SLACK_S:
             verdicts.broken.append(f"answered after its time: {call.ident}, {took:.3f} s")
         if call.verdict == "served":
-            verdicts.late += took > AIMS_S[call.kind]
+            verdicts.late += took > LATENCY_OBJECTIVES_S[call.kind]
             node = call.body.decode(errors="replace").split(" ")[0]
             if (node, call.ident) not in ran and (node, call.key) not in ran:
                 verdicts.broken.append(f"served, though no node made it: {call.ident}")
@@ -113,16 +116,19 @@
         call = calls[each.ident]
         if call.verdict == "crossed":
             verdicts.broken.append(f"read, and its connection ended without an answer: {each.ident}")
-        if call.answered_at is not None and each.at > call.answered_at + SLACK_S:
+        if call.answered_at is not None and each.at > call.answered_at + EVENT_LOOP_SLACK_S:
             verdicts.broken.append(f"sent after its final answer: {each.ident} to {each.node}")
 
 
-def _effects(
-    verdicts: Verdicts, calls: Mapping[str, Called], reached: Sequence[Reached], runs: Sequence[Run]
+def _check_effects(
+    verdicts: InvariantReport,
+    calls: Mapping[str, CallRecord],
+    reached: Sequence[AttemptArrival],
+    runs: Sequence[Run],
 ) -> None:
     attempts = Counter(each.ident for each in reached)
     verdicts.broken += [
-        f"{count} attempts: {ident}" for ident, count in attempts.items() if count > ATTEMPTS_MOST
+        f"{count} attempts: {ident}" for ident, count in attempts.items() if count > ATTEMPTS_MAX
     ]
     effects: dict[str, list[Run]] = defaultdict(list)
     for run in runs:
@@ -135,9 +141,9 @@
             verdicts.broken.append(f"refused, though it ran: {run.ident}")
 
 
-def _drains(
-    reached: Sequence[Reached],
-    words: Sequence[Word],
+def _check_drains(
+    reached: Sequence[AttemptArrival],
+    words: Sequence[EndpointNotice],
     lives: Mapping[int, Sequence[tuple[float, float]]],
     by: Mapping[str, int],
 ) -> list[str]:
@@ -146,7 +152,7 @@
     Where it is not known which sidecar a request came by, one is counted as broken only where none may have sent it:
     a sidecar may where it was not told, or not for so long, or where it was told since that the node is ready.
     """
-    told: dict[str, list[Word]] = defaultdict(list)
+    told: dict[str, list[EndpointNotice]] = defaultdict(list)
     for word in sorted(words, key=lambda each: each.at):
         told[word.node].append(word)
     broken = []
@@ -163,12 +169,12 @@
             number
             for number, spans in lives.items()
             if by.get(each.ident, number) == number
-            and any(began <= each.at <= ended + SLACK_S for began, ended in spans)
+            and any(began <= each.at <= ended + EVENT_LOOP_SLACK_S for began, ended in spans)
         ]
         may = [
             number
             for number in alive
-            if (at := since.get(number, each.at)) is None or each.at <= at + GRACE_S
+            if (at := since.get(number, each.at)) is None or each.at <= at + DRAIN_GRACE_S
         ]
         if alive and not may:
             by_whom = f" by {by[each.ident]}" if each.ident in by else ""
--- a/testbed/fleet/proxy.py
+++ b/testbed/fleet/proxy.py
@@ -5,13 +5,13 @@
 import asyncio
 import contextlib
 
-from testbed.wire import Address, Listening
+from testbed.wire import Address, TcpServer
 
-_CHUNK = 64 * 1024
-_QUEUE_MOST = 1_000  # chunks held back each way; what comes then waits in the kernel
+_CHUNK_BYTES = 64 * 1024
+_HELD_CHUNKS_MAX = 1_000  # chunks held back each way; what comes then waits in the kernel
 
 
-class Proxy(Listening):
+class Proxy(TcpServer):
     """One way to one place."""
 
     def __init__(self, target: Address) -> None:
@@ -71,7 +71,7 @@
 
     async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, forth: bool) -> None:
         """Carry bytes one way, each after the delay; what is under way when it grows keeps its order."""
-        queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(_QUEUE_MOST)
+        queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(_HELD_CHUNKS_MAX)
         loop = asyncio.get_running_loop()
 
         async def write() -> None:
@@ -85,7 +85,7 @@
 
         writing = loop.create_task(write())
         with contextlib.suppress(OSError, asyncio.CancelledError):
-            while data := await reader.read(_CHUNK):
+            while data := await reader.read(_CHUNK_BYTES):
                 await queue.put((loop.time() + self.delay_s, data))
         # What came before the end is still let through, and the end behind it.
         await queue.put((loop.time() + self.delay_s, b""))
--- a/testbed/fleet/scenarios.py
+++ b/testbed/fleet/scenarios.py
@@ -5,21 +5,21 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from testbed.fleet.harness import Rig, until
+from testbed.fleet.harness import FleetHarness, wait_until
 
-COLD_S = 22.0  # a node that starts is at 14% of its work, and warm so much later
-Scene = Callable[[Rig, float], Awaitable[None]]
+WARMUP_S = 22.0  # a node that starts is at 14% of its work, and warm so much later
+Scenario = Callable[[FleetHarness, float], Awaitable[None]]
 
 
-async def crash_and_cold_return(rig: Rig, pace: float) -> None:
+async def crash_and_cold_return(rig: FleetHarness, pace: float) -> None:
     """A node dies; its session ends later; it comes back cold under another incarnation."""
     rig.die("n-4")
     await asyncio.sleep(2 * pace)
-    await rig.launch("n-4", cold_s=COLD_S)
+    await rig.launch("n-4", cold_s=WARMUP_S)
     await asyncio.sleep(2 * pace)
 
 
-async def hang(rig: Rig, pace: float) -> None:
+async def hang(rig: FleetHarness, pace: float) -> None:
     """A node takes requests and answers nothing, its session alive: a live session is not a healthy one."""
     rig.nodes["n-2"].lodge.hung = True
     await asyncio.sleep(3 * pace)
@@ -27,7 +27,7 @@
     await asyncio.sleep(pace)
 
 
-async def stale_list(rig: Rig, pace: float) -> None:
+async def stale_list(rig: FleetHarness, pace: float) -> None:
     """Watches are held back, so sidecars go by an old list: one node dies meanwhile, another leaves and ends."""
     held = [each.session.session_id for each in rig.sources()]
     for ident in held:
@@ -42,19 +42,19 @@
         if connection is not None:
             connection.release()
     await asyncio.sleep(pace)
-    await rig.launch("n-1", cold_s=COLD_S)
+    await rig.launch("n-1", cold_s=WARMUP_S)
     await asyncio.sleep(pace)
 
 
-async def drains(rig: Rig, pace: float) -> None:
+async def drains(rig: FleetHarness, pace: float) -> None:
     """Nodes leave one after the other and come back as new processes."""
     for name in ("n-0", "n-3", "n-5"):
         await rig.leave(name)
-        await rig.launch(name, cold_s=COLD_S)
+        await rig.launch(name, cold_s=WARMUP_S)
         await asyncio.sleep(pace / 2)
 
 
-async def restarts_with_the_last_list(rig: Rig, pace: float) -> None:
+async def restarts_with_the_last_list(rig: FleetHarness, pace: float) -> None:
     """Sidecars restart while nobody can say who is there; a node has died since the list was made."""
     rig.ensemble.outage()
     await asyncio.sleep(pace / 2)
@@ -63,21 +63,21 @@
         await rig.restart_sidecar(number)
         await asyncio.sleep(pace / 2)
     rig.ensemble.restore()
-    await until(lambda: all("n-2" not in rig.ready(number) for number in range(len(rig.processes))))
+    await wait_until(lambda: all("n-2" not in rig.ready(number) for number in range(len(rig.processes))))
 
 
-async def sessions_expire(rig: Rig, pace: float) -> None:
+async def sessions_expire(rig: FleetHarness, pace: float) -> None:
     """One session expires under a running node, then all nodes' at once: they register again, warm."""
     rig.ensemble.expire(rig.session_of("n-0"))
     await asyncio.sleep(pace)
     for name in rig.nodes:
         rig.ensemble.expire(rig.session_of(name))
     everyone = set(rig.nodes)
-    await until(lambda: all(rig.ready(number) == everyone for number in range(len(rig.processes))))
+    await wait_until(lambda: all(rig.ready(number) == everyone for number in range(len(rig.processes))))
     await asyncio.sleep(pace)
 
 
-async def own_sessions_expire(rig: Rig, pace: float) -> None:
+async def own_sessions_expire(rig: FleetHarness, pace: float) -> None:
     """The sidecars' own sessions expire and are cut off; a node leaves meanwhile."""
     for each in rig.sources():
         rig.ensemble.expire(each.session.session_id)
@@ -89,7 +89,7 @@
     await asyncio.sleep(3 * pace)
 
 
-async def ensemble_in_trouble(rig: Rig, pace: float) -> None:
+async def ensemble_in_trouble(rig: FleetHarness, pace: float) -> None:
     """The leader is lost, members are cut off, lag and crash, the disk is slow, the clock runs fast."""
     ensemble = rig.ensemble
     ensemble.lose_leader(0.3)
@@ -106,33 +106,33 @@
     await asyncio.sleep(pace)
     ensemble.run_clock(1.0)
     ensemble.members[0].apply_delay_s = ensemble.commit_delay_s = 0.0
-    await rig.launch("n-0", cold_s=COLD_S)
+    await rig.launch("n-0", cold_s=WARMUP_S)
     await asyncio.sleep(pace)
 
 
 # -- With planners ------------------------------------------------------------------------------------
 
 
-async def planners_die(rig: Rig, pace: float) -> None:
+async def planners_die(rig: FleetHarness, pace: float) -> None:
     """The leader dies, then the other, while a node dies too; both come back having forgotten all."""
-    await until(lambda: rig.leader() is not None and min(rig.trusts()) > 0.3)
+    await wait_until(lambda: rig.leader() is not None and min(rig.trusts()) > 0.3)
     first = rig.leader()
     assert first is not None
     rig.kill_planner(first)
-    await until(lambda: rig.leader() not in (None, first))
+    await wait_until(lambda: rig.leader() not in (None, first))
     await asyncio.sleep(pace)
     rig.kill_planner(1 - first)
     rig.die("n-1")
-    await until(lambda: max(rig.trusts()) == 0.0)
+    await wait_until(lambda: max(rig.trusts()) == 0.0)
     await asyncio.sleep(pace)
     for number in (0, 1):
         await rig.start_planner(number)
-    await until(lambda: min(rig.trusts()) > 0.3)
+    await wait_until(lambda: min(rig.trusts()) > 0.3)
 
 
-async def planner_stalls(rig: Rig, pace: float) -> None:
+async def planner_stalls(rig: FleetHarness, pace: float) -> None:
     """The leader stands still and goes on with what it was told before; a node leaves meanwhile."""
-    await until(lambda: rig.leader() is not None and min(rig.trusts()) > 0.3)
+    await wait_until(lambda: rig.leader() is not None and min(rig.trusts()) > 0.3)
     leader = rig.leader()
     ways = [way for (_, planner), way in rig.ways.items() if planner == leader]
     for way in ways:
@@ -144,9 +144,9 @@
     await asyncio.sleep(pace)
 
 
-async def planners_partitioned(rig: Rig, pace: float) -> None:
+async def planners_partitioned(rig: FleetHarness, pace: float) -> None:
     """One sidecar can't reach the leader, then its answers don't come back, then the leader loses the ensemble."""
-    await until(lambda: rig.leader() is not None and min(rig.trusts()) > 0.3)
+    await wait_until(lambda: rig.leader() is not None and min(rig.trusts()) > 0.3)
     leader = rig.leader()
     assert leader is not None
     rig.ways[0, leader].cut()
@@ -158,27 +158,27 @@
     election = rig.elections[leader]
     if election is not None:
         rig.ensemble.expire(election._session.session_id)
-        await until(lambda: rig.leader() not in (None, leader))
+        await wait_until(lambda: rig.leader() not in (None, leader))
     rig.die("n-2")
     await asyncio.sleep(pace)
 
 
-async def all_restart(rig: Rig, pace: float) -> None:
+async def all_restart(rig: FleetHarness, pace: float) -> None:
     """All planners at once, then all sidecars."""
-    await until(lambda: rig.leader() is not None and min(rig.trusts()) > 0.3)
+    await wait_until(lambda: rig.leader() is not None and min(rig.trusts()) > 0.3)
     for number in (0, 1):
         rig.kill_planner(number)
     for number in (0, 1):
         await rig.start_planner(number)
     await asyncio.sleep(pace)
     await asyncio.gather(*(rig.restart_sidecar(number) for number in range(len(rig.processes))))
-    await until(lambda: len(rig.trusts()) == len(rig.processes) and min(rig.trusts()) > 0.3)
+    await wait_until(lambda: len(rig.trusts()) == len(rig.processes) and min(rig.trusts()) > 0.3)
 
 
-PLANNED: dict[str, Scene] = {
+PLANNER_SCENARIOS: dict[str, Scenario] = {
     each.__name__: each for each in (planners_die, planner_stalls, planners_partitioned, all_restart)
 }
-SCENES: dict[str, Scene] = {
+SCENARIOS: dict[str, Scenario] = {
     each.__name__: each
     for each in (
         crash_and_cold_return,
@@ -193,15 +193,15 @@
 }
 
 
-async def play(name: str, pace: float, rate: float, seed: int, by_rank: bool = False) -> Rig:
+async def run_scenario(name: str, pace: float, rate: float, seed: int, by_rank: bool = False) -> FleetHarness:
     """One scene under load, from a calm second to one after it; the rig is stopped, its logs are there."""
-    rig = Rig(seed=seed, planners=2 if name in PLANNED else 0, by_rank=by_rank)
+    rig = FleetHarness(seed=seed, planners=2 if name in PLANNER_SCENARIOS else 0, by_rank=by_rank)
     await rig.start()
     try:
         over = asyncio.Event()
         load = asyncio.get_running_loop().create_task(rig.load(rate, over))
         await asyncio.sleep(pace / 2)
-        await (SCENES | PLANNED)[name](rig, pace)
+        await (SCENARIOS | PLANNER_SCENARIOS)[name](rig, pace)
         await asyncio.sleep(pace / 2)
         over.set()
         await load
@@ -210,12 +210,14 @@
     return rig
 
 
-async def outage_beside_fixed_list(seconds: float, rate: float, seed: int) -> tuple[Rig, Rig]:
+async def outage_beside_fixed_list(
+    seconds: float, rate: float, seed: int
+) -> tuple[FleetHarness, FleetHarness]:
     """The same load and the same node failures, over an ensemble that is out all the time and over a fixed list.
 
     Both at once in one process, so that what the machine does to one it does to the other.
     """
-    rigs = Rig(seed=seed), Rig(seed=seed, fixed=True)
+    rigs = FleetHarness(seed=seed), FleetHarness(seed=seed, fixed=True)
     for rig in rigs:
         await rig.start()
     rigs[0].ensemble.outage()
@@ -227,7 +229,7 @@
     return rigs
 
 
-async def _through_outage(rig: Rig, seconds: float, rate: float) -> None:
+async def _through_outage(rig: FleetHarness, seconds: float, rate: float) -> None:
     """What lists don't tell anyway: a node hangs for a while, and one dies and stays away."""
     over = asyncio.Event()
     load = asyncio.get_running_loop().create_task(rig.load(rate, over))
--- a/testbed/fleet/synthetic_peers.py
+++ b/testbed/fleet/synthetic_peers.py
@@ -25,12 +25,12 @@
 from dataclasses import asdict, dataclass, field, replace
 from typing import Any
 
-from testbed.backend import Lodge, LodgeServer, RunLog
-from testbed.clients import HttpCaller, Wish
-from testbed.fleet.child import LINE_MOST, Child
-from testbed.fleet.harness import EXAMPLE
+from testbed.backend import Backend, BackendServer, RunLog
+from testbed.clients import ClientCall, HttpClient
+from testbed.fleet.child_process import REPLY_BYTES_MAX, ChildProcess
+from testbed.fleet.harness import EXAMPLE_DEPLOYMENT
 from testbed.registry import Registry
-from testbed.wire import Address, Asked
+from testbed.wire import Address, Message
 from topazbank.balancing.actions import Action, CheckHealth, Fail, Reject, SendAttempt, SendGossip
 from topazbank.balancing.balancer import Balancer
 from topazbank.balancing.events import EndpointsUpdated, Event
@@ -44,12 +44,12 @@
 from topazbank.platform_names import settings_from_wire
 from topazbank.wiring import wire
 
-SOCKETS = 256  # of each sidecar
+SOCKETS_PER_SIDECAR = 256  # of each sidecar
 WORK_S = 0.01  # of a call, on a standard machine
-ANSWER_S = 0.25  # what an answer may take on the mean, on a machine that is busy with the rig itself
-KINDS, MIX = ("check", "amend", "lodge"), (6, 1, 3)
-BUDGET_S = 2.0
-DEAD_PART = 0.42  # of the last list, when all come back
+MEAN_ANSWER_S = 0.25  # what an answer may take on the mean, on a machine that is busy with the rig itself
+REQUEST_CLASSES, CLASS_WEIGHTS = ("check", "amend", "lodge"), (6, 1, 3)
+DEADLINE_S = 2.0
+REPLACED_BACKENDS_RATIO = 0.42  # of the last list, when all come back
 SETTLE_S = 1.0
 
 
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Crowd:
+class WorkerSpec:
     """What a worker is told."""
 
     first: int
@@ -69,7 +69,7 @@
     settings: dict[str, Any]
 
 
-class Counting(Trace):
+class CountingTrace(Trace):
     """Counts what is decided, for all sidecars of a process."""
 
     def __init__(self, balancer: Balancer, counts: Counter[str]) -> None:
@@ -93,24 +93,24 @@
 class Worker:
     """The sidecars of one process; each has one client that calls it now and then."""
 
-    def __init__(self, given: Crowd) -> None:
+    def __init__(self, given: WorkerSpec) -> None:
         self.given = given
         self.counts: Counter[str] = Counter()
         self._random = random.Random(given.seed)
         self._settings = settings_from_wire(given.settings)
         self._lives: list[tuple[Sidecar, asyncio.Task[None]]] = []
-        self._callers: dict[int, HttpCaller] = {}
+        self._callers: dict[int, HttpClient] = {}
         self._calls: set[asyncio.Task[None]] = set()
         self._loading: asyncio.Task[None] | None = None
         self._ident = 0
 
     async def start(self, known: dict[str, Any]) -> None:
         """All at once, each with this list."""
-        counted = replace(wire(OperatorConfig()), trace=lambda balancer: Counting(balancer, self.counts))
+        counted = replace(wire(OperatorConfig()), trace=lambda balancer: CountingTrace(balancer, self.counts))
         told = parse_list(known)
         for number in range(self.given.first, self.given.first + self.given.count):
             config = SidecarConfig(
-                ("127.0.0.1", 0), self.given.registry, self.given.seed * 1_000_003 + number, SOCKETS,
+                ("127.0.0.1", 0), self.given.registry, self.given.seed * 1_000_003 + number, SOCKETS_PER_SIDECAR,
                 self._settings, told,
             )  # fmt: skip
             sidecar = Sidecar(config, counted)
@@ -149,13 +149,13 @@
                 task.add_done_callback(self._calls.discard)
 
     async def _call(self, number: int) -> None:
-        kind = self._random.choices(KINDS, MIX)[0]
+        kind = self._random.choices(REQUEST_CLASSES, CLASS_WEIGHTS)[0]
         self._ident += 1
         ident = f"w{self.given.first}-{self._ident:07}"
         key = f"key-{ident}" if kind == "amend" else None
-        wish = Wish(kind, ident, body=b"" if kind == "check" else b"x", budget_s=BUDGET_S, key=key)
+        wish = ClientCall(kind, ident, body=b"" if kind == "check" else b"x", budget_s=DEADLINE_S, key=key)
         life = self._lives[number][0]
-        caller = self._callers.pop(number, None) or HttpCaller(life.listener.address)
+        caller = self._callers.pop(number, None) or HttpClient(life.listener.address)
         self.counts["calls"] += 1
         got = await caller.call(wish)
         alive = number < len(self._lives) and self._lives[number][0] is life
@@ -174,14 +174,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Some:
+class BackendGroupSpec:
     """What a process of nodes is told."""
 
     first: int
     count: int
 
 
-class CountedNode(LodgeServer):
+class CountingBackendServer(BackendServer):
     """Counts the connections that came, and those that are open."""
 
     accepted = 0
@@ -191,16 +191,16 @@
         await super()._http(reader, writer)
 
 
-class NodeSide:
+class BackendGroup:
     """The nodes of one process."""
 
-    def __init__(self, given: Some) -> None:
+    def __init__(self, given: BackendGroupSpec) -> None:
         self.log = RunLog()
         self.nodes = [self._made(number) for number in range(given.first, given.first + given.count)]
 
-    def _made(self, number: int) -> CountedNode:
-        return CountedNode(
-            Lodge(f"n-{number:04}", self.log, time.monotonic, slots=64, queue=256, work=work),
+    def _made(self, number: int) -> CountingBackendServer:
+        return CountingBackendServer(
+            Backend(f"n-{number:04}", self.log, time.monotonic, slots=64, queue=256, work=constant_work),
             pod=number % 8 + 1,
         )
 
@@ -224,7 +224,7 @@
         }
 
 
-def work(_: Asked) -> float:
+def constant_work(_: Message) -> float:
     return WORK_S
 
 
@@ -233,20 +233,20 @@
 
 async def serve_worker(given: dict[str, Any]) -> None:
     given["registry"] = tuple(given["registry"])
-    worker = Worker(Crowd(**given))
+    worker = Worker(WorkerSpec(**given))
     await worker.start(worker.given.known)
-    await answer({"load": worker.load, "told": worker.told, "end": worker.end, "start": worker.start})
+    await serve_commands({"load": worker.load, "told": worker.told, "end": worker.end, "start": worker.start})
 
 
 async def serve_nodes(given: dict[str, Any]) -> None:
-    side = NodeSide(Some(**given))
+    side = BackendGroup(BackendGroupSpec(**given))
     entries = await side.start()
-    await answer({"entries": lambda: entries, "die": side.die, "told": side.told})
+    await serve_commands({"entries": lambda: entries, "die": side.die, "told": side.told})
 
 
-async def answer(words: dict[str, Any]) -> None:
+async def serve_commands(words: dict[str, Any]) -> None:
     """Answer each line of input, a word and its arguments, with a line; the input's end ends it."""
-    reader = asyncio.StreamReader(limit=LINE_MOST)
+    reader = asyncio.StreamReader(limit=REPLY_BYTES_MAX)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     print("{}", flush=True)
@@ -258,10 +258,10 @@
         print(json.dumps(said), flush=True)
 
 
-class Part(Child):
+class RoleProcess(ChildProcess):
     """A process of this rig, by its role."""
 
-    def __init__(self, role: str, given: Crowd | Some) -> None:
+    def __init__(self, role: str, given: WorkerSpec | BackendGroupSpec) -> None:
         super().__init__("testbed.fleet.synthetic_peers", role, json.dumps(asdict(given)))
 
     async def tell(self, word: str, *given: Any) -> Any:
@@ -271,7 +271,7 @@
 # -- The rig ------------------------------------------------------------------------------------------------
 
 
-class Roster(Registry):
+class CountingRegistry(Registry):
     """The registry, with a switch for an outage, and its calls by second."""
 
     def __init__(self) -> None:
@@ -290,7 +290,7 @@
             return
         await super()._serve(reader, writer)
 
-    async def _answer(self, asked: Asked) -> dict[str, Any]:
+    async def _answer(self, asked: Message) -> dict[str, Any]:
         self.by_second[int(time.monotonic())] += 1
         return await super()._answer(asked)
 
@@ -299,7 +299,7 @@
 
 
 @dataclass(slots=True)
-class Result:
+class ScenarioResult:
     """What a scene came to."""
 
     scene: str
@@ -332,30 +332,30 @@
     }
 
 
-class Rig:
+class SyntheticFleet:
     """All processes of one fleet."""
 
     def __init__(self, sidecars: int, workers: int, nodes: int, rate: float, seed: int = 1) -> None:
-        self.registry = Roster()
-        given = json.loads(EXAMPLE.read_text(encoding="utf-8"))["settings"]
+        self.registry = CountingRegistry()
+        given = json.loads(EXAMPLE_DEPLOYMENT.read_text(encoding="utf-8"))["settings"]
         self.given = given | {"groupSize": sidecars}
         self.settings: Settings = settings_from_wire(self.given)
         self.sidecars, self.nodes, self.rate = sidecars, nodes, rate
         self._worker_count, self._seed = workers, seed
-        self.workers: list[Part] = []
-        self.sides: list[Part] = []
+        self.workers: list[RoleProcess] = []
+        self.sides: list[RoleProcess] = []
 
     async def start(self) -> None:
         await self.registry.start()
         sides = max(1, min(self._worker_count // 3, 4))
         edges = [self.nodes * each // sides for each in range(sides + 1)]
-        self.sides = [Part("nodes", Some(a, b - a)) for a, b in itertools.pairwise(edges)]
+        self.sides = [RoleProcess("nodes", BackendGroupSpec(a, b - a)) for a, b in itertools.pairwise(edges)]
         await asyncio.gather(*(each.start() for each in self.sides))
         for side in self.sides:
             self.registry.put(*await side.tell("entries"))
         edges = [self.sidecars * each // self._worker_count for each in range(self._worker_count + 1)]
         self.workers = [
-            Part("worker", Crowd(
+            RoleProcess("worker", WorkerSpec(
                 a, b - a, self.rate, self._seed * 1000 + a, self.registry.address,
                 self.registry.snapshot(), self.given,
             ))
@@ -379,7 +379,7 @@
     async def all(self, word: str, *given: Any) -> None:
         await asyncio.gather(*(each.tell(word, *given) for each in self.workers))
 
-    async def play(self, scene: str, seconds: float) -> Result:
+    async def play(self, scene: str, seconds: float) -> ScenarioResult:
         """Load all sidecars for so long, with the scene in the middle; give the counts since the load began."""
         before = await self.counts()
         await self.all("load")
@@ -402,18 +402,18 @@
         for name in ("served", "refused", "failed", "lost", "twice"):
             after[name] = done[name]
         found = Counter(
-            {name: value - (before[name] if name not in KEPT else 0) for name, value in after.items()}
+            {name: value - (before[name] if name not in GAUGES else 0) for name, value in after.items()}
         )
         found["list calls a second, most"] = self.registry.busiest(since)
-        fleet = Fleet(self.settings, self.sidecars, self.nodes, self.rate, ANSWER_S)
+        fleet = Fleet(self.settings, self.sidecars, self.nodes, self.rate, MEAN_ANSWER_S)
         allowed = count_limits(fleet_bounds(fleet, took, starts, scene == "outage"))
-        return Result(scene, took, found, allowed)
+        return ScenarioResult(scene, took, found, allowed)
 
     async def _restart(self) -> None:
         """All end; two fifths of the nodes are replaced; all come back with the list of before."""
         known = self.registry.snapshot()
         names = list(self.registry.entries)
-        dead = random.Random(self._seed).sample(names, int(DEAD_PART * len(names)))
+        dead = random.Random(self._seed).sample(names, int(REPLACED_BACKENDS_RATIO * len(names)))
         await self.all("end")
         for side in self.sides:
             await side.tell("die", dead)
@@ -422,10 +422,10 @@
         await self.all("start", known)
 
 
-KEPT = ("open", "most open", "held", "most held")  # of now, not since
+GAUGES = ("open", "most open", "held", "most held")  # of now, not since
 
 
-def show(result: Result) -> None:
+def print_result(result: ScenarioResult) -> None:
     print(f"{result.scene}: {result.seconds:.0f} s, served {100 * result.served:.2f} of 100 answered")
     for name, most in result.allowed.items():
         mark = "" if result.counts[name] <= most else "  BEYOND"
@@ -436,21 +436,21 @@
 
 async def run(
     scenes: Sequence[str], sidecars: int, workers: int, nodes: int, rate: float, seconds: float, seed: int = 1
-) -> list[Result]:
+) -> list[ScenarioResult]:
     results = []
     for scene in scenes:
-        rig = Rig(sidecars, workers, nodes, rate, seed)
+        rig = SyntheticFleet(sidecars, workers, nodes, rate, seed)
         try:
             await rig.start()
             await asyncio.sleep(SETTLE_S)
             results.append(await rig.play(scene, seconds))
         finally:
             await rig.stop()
-        show(results[-1])
+        print_result(results[-1])
     return results
 
 
-SCENES = ("calm", "restart", "outage")
+SCENARIOS = ("calm", "restart", "outage")
 
 
 def main() -> int:
@@ -466,14 +466,14 @@
     parser.add_argument("--rate", type=float, default=0.3, help="calls a second to each sidecar")
     parser.add_argument("--seconds", type=float, default=30.0, help="that a scene lasts")
     given = parser.parse_args()
-    unknown = set(given.scenes) - set(SCENES)
+    unknown = set(given.scenes) - set(SCENARIOS)
     if unknown:
-        parser.error(f"scenes: {', '.join(SCENES)} are wanted, not {', '.join(sorted(unknown))}")
+        parser.error(f"scenes: {', '.join(SCENARIOS)} are wanted, not {', '.join(sorted(unknown))}")
     print(
         f"{given.sidecars} sidecars in {given.workers} processes, {given.nodes} nodes, {given.rate:g} calls a second"
     )
     results = asyncio.run(
-        run(given.scenes or SCENES, given.sidecars, given.workers, given.nodes, given.rate, given.seconds)
+        run(given.scenes or SCENARIOS, given.sidecars, given.workers, given.nodes, given.rate, given.seconds)
     )
     return 1 if any(each.beyond() for each in results) else 0
 
--- a/testbed/fleet/worker.py
+++ b/testbed/fleet/worker.py
@@ -1,6 +1,6 @@
 """Some forwarders of a fleet, with their clients, in one process: `python -m testbed.fleet.worker SPEC`.
 
-SPEC is JSON (`Spec`).  It prints a line of JSON when all forwarders are up, and one for each line that it reads:
+SPEC is JSON (`WorkerSpec`).  It prints a line of JSON when all forwarders are up, and one for each line that it reads:
 `load` begins the calls, `trusts` gives how far each forwarder follows a plan, `finish` ends the calls and gives all
 that was noted.  The end of its input ends it.
 """
@@ -14,7 +14,7 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from testbed.fleet.calling import Clients, Ears, now
+from testbed.fleet.load_generator import EndpointNoticeLog, LoadGenerator, now
 from testbed.wire import Address
 from topazbank.core.components import SidecarConfig
 from topazbank.core.sidecar import Sidecar
@@ -24,11 +24,11 @@
 from topazbank.platform_names import settings_from_wire
 from topazbank.wiring import wire
 
-SOCKETS = 256  # of each forwarder
+SOCKETS_PER_SIDECAR = 256  # of each forwarder
 
 
 @dataclass(frozen=True, slots=True)
-class Spec:
+class WorkerSpec:
     """What a worker is told."""
 
     first: int  # number of its first forwarder
@@ -44,11 +44,11 @@
 class Worker:
     """The forwarders and clients of one process."""
 
-    def __init__(self, spec: Spec) -> None:
+    def __init__(self, spec: WorkerSpec) -> None:
         self.spec = spec
-        self.clients = Clients(random.Random(spec.seed), f"w{spec.first}")
+        self.clients = LoadGenerator(random.Random(spec.seed), f"w{spec.first}")
         names = {each["name"] for each in spec.known["endpoints"]}
-        self.ears = Ears(lambda: names)
+        self.ears = EndpointNoticeLog(lambda: names)
         self.sidecars: list[Sidecar] = []
         self._over = asyncio.Event()
         self._stop = asyncio.Event()
@@ -63,7 +63,9 @@
                 wire(OperatorConfig(MsgpackRpc(True, True), planning=planning)), number
             )
             seed = self.spec.seed * 1_000_003 + number
-            config = SidecarConfig(("127.0.0.1", 0), self.spec.registry, seed, SOCKETS, settings, known)
+            config = SidecarConfig(
+                ("127.0.0.1", 0), self.spec.registry, seed, SOCKETS_PER_SIDECAR, settings, known
+            )
             self.ears.hear(number, known)
             sidecar = Sidecar(config, wiring)
             self.sidecars.append(sidecar)
@@ -107,7 +109,7 @@
             task.cancel()
 
 
-async def serve(spec: Spec) -> None:
+async def serve(spec: WorkerSpec) -> None:
     worker = Worker(spec)
     worker.start()
     loop = asyncio.get_running_loop()
@@ -133,7 +135,7 @@
     given = json.loads(sys.argv[1])
     given["registry"] = tuple(given["registry"])
     given["planners"] = [tuple(each) for each in given["planners"]]
-    asyncio.run(serve(Spec(**given)))
+    asyncio.run(serve(WorkerSpec(**given)))
 
 
 if __name__ == "__main__":
--- a/testbed/ports.py
+++ b/testbed/ports.py
@@ -16,13 +16,13 @@
 _hosts = itertools.count()
 
 
-def own_host() -> str:
+def private_loopback_host() -> str:
     """A loopback address that nobody else binds at: a port picked here stays its picker's, process or not."""
     pid = os.getpid()
     return f"127.{64 + next(_hosts) % 128}.{pid >> 8 & 0xFF}.{1 + pid % 254}"
 
 
-def free(host: str, count: int, kind: socket.SocketKind = socket.SOCK_STREAM) -> list[Address]:
+def free_addresses(host: str, count: int, kind: socket.SocketKind = socket.SOCK_STREAM) -> list[Address]:
     """So many addresses where nobody listens yet, no two alike: each is held until the last is found."""
     with contextlib.ExitStack() as held:
         found: list[Address] = []
--- a/testbed/quota/processes.py
+++ b/testbed/quota/processes.py
@@ -16,7 +16,7 @@
 
 from testbed.cluster.harness import Rig
 from testbed.cluster.scenarios import NODES, Script, Step
-from testbed.fleet.invariants import Verdicts
+from testbed.fleet.invariants import InvariantReport
 from topazbank.quota.audit import QuotaAudit, audit
 from topazbank.quota.ledger_records import read_ledgers
 
@@ -142,7 +142,7 @@
     retries: int  # that reached the servers
     ahead_max: float  # of the limit's rate, in retries
     ahead_allowed: float
-    verdicts: Verdicts
+    verdicts: InvariantReport
     audit: QuotaAudit | None  # None: without the quota
 
     def faults(self) -> list[str]:
--- a/testbed/quota/virtual_time.py
+++ b/testbed/quota/virtual_time.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from testbed.virtual_time import PlayedTime
+from testbed.virtual_time import VirtualTime
 from topazbank.quota.lease import ClientId, LeaseGrant
 from topazbank.quota.lease_client import LeaseClient, OutgoingMessage
 from topazbank.quota.lease_server import LeaseServer, StoredGrant
@@ -67,7 +67,7 @@
             self.violations.append(text)
 
 
-class Fleet(PlayedTime):
+class Fleet(VirtualTime):
     """Members 0 to n - 1; the quota's lease servers are members by their numbers."""
 
     def __init__(
--- a/testbed/registry/__init__.py
+++ b/testbed/registry/__init__.py
@@ -9,7 +9,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from testbed.wire import Asked, Listening, Reply, read_http
+from testbed.wire import Message, Reply, TcpServer, read_http
 
 _CHANGES_MAX = 1000  # that are kept; a client that is further behind gets a snapshot
 _WATCH_MAX_S = 60.0
@@ -23,7 +23,7 @@
     entry: Entry
 
 
-class Registry(Listening):
+class Registry(TcpServer):
     """Entries by name; `put` and `remove` answer every watch."""
 
     def __init__(self) -> None:
@@ -67,7 +67,7 @@
                     break
         writer.close()
 
-    async def _answer(self, request: Asked) -> dict[str, Any]:
+    async def _answer(self, request: Message) -> dict[str, Any]:
         query = parse_qs(urlsplit(request.path).query)
         if "after" not in query:
             return self.snapshot()
--- a/testbed/registry/__main__.py
+++ b/testbed/registry/__main__.py
@@ -12,7 +12,7 @@
 import signal
 
 from testbed.registry import Registry
-from testbed.wire import place
+from testbed.wire import format_address
 
 
 def load(registry: Registry, path: str) -> None:
@@ -30,7 +30,7 @@
     host, _, port = arguments.listen.rpartition(":")
     await registry.start(host, int(port))
     load(registry, arguments.entries)
-    print(f"the registry listens at {place(registry.address)}", flush=True)
+    print(f"the registry listens at {format_address(registry.address)}", flush=True)
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGHUP, load, registry, arguments.entries)
     await asyncio.Event().wait()
--- a/testbed/registry/faulty.py
+++ b/testbed/registry/faulty.py
@@ -14,7 +14,7 @@
 from enum import Enum, unique
 
 from testbed.registry import Registry
-from testbed.wire import Asked, Reply, read_http, reset
+from testbed.wire import Message, Reply, read_http, reset_connection
 
 
 @unique
@@ -57,7 +57,7 @@
     def end_watches(self) -> None:
         """Reset the calls without an answer, as when the service stops."""
         for writer in list(self._open):
-            reset(writer)
+            reset_connection(writer)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._open.add(writer)
@@ -69,7 +69,7 @@
             writer.close()
 
     async def _serve_call(
-        self, request: Asked, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, request: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         fault = self.fault
         self.calls += 1
@@ -77,7 +77,7 @@
         if fault is Fault.UNANSWERED:
             await reader.read()  # until its client closes the connection
         elif fault is Fault.RESET:
-            reset(writer)
+            reset_connection(writer)
         elif fault in (Fault.REFUSED, Fault.REFUSED_LATE):
             await self._refuse(writer, self.refusal_delay_s if fault is Fault.REFUSED_LATE else None)
         else:
--- a/testbed/soak/__main__.py
+++ b/testbed/soak/__main__.py
@@ -14,16 +14,16 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from testbed.soak.faults import draw
-from testbed.soak.harness import Judged, SoakRig
+from testbed.soak.faults import draw_schedule
+from testbed.soak.harness import SoakHarness, SoakReport
 
-HEAD = (
+HEADER = (
     f"{'seed':>5}{'faults':>8}{'calls':>8}{'served':>9}{'refused':>9}"
     f"{'failed':>8}{'lasting':>8}{'unruly':>8}{'slowest s':>11}{'broken':>8}"
 )
 
 
-def row(seed: int, judged: Judged) -> str:
+def format_row(seed: int, judged: SoakReport) -> str:
     counts = judged.verdicts.counts
     return (
         f"{seed:>5}{judged.faults:>8}{judged.verdicts.calls:>8}{judged.verdicts.served:>9.2%}{counts['refused']:>9}"
@@ -31,12 +31,14 @@
     )
 
 
-async def play(sidecars: int, seed: int, seconds: float, rate: float, logs: Path | None = None) -> Judged:
+async def run_soak(
+    sidecars: int, seed: int, seconds: float, rate: float, logs: Path | None = None
+) -> SoakReport:
     """One soak, on processes of its own; `logs`: the folder in which their logs are kept."""
-    rig = SoakRig(sidecars, seed, rate)
+    rig = SoakHarness(sidecars, seed, rate)
     try:
         await rig.start()
-        return await rig.soak(draw(sidecars, seed, seconds))
+        return await rig.soak(draw_schedule(sidecars, seed, seconds))
     finally:
         if logs is not None:
             rig.keep_logs(logs / str(seed))
@@ -55,14 +57,14 @@
     given = parser.parse_args(argv)
     if given.sidecars < 2:
         parser.error("--sidecars: two at least: one half of them is steady")
-    print(HEAD, flush=True)
+    print(HEADER, flush=True)
     bad = []
     for seed in range(given.seed, given.seed + given.seeds):
         if given.steps:
-            for step in draw(given.sidecars, seed, given.seconds).steps:
+            for step in draw_schedule(given.sidecars, seed, given.seconds).steps:
                 print(f"{step.at:7.2f} {step.do} {step.who or ''}{step.to or ''} {step.value or ''}")
-        judged = asyncio.run(play(given.sidecars, seed, given.seconds, given.rate, given.logs))
-        print(row(seed, judged), flush=True)
+        judged = asyncio.run(run_soak(given.sidecars, seed, given.seconds, given.rate, given.logs))
+        print(format_row(seed, judged), flush=True)
         for each in judged.broken[:20]:
             print(f"      {each}", flush=True)
         bad += [f"{each}, seed {seed}" for each in judged.broken]
--- a/testbed/soak/harness.py
+++ b/testbed/soak/harness.py
@@ -19,30 +19,33 @@
 from testbed.cluster.harness import START_S, Member, Noting, Rig, now
 from testbed.cluster.invariants import Done
 from testbed.cluster.scenarios import REGISTRY, Step
-from testbed.fleet.invariants import ATTEMPTS_MOST, Reached, Verdicts
-from testbed.fleet.invariants import judge as judge_rules
+from testbed.fleet.invariants import ATTEMPTS_MAX, AttemptArrival, InvariantReport
+from testbed.fleet.invariants import check_invariants as judge_rules
 from testbed.registry.faulty import Fault, FaultyRegistry
-from testbed.soak.faults import Soak
-from testbed.soak.notices import Change, History, Span, words
-from testbed.soak.restarts import Crowd, LastingClients
-from testbed.soak.unruly import GONE_S, SLACK_S, Unruly
-from testbed.wire import Address, Asked, Reply, place, reset
-
-FLEET = 200  # sidecars that share discovery by the settings, in soaks without membership: it sets the pace of calls
-SECOND_WAY = -2  # another address of the registry, among the rig's ways
-CROWD = 300  # connections of a crowd
-LASTING = 6  # connections that are used up to the kill
-UNRULY_LAST_S = 3.5  # unruly clients of a sidecar are through by then
-KILL_S = 2.5 + 0.7  # after SIGTERM: the longest deadline of the example's classes, and what the platform adds
+from testbed.soak.faults import FaultSchedule
+from testbed.soak.misbehaving_clients import EVENT_LOOP_SLACK_S, SEND_AFTER_LEAVE_MAX_S, MisbehavingClients
+from testbed.soak.restart_clients import ConnectionFlood, PersistentClients
+from testbed.soak.update_deadlines import DisturbanceHistory, DrainChange, Interval, expected_notices
+from testbed.wire import Address, Message, Reply, format_address, reset_connection
+
+# Sidecars that share discovery by the settings, in soaks without membership: it sets the rate of polls.
+CONFIGURED_FLEET_SIZE = 200
+SECOND_PROXY = -2  # another address of the registry, among the rig's ways
+FLOOD_CONNECTIONS = 300  # connections of a crowd
+PERSISTENT_CONNECTIONS = 6  # connections that are used up to the kill
+MISBEHAVING_CLIENT_MAX_S = 3.5  # unruly clients of a sidecar are through by then
+KILL_AFTER_S = (
+    2.5 + 0.7
+)  # after SIGTERM: the longest deadline of the example's classes, and what the platform adds
 SETTLE_S = 3.0  # after the last fault, while calls go on
 _DEFECT = re.compile(r"^.*(?:violation [a-z_]+:|Traceback|Exception in callback).*$", re.MULTILINE)
 
 
 @dataclass(slots=True)
-class Judged:
+class SoakReport:
     """What came of one soak."""
 
-    verdicts: Verdicts
+    verdicts: InvariantReport
     broken: list[str] = field(default_factory=list)
     unruly: Counter[str] = field(default_factory=Counter)
     slowest_s: float = 0.0  # until an unruly client heard something
@@ -50,13 +53,13 @@
     lasting: int = 0  # calls of clients that go on up to a kill
 
 
-class FaultyNode(Noting):
+class FaultyBackend(Noting):
     """A server that can be told to fail a part of what it gets, or to take its time."""
 
     failing = 0.0  # part of the requests that are answered with an error, after they have run
     slow_s = 0.0
 
-    async def serve(self, asked: Asked) -> Any:
+    async def serve(self, asked: Message) -> Any:
         reply = await super().serve(asked)
         if self.slow_s:
             await asyncio.sleep(self.slow_s)
@@ -65,18 +68,18 @@
         return reply
 
 
-class SoakRig(Rig):
+class SoakHarness(Rig):
     """A tier's rig with faults of servers, unruly clients and a judge for both."""
 
-    node_class = FaultyNode
+    node_class = FaultyBackend
 
     def __init__(self, sidecars: int, seed: int, rate: float = 100.0, unruly_rate: float = 12.0) -> None:
         super().__init__(sidecars, seed, on=seed % 2 == 0, rate=rate)
         self.registry = self._faulty = FaultyRegistry()
         self._honest_rate, self._unruly_rate = rate, unruly_rate
         self._chance = random.Random(seed + 2)
-        self._history = History()
-        self._changes: list[Change] = []
+        self._history = DisturbanceHistory()
+        self._changes: list[DrainChange] = []
         self._ending: set[int] = (
             set()
         )  # sidecars that are told to end, or not there yet: no new clients of theirs
@@ -86,7 +89,7 @@
         self._operators: dict[asyncio.subprocess.Process, Address] = {}  # where each is called
         self._first_list: dict[str, Any] = {}
         if not self.on:
-            self.fleet_size = FLEET
+            self.fleet_size = CONFIGURED_FLEET_SIZE
 
     async def do(self, step: Step) -> None:
         if step.do.startswith(("registry_", "node_")) or step.do in ("reload", "restart", "crowd"):
@@ -103,9 +106,11 @@
             for number in step.who:
                 self._later(self._restart(self.members[number], step.value))
         elif step.do == "crowd":
-            crowd = Crowd(self._chance)
+            crowd = ConnectionFlood(self._chance)
             for number in step.who:
-                self._later(crowd.stay(self.members[number].listen, CROWD, step.value, self._note))
+                self._later(
+                    crowd.stay(self.members[number].listen, FLOOD_CONNECTIONS, step.value, self._note)
+                )
         else:
             self._remember(step)
             await super().do(step)
@@ -118,12 +123,12 @@
         if step.do in ("tcp_hold", "tcp_cut") and REGISTRY in step.to:
             self._trouble_began = now()
         elif step.do == "tcp_heal" and REGISTRY in step.to:
-            self._history.troubles.append(Span(self._trouble_began, now()))
+            self._history.troubles.append(Interval(self._trouble_began, now()))
         for number in step.who:
             if step.do in ("upgrade", "old_dies", "new_dies", "new_hangs"):
                 self._history.upgrades[number].append(now())
             elif step.do == "stop":
-                self._history.pauses[number].append(Span(now(), now() + step.value))
+                self._history.pauses[number].append(Interval(now(), now() + step.value))
 
     # -- Discovery, signals, restarts ------------------------------------------------------------------
 
@@ -131,7 +136,7 @@
         trouble = Fault.NONE if step.do == "registry_well" else Fault(step.do.removeprefix("registry_"))
         if trouble is Fault.NONE:
             # What was begun in a trouble may last: a late or held call ends by then, or as its caller gives it up.
-            self._history.troubles.append(Span(self._trouble_began, now()))
+            self._history.troubles.append(Interval(self._trouble_began, now()))
         else:
             self._trouble_began = now()
             if trouble is not Fault.ANSWERED_LATE:
@@ -152,14 +157,14 @@
 
     async def start(self) -> None:
         await super().start()
-        await self._way(SECOND_WAY, self.registry.address)
+        await self._way(SECOND_PROXY, self.registry.address)
         self._first_list = self.registry.snapshot()
 
     def _more_configuration(self, member: Member) -> dict[str, Any]:
         """Where discovery is for this sidecar, and the list of the beginning, as old as that may be by now."""
         more: dict[str, Any] = {}
         if member.number in self._by_second_way:
-            more["discovery"] = place(self.ways[SECOND_WAY].address)
+            more["discovery"] = format_address(self.ways[SECOND_PROXY].address)
         if self._first_list:
             more["known"] = self._first_list
         return more
@@ -172,16 +177,16 @@
         member.busy = True
         self._ending.add(member.number)
         try:
-            await asyncio.sleep(UNRULY_LAST_S)
-            lasting = LastingClients(
+            await asyncio.sleep(MISBEHAVING_CLIENT_MAX_S)
+            lasting = PersistentClients(
                 member.number, member.listen, self._chance.getrandbits(32), self.clients.calls
             )
-            lasting.begin(LASTING)
+            lasting.begin(PERSISTENT_CONNECTIONS)
             await asyncio.sleep(self._chance.uniform(0.0, 0.5))
             self.clients.leave(member.number)
             process.send_signal(signal.SIGTERM)
             lasting.told_to_end()
-            killing = now() + KILL_S
+            killing = now() + KILL_AFTER_S
             for _ in range(self._chance.randrange(4)):
                 await asyncio.sleep(self._chance.uniform(0.0, 0.3))
                 with contextlib.suppress(ProcessLookupError):
@@ -226,7 +231,7 @@
     async def _node_fault(self, number: int, step: Step) -> None:
         server = self.nodes[number]
         lodge = server.lodge
-        assert isinstance(lodge, FaultyNode)
+        assert isinstance(lodge, FaultyBackend)
         if step.do == "node_hang":
             lodge.hung = True
         elif step.do == "node_fail":
@@ -235,7 +240,7 @@
             lodge.slow_s = step.value
         elif step.do == "node_reset":
             for writer in list(server._writers):
-                reset(writer)
+                reset_connection(writer)
         elif step.do == "node_die":
             server.die()
         else:
@@ -243,13 +248,13 @@
             if server._server is None or not server._server.is_serving():
                 await server.start(*server.address)
 
-    async def soak(self, soak: Soak) -> Judged:
+    async def soak(self, soak: FaultSchedule) -> SoakReport:
         """Play it under load, and judge it; the rig can play no other after it."""
         self._begin()
         over = asyncio.Event()
         steady = soak.steady(self.count)
         there = lambda: [each for each in steady if each not in self._ending]  # noqa: E731
-        unruly = Unruly(self.seed)
+        unruly = MisbehavingClients(self.seed)
         where = lambda number: self.members[number].listen  # noqa: E731
         loads = [
             asyncio.create_task(self.clients.load(self._honest_rate, over, there, where)),
@@ -265,18 +270,18 @@
         await asyncio.gather(*loads)
         return self._judged(soak, unruly)
 
-    def _judged(self, soak: Soak, unruly: Unruly) -> Judged:
+    def _judged(self, soak: FaultSchedule, unruly: MisbehavingClients) -> SoakReport:
         lives = {each: [(0.0, now())] for each in range(self.count)}
         honest = {each.ident for each in self.clients.calls}
         verdicts = judge_rules(
             self.clients.calls,
             [each for each in self._reached if each.ident in honest],
             [each for each in self.log.runs if each.ident in honest],
-            words(self._changes, self._history, self.count),
+            expected_notices(self._changes, self._history, self.count),
             lives,
             [],
         )
-        judged = Judged(verdicts, list(verdicts.broken), faults=len(soak.steps))
+        judged = SoakReport(verdicts, list(verdicts.broken), faults=len(soak.steps))
         judged.unruly.update(each.what for each in unruly.found)
         judged.unruly["leaves"] = len(unruly.left)
         judged.lasting = sum(each.ident.startswith("k") for each in self.clients.calls)
@@ -284,8 +289,8 @@
             (each.waited_s for each in unruly.found if each.what != "is slow"), default=0.0
         )
         judged.broken += [f"sidecar {each.sidecar}, {each.broken}" for each in unruly.found if each.broken]
-        judged.broken += sent_for_nobody(unruly, self._reached)
-        judged.broken += ran_twice(unruly, self._reached, self.log.runs)
+        judged.broken += attempts_after_client_left(unruly, self._reached)
+        judged.broken += duplicate_effects(unruly, self._reached, self.log.runs)
         judged.broken += self._defects()
         return judged
 
@@ -316,23 +321,25 @@
     def _drain(self, node: int, drains: bool) -> None:
         self.nodes[node].lodge.draining = drains
         self.registry.put(self._entry(node))
-        self._changes.append(Change(now(), self.nodes[node].lodge.name, drains))
+        self._changes.append(DrainChange(now(), self.nodes[node].lodge.name, drains))
 
 
-def sent_for_nobody(unruly: Unruly, reached: Sequence[Reached]) -> list[str]:
+def attempts_after_client_left(unruly: MisbehavingClients, reached: Sequence[AttemptArrival]) -> list[str]:
     """Attempts that began after their client had left."""
     left = {each.ident: each.at for each in unruly.left}
     return [
         f"sent {each.at - left[each.ident]:.2f} s after its client left: {each.ident} to {each.node}"
         for each in reached
-        if each.ident in left and each.at > left[each.ident] + GONE_S + SLACK_S
+        if each.ident in left and each.at > left[each.ident] + SEND_AFTER_LEAVE_MAX_S + EVENT_LOOP_SLACK_S
     ]
 
 
-def ran_twice(unruly: Unruly, reached: Sequence[Reached], runs: Sequence[Run]) -> list[str]:
+def duplicate_effects(
+    unruly: MisbehavingClients, reached: Sequence[AttemptArrival], runs: Sequence[Run]
+) -> list[str]:
     """Unruly clients' requests that had their effect more than once, or too many attempts."""
     attempts = Counter(each.ident for each in reached if each.ident in unruly.kinds)
-    found = [f"{count} attempts: {ident}" for ident, count in attempts.items() if count > ATTEMPTS_MOST]
+    found = [f"{count} attempts: {ident}" for ident, count in attempts.items() if count > ATTEMPTS_MAX]
     effects: dict[str, int] = defaultdict(int)
     for run in runs:
         if unruly.kinds.get(run.ident) in ("lodge", "amend"):
--- a/testbed/soak/restarts.py
+++ b/testbed/soak/restart_clients.py
@@ -6,20 +6,20 @@
 import random
 from collections.abc import Callable
 
-from testbed.clients import Wish, http_request
-from testbed.fleet.calling import BUDGETS_S, KINDS, MIX, now
-from testbed.fleet.invariants import Called
+from testbed.clients import ClientCall, http_request
+from testbed.fleet.invariants import CallRecord
+from testbed.fleet.load_generator import CLASS_WEIGHTS, DEADLINES_S, REQUEST_CLASSES, now
 from testbed.wire import Address, read_http
 
-NEW_CONNECTIONS_S = 0.3  # after SIGTERM new connections still come for so long
-CROSSED_S = 0.1  # an end that comes so soon behind a request has crossed it
-LOOKS_S = 0.5  # for an answer that the kill has overtaken
+ACCEPTS_AFTER_SIGTERM_S = 0.3  # after SIGTERM new connections still come for so long
+CROSSING_WINDOW_S = 0.1  # an end that comes so soon behind a request has crossed it
+FINAL_WAIT_S = 0.5  # for an answer that the kill has overtaken
 
 
-class LastingClients:
+class PersistentClients:
     """Some connections to one sidecar, each with one call after the other for as long as it is open."""
 
-    def __init__(self, number: int, address: Address, seed: int, calls: list[Called]) -> None:
+    def __init__(self, number: int, address: Address, seed: int, calls: list[CallRecord]) -> None:
         """`calls`: where each call and what came of it is noted."""
         self._number, self._address = number, address
         self._chance = random.Random(seed)
@@ -35,13 +35,13 @@
 
     async def end(self) -> None:
         """After the kill: what has no answer is lost."""
-        await asyncio.wait(self._tasks, timeout=LOOKS_S)
+        await asyncio.wait(self._tasks, timeout=FINAL_WAIT_S)
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def _may_open(self) -> bool:
-        return self._told_at is None or now() < self._told_at + NEW_CONNECTIONS_S
+        return self._told_at is None or now() < self._told_at + ACCEPTS_AFTER_SIGTERM_S
 
     async def _last(self, connection: int) -> None:
         """Use a connection until it ends, and open another as long as that is done."""
@@ -65,31 +65,31 @@
 
     async def _one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, ident: str) -> bool:
         """One call; whether the connection stays open for another."""
-        kind = self._chance.choices(KINDS, MIX)[0]
+        kind = self._chance.choices(REQUEST_CLASSES, CLASS_WEIGHTS)[0]
         key = f"key-{ident}" if kind == "amend" else None
         body = b"" if kind == "check" else b"declaration"
-        called = Called(ident, kind, key, now(), BUDGETS_S[kind], sidecar=self._number)
-        wish = Wish(kind, ident, body=body, budget_s=called.budget_s, key=key)
+        called = CallRecord(ident, kind, key, now(), DEADLINES_S[kind], sidecar=self._number)
+        wish = ClientCall(kind, ident, body=body, budget_s=called.budget_s, key=key)
         self._calls.append(called)
         try:
             writer.write(http_request(wish))
             answer = await read_http(reader)
         except (OSError, asyncio.IncompleteReadError):
-            if now() < called.sent_at + CROSSED_S:
+            if now() < called.sent_at + CROSSING_WINDOW_S:
                 called.verdict, called.answered_at = "crossed", now()
             return False
         called.body, called.answered_at = answer.body, now()
-        called.verdict = verdict_of(int(answer.first.split(" ")[1]))
+        called.verdict = outcome_of_status(int(answer.first.split(" ")[1]))
         return answer.headers.get("connection") != "close"
 
 
-def verdict_of(status: int) -> str:
+def outcome_of_status(status: int) -> str:
     if status == 200:
         return "served"
     return "refused" if status in (429, 503) else "failed"
 
 
-class Crowd:
+class ConnectionFlood:
     """Clients that fill a sidecar's connections and say nothing, or half a head."""
 
     def __init__(self, chance: random.Random) -> None:
--- a/testbed/virtual_time.py
+++ b/testbed/virtual_time.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-LAG_S = (0.0002, 0.002)  # of a datagram on a quiet network
+DATAGRAM_DELAY_S = (0.0002, 0.002)  # of a datagram on a quiet network
 
 
 @dataclass(slots=True)
-class Faults:
+class NetworkFaults:
     """What the network does to a datagram."""
 
     loss: float = 0.0
@@ -21,13 +21,13 @@
     cuts: set[tuple[int, int]] = field(default_factory=set)
 
 
-class PlayedTime:
+class VirtualTime:
     """A clock that goes from one event to the next."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.now = 0.0
-        self.faults = Faults()
+        self.faults = NetworkFaults()
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
 
@@ -46,5 +46,5 @@
         if (sender, to) in faults.cuts or (faults.loss and self.random.random() < faults.loss):
             return
         for _ in range(2 if faults.doubled and self.random.random() < faults.doubled else 1):
-            lag = self.random.uniform(*LAG_S) + faults.delay_s * self.random.random()
+            lag = self.random.uniform(*DATAGRAM_DELAY_S) + faults.delay_s * self.random.random()
             self.at(self.now + lag, deliver)
--- a/testbed/wire.py
+++ b/testbed/wire.py
@@ -12,10 +12,10 @@
 
 HTTP, MSGPACK_RPC = "http", "msgpack-rpc"
 Address = tuple[str, int]
-Head = dict[str, str]
+Headers = dict[str, str]
 
 # Envelope fields of MessagePack-RPC calls and the HTTP headers that mean the same (docs/msgpack-rpc.md).
-ENVELOPE = {
+HEADER_OF_ENVELOPE_FIELD = {
     "id": "x-call-id",
     "budget": "x-budget",
     "tenant": "x-caller",
@@ -26,11 +26,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class Message:
     """A request as it came, under HTTP's names whatever it came in."""
 
     first: str  # HTTP's first line, or one that looks like it
-    headers: Head
+    headers: Headers
     body: bytes
     msgid: int | None = None  # of MessagePack-RPC
 
@@ -62,7 +62,7 @@
 
     def rpc(self, msgid: int) -> bytes:
         said = {name.lower(): value for name, value in self.headers.items()}
-        load = _figures(said.get("x-load-report"))
+        load = _parse_load_report(said.get("x-load-report"))
         if self.status == 200:
             result: dict[str, Any] = {"body": self.body}
             if "content-type" in said:
@@ -72,14 +72,14 @@
         return pack([1, msgid, [self.status, "said so", info], None])
 
 
-def _figures(text: str | None) -> dict[str, Any]:
+def _parse_load_report(text: str | None) -> dict[str, Any]:
     if text is None:
         return {}
     parts = (part.partition("=") for part in text.removeprefix("TEXT").split(","))
-    return {"load": {name.strip(): _number(value) for name, _, value in parts if name.strip()}}
+    return {"load": {name.strip(): _parse_number(value) for name, _, value in parts if name.strip()}}
 
 
-def _number(text: str) -> float | str:
+def _parse_number(text: str) -> float | str:
     try:
         return float(text)
     except ValueError:
@@ -90,28 +90,30 @@
     return bytes(msgpack.packb(value, use_bin_type=True))
 
 
-async def read_http(reader: asyncio.StreamReader) -> Asked:
+async def read_http(reader: asyncio.StreamReader) -> Message:
     """Read a request or an answer that tells its length."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     first, *lines = head.strip().split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
-    return Asked(first, headers, await reader.readexactly(int(headers.get("content-length", "0"))))
+    return Message(first, headers, await reader.readexactly(int(headers.get("content-length", "0"))))
 
 
-def read_rpc(message: Any) -> Asked:
+def read_rpc(message: Any) -> Message:
     """Read a MessagePack-RPC request: [0, msgid, class, [envelope, body]]."""
     _, msgid, method, params = message
     envelope: dict[str, Any] = params[0] if params else {}
     body: bytes = params[1] if len(params) > 1 and params[1] is not None else b""
-    headers = {header: str(envelope[name]) for name, header in ENVELOPE.items() if name in envelope}
+    headers = {
+        header: str(envelope[name]) for name, header in HEADER_OF_ENVELOPE_FIELD.items() if name in envelope
+    }
     if envelope.get("again"):
         headers["x-again"] = "1"
-    return Asked(
+    return Message(
         f"CALL {envelope.get('path', '/' + method)} RPC", headers | {"x-call-class": method}, body, msgid
     )
 
 
-def reset(writer: asyncio.StreamWriter) -> None:
+def reset_connection(writer: asyncio.StreamWriter) -> None:
     """Break a connection as a process that dies does."""
     sock = writer.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
@@ -120,7 +122,7 @@
     writer.transport.abort()
 
 
-class Listening:
+class TcpServer:
     """What listens on a port that the kernel picks, or on one that is named."""
 
     address: Address = ("127.0.0.1", 0)
@@ -138,5 +140,5 @@
             self._server.close()
 
 
-def place(address: Address) -> str:
+def format_address(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
--- a/testbed/zookeeper/__main__.py
+++ b/testbed/zookeeper/__main__.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from testbed.wire import Listening, place
+from testbed.wire import TcpServer, format_address
 from testbed.zookeeper import Ensemble
 from testbed.zookeeper.connection import Connection
 
@@ -39,7 +39,7 @@
 }
 
 
-class Control(Listening):
+class Control(TcpServer):
     """The control port."""
 
     def __init__(self, ensemble: Ensemble) -> None:
@@ -83,7 +83,9 @@
     control = Control(ensemble)
     host, _, port = arguments.control.rpartition(":")
     await control.start(host, int(port))
-    print(f"the ensemble listens at {ensemble.hosts}; control at {place(control.address)}", flush=True)
+    print(
+        f"the ensemble listens at {ensemble.hosts}; control at {format_address(control.address)}", flush=True
+    )
     await asyncio.Event().wait()
 
 
--- a/testbed/zookeeper/connection.py
+++ b/testbed/zookeeper/connection.py
@@ -5,7 +5,7 @@
 import asyncio
 import struct
 
-from testbed.wire import Listening
+from testbed.wire import TcpServer
 from testbed.zookeeper import jute
 from testbed.zookeeper.ensemble import Ensemble, Session, UnavailableError
 from testbed.zookeeper.jute import MalformedRecordError, RecordReader, RecordWriter
@@ -195,7 +195,7 @@
     """The transaction of a closed session has no operations."""
 
 
-class MemberServer(Listening):
+class MemberServer(TcpServer):
     """Where one member listens for clients."""
 
     def __init__(self, ensemble: Ensemble, member: Member) -> None:
--- a/testbed/zookeeper/ensemble.py
+++ b/testbed/zookeeper/ensemble.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from testbed.wire import place
+from testbed.wire import format_address
 from testbed.zookeeper.member import Member
 from testbed.zookeeper.transactions import Requester, TransactionBuilder
 from testbed.zookeeper.tree import Transaction, Tree
@@ -90,7 +90,7 @@
     @property
     def hosts(self) -> str:
         """As clients are configured: host:port, with commas between."""
-        return ",".join(map(place, self.addresses))
+        return ",".join(map(format_address, self.addresses))
 
     @property
     def addresses(self) -> tuple[tuple[str, int], ...]:
--- a/tests/fleet/test_failure_cases.py
+++ b/tests/fleet/test_failure_cases.py
@@ -6,22 +6,22 @@
 
 import pytest
 
-from testbed.fleet import Rig, Verdicts
-from testbed.fleet.scenarios import SCENES, outage_beside_fixed_list, play
+from testbed.fleet import FleetHarness, InvariantReport
+from testbed.fleet.scenarios import SCENARIOS, outage_beside_fixed_list, run_scenario
 
 RATE = 120.0
 OUTAGE_S = 20.0  # `python -m testbed.fleet --outage 300` runs the long one
 
 
-def verdicts_of(rig: Rig) -> Verdicts:
+def verdicts_of(rig: FleetHarness) -> InvariantReport:
     verdicts = rig.verdicts()
     assert verdicts.calls > 100 and len(rig.log.runs) > 100
     return verdicts
 
 
-@pytest.mark.parametrize("name", SCENES)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_a_failure_case_breaks_no_rule(name: str) -> None:
-    rig = asyncio.run(asyncio.wait_for(play(name, 0.5, RATE, seed=1), 60.0))
+    rig = asyncio.run(asyncio.wait_for(run_scenario(name, 0.5, RATE, seed=1), 60.0))
     verdicts = verdicts_of(rig)
     assert not verdicts.broken
     assert verdicts.served > 0.8  # five of six nodes are there at any time; all at once for an instant
--- a/tests/fleet/test_planners.py
+++ b/tests/fleet/test_planners.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from testbed.fleet.scenarios import PLANNED, play
+from testbed.fleet.scenarios import PLANNER_SCENARIOS, run_scenario
 from testbed.fleet.simulated import START, Fleet, Node, S, service
 from topazbank.balancing.settings import Settings
 from topazbank.planning import leadership
@@ -15,9 +15,9 @@
 from topazbank.platform_names import settings_from_wire
 
 
-@pytest.mark.parametrize("name", PLANNED)
+@pytest.mark.parametrize("name", PLANNER_SCENARIOS)
 def test_planners_that_fail_break_no_rule(name: str) -> None:
-    rig = asyncio.run(asyncio.wait_for(play(name, 0.5, 120.0, seed=1), 60.0))
+    rig = asyncio.run(asyncio.wait_for(run_scenario(name, 0.5, 120.0, seed=1), 60.0))
     verdicts = rig.verdicts()
     assert verdicts.calls > 100 and not verdicts.broken and verdicts.served > 0.9
 
@@ -26,7 +26,7 @@
     monkeypatch.setattr(leadership, "PATIENCE", S // 2)
     monkeypatch.setattr(leadership, "PATIENCE_RANK", S // 2)
     monkeypatch.setattr(leadership, "FRESH", S // 2)
-    rig = asyncio.run(asyncio.wait_for(play("planners_die", 0.5, 120.0, seed=2, by_rank=True), 60.0))
+    rig = asyncio.run(asyncio.wait_for(run_scenario("planners_die", 0.5, 120.0, seed=2, by_rank=True), 60.0))
     verdicts = rig.verdicts()
     assert not verdicts.broken and verdicts.served > 0.9
 
--- a/tests/fleet/test_wide.py
+++ b/tests/fleet/test_process_fleet.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from testbed.fleet import wide
+from testbed.fleet import process_fleet
 
 
 @pytest.mark.parametrize("scene", ["leader_stopped", "all_stopped", "all_killed"])
 def test_planner_processes_that_are_stopped_or_killed_break_no_rule(scene: str) -> None:
     """The scenes wait for trust to be there, to be gone and to be back; what they never see fails them."""
     fleet = asyncio.run(
-        asyncio.wait_for(wide.run(scene, 0.4, forwarders=30, workers=2, rate=4.0, load=0.4), 120.0)
+        asyncio.wait_for(process_fleet.run(scene, 0.4, forwarders=30, workers=2, rate=4.0, load=0.4), 120.0)
     )
     verdicts = fleet.verdicts()
     assert verdicts.calls > 200 and not verdicts.broken
--- a/tests/fleet/test_proxy.py
+++ b/tests/fleet/test_proxy.py
@@ -8,10 +8,10 @@
 from loopback import play
 
 from testbed.fleet.proxy import Proxy
-from testbed.wire import Listening
+from testbed.wire import TcpServer
 
 
-class Echo(Listening):
+class Echo(TcpServer):
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(100):
             writer.write(data)
--- a/tests/fleet/test_synthetic_peers.py
+++ b/tests/fleet/test_synthetic_peers.py
@@ -17,7 +17,7 @@
     results = asyncio.run(
         asyncio.wait_for(
             synthetic_peers.run(
-                synthetic_peers.SCENES, sidecars=1000, workers=2, nodes=40, rate=0.1, seconds=7.0
+                synthetic_peers.SCENARIOS, sidecars=1000, workers=2, nodes=40, rate=0.1, seconds=7.0
             ),
             280.0,
         )
--- a/tests/incidents/test_drains_and_discovery.py
+++ b/tests/incidents/test_drains_and_discovery.py
@@ -26,7 +26,7 @@
 from loopback import PATIENCE_S, FakeServer, Head, answer, ask, play, request, until
 from test_life import ROOT, config
 
-from testbed.ports import free, own_host
+from testbed.ports import free_addresses, private_loopback_host
 from testbed.registry.faulty import Fault, FaultyRegistry
 from testbed.wire import Address
 
@@ -109,8 +109,8 @@
         registry = FaultyRegistry()
         registry.put(*(each.entry() for each in self.servers))
         prepared(registry)
-        await registry.start(*free(own_host(), 1)[0])
-        (listen,) = free(own_host(), 1)
+        await registry.start(*free_addresses(private_loopback_host(), 1)[0])
+        (listen,) = free_addresses(private_loopback_host(), 1)
         folder = self.folder / str(number)
         folder.mkdir()
         path = folder / "config.json"
@@ -268,7 +268,7 @@
     moved = FaultyRegistry()
     moved.put(*(each.entry() for each in scene.servers))
     moved.fault = Fault.UNANSWERED
-    await moved.start(*free(own_host(), 1)[0])
+    await moved.start(*free_addresses(private_loopback_host(), 1)[0])
     former, one.registry = one.registry, moved
     scene.configure(one.path, one.listen, moved)
     one.process.send_signal(signal.SIGHUP)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -17,7 +17,17 @@
 import msgpack
 from helpers import KEYED, SAFE, UNSAFE, S, settings
 
-from testbed.wire import HTTP, MSGPACK_RPC, Asked, Listening, Reply, pack, read_http, read_rpc, reset
+from testbed.wire import (
+    HTTP,
+    MSGPACK_RPC,
+    Message,
+    Reply,
+    TcpServer,
+    pack,
+    read_http,
+    read_rpc,
+    reset_connection,
+)
 from topazbank.core.components import SidecarConfig
 from topazbank.core.net import Address
 from topazbank.core.sidecar import Sidecar
@@ -90,7 +100,7 @@
     return made
 
 
-class FakeServer(Listening):
+class FakeServer(TcpServer):
     """A server that answers as `script` says; None is silence, b"" a reset."""
 
     def __init__(self, name: str, script: Callable[[str, Head, bytes], bytes | None]) -> None:
@@ -125,14 +135,14 @@
         finally:
             writer.close()
 
-    def _one(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
+    def _one(self, asked: Message, writer: asyncio.StreamWriter) -> bool:
         """Answer a request; say whether the connection ends with that."""
         self.requests.append((asked.first, asked.headers, asked.body))
         if asked.msgid is not None:
             self.msgids.append((writer, asked.msgid))
         reply = self.script(asked.first, asked.headers, asked.body)
         if reply == b"":
-            reset(writer)
+            reset_connection(writer)
         elif reply is not None:
             writer.write(encoded(reply, asked.msgid))
             return b"Connection: close" in reply
@@ -152,7 +162,7 @@
         """Die: no new connections, and those that are open break."""
         super().stop()
         for writer in self.writers:
-            reset(writer)
+            reset_connection(writer)
 
     def entry(self, **changes: Any) -> dict[str, Any]:
         address = f"{self.address[0]}:{self.address[1]}"
@@ -168,7 +178,7 @@
         return entry | {"status": "active", "weight": 1.0, "since_ms": 0} | changes
 
 
-class FakeDiscovery(Listening):
+class FakeDiscovery(TcpServer):
     """Answers each call with the next of `answers`; without one it lets the call wait."""
 
     def __init__(self) -> None:
--- a/tests/msgpackrpc/test_upstream.py
+++ b/tests/msgpackrpc/test_upstream.py
@@ -27,7 +27,7 @@
     world,
 )
 
-from testbed.wire import MSGPACK_RPC, pack, reset
+from testbed.wire import MSGPACK_RPC, pack, reset_connection
 from topazbank.balancing.events import Outcome, ServerState
 from topazbank.core.attempts import AttemptDeadlines
 from topazbank.core.call import Call, Response
@@ -628,6 +628,6 @@
                 writer.write(pack([1, message[1], None, b"done"]))
         await until(lambda: [each.outcome for each in told].count(Outcome.DELIVERED) == written + 1)
         assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b""  # and nothing more came
-        reset(writer)
+        reset_connection(writer)
 
     play(scene())
--- a/tests/planning/test_links.py
+++ b/tests/planning/test_links.py
@@ -11,7 +11,7 @@
 import pytest
 from loopback import play, until
 
-from testbed.fleet.harness import Rig
+from testbed.fleet.harness import FleetHarness
 from topazbank import plan as command
 from topazbank.core.net import Address
 from topazbank.operator_config import operator_config_from
@@ -130,7 +130,7 @@
 
 def test_a_caller_that_makes_no_sense_ends_alone() -> None:
     async def scene() -> None:
-        rig = Rig(planners=1, sidecars=1, nodes=4)
+        rig = FleetHarness(planners=1, sidecars=1, nodes=4)
         await rig.start()
         server = rig.planners[0]
         assert server is not None
@@ -161,7 +161,7 @@
 
 def test_connections_are_bounded_and_the_silent_ones_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
-        rig = Rig(planners=1, sidecars=1, nodes=4)
+        rig = FleetHarness(planners=1, sidecars=1, nodes=4)
         await rig.start()
         server = rig.planners[0]
         assert server is not None
@@ -183,7 +183,7 @@
 
 def test_the_commands_show_what_is_followed_and_what_is_known(capsys: pytest.CaptureFixture[str]) -> None:
     async def scene() -> None:
-        rig = Rig(planners=1, sidecars=1, nodes=4)
+        rig = FleetHarness(planners=1, sidecars=1, nodes=4)
         await rig.start()
         await until(lambda: min(rig.trusts()) > 0.2)
         process, server = rig.processes[0], rig.planners[0]
--- a/tests/planning/test_record.py
+++ b/tests/planning/test_record.py
@@ -11,7 +11,7 @@
 import pytest
 from loopback import until
 
-from testbed.fleet.harness import Rig
+from testbed.fleet.harness import FleetHarness
 from topazbank import plan as command
 from topazbank.planning import plot, record
 
@@ -97,7 +97,7 @@
     path, out = tmp_path / "run.jsonl", tmp_path / "run.png"
 
     async def scene() -> int:
-        rig = Rig(planners=1, nodes=4)
+        rig = FleetHarness(planners=1, nodes=4)
         await rig.start()
         try:
             await until(lambda: rig.leader() is not None)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -25,7 +25,7 @@
 )
 from loopback import full as full_listener
 
-from testbed.wire import reset
+from testbed.wire import reset_connection
 from topazbank.balancing.actions import Action
 from topazbank.balancing.events import AttemptEnded, Event, Outcome, ServerState
 from topazbank.core.attempts import AttemptDeadlines
@@ -405,7 +405,7 @@
         await reader.readuntil(b"\r\n\r\n")
         await reader.readexactly(len(body))
         await until(lambda: connection.written)
-        reset(writer)
+        reset_connection(writer)
         assert await asyncio.wait_for(ended, PATIENCE_S) is None
         assert judge(None, connection.written, connection.spoilt) is Outcome.CONNECTION_LOST
         listener.close()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,7 +9,7 @@
 from helpers import KEYED, SAFE, UNSAFE, S
 from loopback import Client, World, answer, client, full, heard_at, pair, play, request, until, world
 
-from testbed.wire import HTTP, reset
+from testbed.wire import HTTP, reset_connection
 from topazbank.balancing.events import ServerState
 from topazbank.core.call import BUFFERED_BODY_BYTES_MAX
 from topazbank.msgpackrpc import server as rpc_server
@@ -24,7 +24,7 @@
 
 
 def resets(one: Client) -> None:
-    reset(one.writer)
+    reset_connection(one.writer)
 
 
 @pytest.fixture(params=[closes, resets])
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -29,7 +29,7 @@
     world,
 )
 
-from testbed.ports import free, own_host
+from testbed.ports import free_addresses, private_loopback_host
 from testbed.wire import HTTP
 from topazbank.__main__ import Flood
 from topazbank.core.net import Address
@@ -142,7 +142,7 @@
     await server.start()
     known = {"index": 1, "snapshot": True, "endpoints": [server.entry()]}
     where = "{}:{}".format(*discovery.address)
-    (listen,) = free(own_host(), 1)  # port 0 is no address to be told
+    (listen,) = free_addresses(private_loopback_host(), 1)  # port 0 is no address to be told
     process = await launch(
         tmp_path / "config.json",
         config(listen="{}:{}".format(*listen), discovery=where, known=known, **changes),
@@ -284,7 +284,7 @@
         old, new = FakeDiscovery(), FakeDiscovery()
         await old.start()
         await new.start()
-        (listen,) = free(own_host(), 1)
+        (listen,) = free_addresses(private_loopback_host(), 1)
         path, pipe = tmp_path / "config.json", tmp_path / "config.pipe"
         os.mkfifo(pipe)
         path.symlink_to(pipe)
--- a/tests/test_standins.py
+++ b/tests/test_testbed.py
@@ -11,11 +11,11 @@
 import pytest
 from loopback import PATIENCE_S, play, until
 
-from testbed.backend import Lodge, LodgeServer, Memory, RunLog
-from testbed.clients import Got, Wish, caller
+from testbed.backend import Backend, BackendServer, IdempotencyCache, RunLog
+from testbed.clients import CallResult, ClientCall, new_client
 from testbed.demo.__main__ import EXAMPLE, run
 from testbed.registry import Registry
-from testbed.wire import HTTP, MSGPACK_RPC, Asked, read_http
+from testbed.wire import HTTP, MSGPACK_RPC, Message, read_http
 from testbed.zookeeper import Ensemble
 from testbed.zookeeper.__main__ import Control
 from topazbank.config import read_config
@@ -23,26 +23,26 @@
 PROTOCOLS = (HTTP, MSGPACK_RPC)
 
 
-def lodge(log: RunLog | None = None, **changes: Any) -> Lodge:
+def lodge(log: RunLog | None = None, **changes: Any) -> Backend:
     given: dict[str, Any] = {"slots": 2, "queue": 1, "work": lambda asked: 0.02}
-    return Lodge("n", log or RunLog(), asyncio.get_running_loop().time, **(given | changes))
+    return Backend("n", log or RunLog(), asyncio.get_running_loop().time, **(given | changes))
 
 
-async def node(protocol: str, **changes: Any) -> LodgeServer:
-    server = LodgeServer(lodge(**changes), protocol)
+async def node(protocol: str, **changes: Any) -> BackendServer:
+    server = BackendServer(lodge(**changes), protocol)
     await server.start()
     return server
 
 
-def wish(number: int, kind: str = "lodge", **changes: Any) -> Wish:
-    return Wish(kind, f"c-{number}", body=b"x", **changes)
+def wish(number: int, kind: str = "lodge", **changes: Any) -> ClientCall:
+    return ClientCall(kind, f"c-{number}", body=b"x", **changes)
 
 
 @pytest.mark.parametrize("protocol", PROTOCOLS)
 def test_a_node_runs_queues_and_turns_away_what_is_more(protocol: str) -> None:
     async def scene() -> None:
         server = await node(protocol, work=lambda asked: 0.3)
-        callers = [caller(protocol, server.address) for _ in range(5)]
+        callers = [new_client(protocol, server.address) for _ in range(5)]
         got = await asyncio.gather(*(each.call(wish(n)) for n, each in enumerate(callers)))
         assert sorted(each.verdict for each in got) == ["refused"] * 2 + ["served"] * 3
         assert len(server.lodge.log.runs) == 3 and sum(server.lodge.log.arrived.values()) == 5
@@ -57,7 +57,7 @@
 def test_a_draining_node_finishes_what_it_has_and_wants_nothing_new(protocol: str) -> None:
     async def scene() -> None:
         server = await node(protocol, work=lambda asked: 0.2)
-        one, two = caller(protocol, server.address), caller(protocol, server.address)
+        one, two = new_client(protocol, server.address), new_client(protocol, server.address)
         first = asyncio.create_task(one.call(wish(1)))
         await until(lambda: server.lodge.log.runs)
         server.drain()
@@ -73,12 +73,12 @@
 def test_a_node_that_dies_answers_nothing_and_its_runs_have_no_end(protocol: str) -> None:
     async def scene() -> None:
         server = await node(protocol, work=lambda asked: 30.0)
-        one = caller(protocol, server.address)
+        one = new_client(protocol, server.address)
         asked = asyncio.create_task(one.call(wish(1)))
         await until(lambda: server.lodge.log.runs)
         server.die()
-        assert await asked == Got(0) and server.lodge.log.runs[0].ended is None
-        assert await one.call(wish(2)) == Got(0)
+        assert await asked == CallResult(0) and server.lodge.log.runs[0].ended is None
+        assert await one.call(wish(2)) == CallResult(0)
         one.close()
 
     play(scene())
@@ -87,11 +87,11 @@
 def test_a_pod_drops_a_repeat_within_two_seconds_also_after_a_death() -> None:
     async def scene() -> None:
         now = [100.0]
-        log, memory = RunLog(), Memory()
+        log, memory = RunLog(), IdempotencyCache()
         first, second = (
-            Lodge(name, log, lambda: now[0], work=lambda asked: 0.0, memory=memory) for name in ("a", "b")
+            Backend(name, log, lambda: now[0], work=lambda asked: 0.0, memory=memory) for name in ("a", "b")
         )
-        asked = Asked(
+        asked = Message(
             "CALL /api RPC", {"x-call-id": "1", "x-call-class": "amend", "idempotency-key": "k"}, b"x"
         )
         assert await first.serve(asked) == await second.serve(asked)
@@ -100,8 +100,8 @@
         await second.serve(asked)
         assert log.twice(["amend"]) == ["k"]
 
-        slow = Lodge("c", log, lambda: now[0], work=lambda asked: 30.0, memory=memory)
-        held = Asked(asked.first, asked.headers | {"idempotency-key": "k2"}, b"x")
+        slow = Backend("c", log, lambda: now[0], work=lambda asked: 30.0, memory=memory)
+        held = Message(asked.first, asked.headers | {"idempotency-key": "k2"}, b"x")
         dying = asyncio.create_task(slow.serve(held))
         await until(lambda: len(log.runs) == 3)
         dying.cancel()
@@ -114,7 +114,9 @@
 def test_a_cold_node_warms_and_falls_over_under_too_much() -> None:
     async def scene() -> None:
         now = [0.0]
-        cold = Lodge("c", RunLog(), lambda: now[0], slots=2, queue=1000, cold_s=20.0, work=lambda asked: 0.1)
+        cold = Backend(
+            "c", RunLog(), lambda: now[0], slots=2, queue=1000, cold_s=20.0, work=lambda asked: 0.1
+        )
         assert cold.capacity() == pytest.approx(0.14)
         now[0] = 10.0
         assert cold.capacity() == pytest.approx(0.57)
@@ -126,7 +128,7 @@
         assert not cold.fallen  # 3 times 0.14 of two slots for 2 s bear 1.68 s of work
         cold._offer(0.1)
         assert cold.fallen
-        assert await cold.serve(Asked("CALL /api RPC", {}, b"")) is None
+        assert await cold.serve(Message("CALL /api RPC", {}, b"")) is None
 
     play(scene())
 
