--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, one script a question; each compares in one run."""
+"""Benchmarks, one script for each question; what is compared is measured in one run."""
--- a/benchmarks/cluster_cost.py
+++ b/benchmarks/cluster_cost.py
@@ -22,7 +22,14 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from benchmarks.forward_cost import OUT, ROOT, SETTINGS, WARM_S, process, until_up
+from benchmarks.forward_cost import (
+    REQUESTS_IN_FLIGHT,
+    ROOT,
+    SETTINGS,
+    WARMUP_S,
+    process,
+    wait_until_listening,
+)
 from benchmarks.load import Load, cpu_s
 from testbed.cluster.synthetic_peers import Crowd
 from testbed.ports import free_addresses, private_loopback_host
@@ -90,7 +97,7 @@
     await crowd.start()
     try:
         with program(on, [here, *crowd.addresses], registry.address, ports, folder) as (pid, listen):
-            await until_up(listen)
+            await wait_until_listening(listen)
             await crowd.introduce()
             await asyncio.sleep(SETTLE_S)
             cpu = cpu_s(pid)
@@ -107,13 +114,13 @@
 
 
 async def _request_us(pid: int, listen: Address, seconds: float) -> float:
-    load = Load(HTTP, listen, OUT, 1)
+    load = Load(HTTP, listen, REQUESTS_IN_FLIGHT, 1)
     await load.start()
-    await asyncio.sleep(WARM_S)
-    load.got.clear()
+    await asyncio.sleep(WARMUP_S)
+    load.statuses.clear()
     cpu = cpu_s(pid)
     await asyncio.sleep(seconds)
-    spent, served = cpu_s(pid) - cpu, load.got[200]
+    spent, served = cpu_s(pid) - cpu, load.statuses[200]
     load.running = False
     return 1e6 * spent / max(served, 1)
 
--- a/benchmarks/fleet_account.py
+++ b/benchmarks/fleet_account.py
@@ -1,11 +1,11 @@
-"""Where a fleet's worth was lost, by cause and by second, from the traces of all its sidecars.
+"""Where a fleet's value was lost, by cause and by second, from the traces of all its sidecars.
 
     python -m benchmarks.fleet_account LOGS [--step 1.0] [--servers]
 
-LOGS is a folder of the sidecars' logs, one file each, written with `[trace]` on (docs/operators/size.md). Lost is
-what first tries asked for less what came in time; a client's repeat is part of its first try, so the causes are told
-by tries and the loss by worth. Causes that come with no attempt sent are decisions; the others are what became of
-attempts.
+LOGS is a folder of the sidecars' logs, one file each, written with `[trace]` on (docs/operators/size.md).  Lost is the
+value of first requests less the value of what was answered in time; a client's repeat belongs to its first request, so
+causes are counted by request and the loss by value.  Causes without an attempt are decisions; the others are what
+became of attempts.
 """
 
 from __future__ import annotations
@@ -22,143 +22,153 @@
 
 from topazbank.core.trace import MARK
 
-S = 1_000_000
-CONNECTED = ("delivered", "error", "full")  # the connection is still there after these
-COUNTED = ("dial", "probe", "tell", "follow", "resend")
-BELIEFS = ("window", "load", "over", "hopeless", "late", "reach")
+US_PER_S = 1_000_000
+# Outcomes, events and estimates by their names in the trace.
+KEEPS_CONNECTION = ("delivered", "error", "full")  # outcomes after which the connection is still open
+COUNTED_EVENTS = ("dial", "probe", "tell", "follow", "resend")
+ESTIMATES = ("window", "load", "over", "hopeless", "late", "reach")
+FINAL_CAUSES = {"refuse": "refused", "fail": "failed", "gone": "client left"}
 
 
 @dataclass(slots=True)
-class Try:
+class TracedRequest:
     """One request at one sidecar."""
 
-    at: int
-    kind: str
-    again: bool
-    sent: int = 0
-    ends: list[str] = field(default_factory=list)
+    at: int  # microseconds
+    request_class: str
+    is_repeat: bool
+    attempts: int = 0
+    outcomes: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Slot:
-    """What was asked for in one step of time, by all sidecars."""
-
-    offered: float = 0.0  # worth of first tries
-    in_time: float = 0.0  # worth answered in time, repeats too
-    tries: int = 0
-    firsts: int = 0
-    causes: Counter[str] = field(default_factory=Counter)  # tries that did not come in time
+class Interval:
+    """What all sidecars did in one step of time."""
+
+    offered: float = 0.0  # value of first requests
+    in_time: float = 0.0  # value answered in time, repeats too
+    requests: int = 0
+    first_requests: int = 0
+    causes: Counter[str] = field(default_factory=Counter)  # of requests that were not answered in time
     counts: Counter[str] = field(default_factory=Counter)
-    spent: list[float] = field(default_factory=list)  # parts of the aim that answers took
-    beliefs: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
+    latency_ratios: list[float] = field(default_factory=list)  # latencies, relative to the objective
+    estimates: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))  # at rejections
     served_by: Counter[str] = field(default_factory=Counter)
 
 
-class Account:
-    """Reads the traces of a fleet."""
+class FleetAccount:
+    """Sums up the traces of a fleet."""
 
     def __init__(self, step_s: float) -> None:
-        self._step = int(step_s * S)
-        self.slots: dict[int, Slot] = defaultdict(Slot)
-        self.sidecars = self.lives = self.dropped = 0
-        self.kinds: dict[str, tuple[float, int]] = {}
-        self.by_kind: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])  # offered, in time
-        self.cold: set[str] = set()  # servers that were sent to while they were cold
+        self.step_us = int(step_s * US_PER_S)
+        self.intervals: dict[int, Interval] = defaultdict(Interval)
+        self.sidecars = self.starts = self.dropped = 0
+        self.classes: dict[str, tuple[float, int]] = {}  # (value, latency objective in microseconds)
+        self.by_class: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])  # value offered, in time
+        self.cold: set[str] = set()  # servers that got attempts while they were cold
 
     def read(self, path: Path) -> None:
-        """One sidecar's log, with all its lives."""
+        """Add one sidecar's log, with all its processes."""
         self.sidecars += 1
-        live: dict[int, Try] = {}
-        idle: Counter[str] = Counter()
-        for what, at, *rest in lines(path):
-            slot = self.slots[at // self._step]
-            if what == "start":
-                self.lives += 1
-                self._cut_off(live)
+        live: dict[int, TracedRequest] = {}
+        idle: Counter[str] = Counter()  # connections by server
+        for event, at, *fields in trace_lines(path):
+            interval = self.intervals[at // self.step_us]
+            if event == "start":
+                self.starts += 1
+                self._sidecar_ended(live)
                 idle.clear()
-                self.kinds |= {name: (worth, aim) for name, worth, aim in rest[1]}
-            elif what == "arrived":
-                self._arrived(live, slot, at, rest)
-            elif what == "send":
-                self._sent(live, slot, idle, rest)
-            elif what == "ended":
-                self._ended(live, idle, at, rest)
-            elif what in ("refuse", "fail", "gone"):
-                self._answered(live, slot, what, rest)
-            elif what == "dropped":
-                self.dropped += rest[0]
-            elif what in COUNTED:
-                slot.counts[what] += 1
-        self._cut_off(live)
-
-    def _arrived(self, live: dict[int, Try], slot: Slot, at: int, rest: list[Any]) -> None:
-        ident, kind, _, again, _ = rest
-        live[ident] = Try(at, kind, again)
-        slot.tries += 1
-        worth = self.kinds.get(kind, (1.0, 0))[0]
-        if not again:
-            slot.firsts += 1
-            slot.offered += worth
-            self.by_kind[kind][0] += worth
-
-    def _sent(self, live: dict[int, Try], slot: Slot, idle: Counter[str], rest: list[Any]) -> None:
-        ident, server, cold, _ = rest
-        if cold:
+                self.classes |= {name: (value, objective) for name, value, objective in fields[1]}
+            elif event == "arrived":
+                self._request_arrived(live, interval, at, fields)
+            elif event == "send":
+                self._attempt_sent(live, interval, idle, fields)
+            elif event == "ended":
+                self._attempt_ended(live, idle, at, fields)
+            elif event in FINAL_CAUSES:
+                self._request_ended(live, interval, event, fields)
+            elif event == "dropped":
+                self.dropped += fields[0]
+            elif event in COUNTED_EVENTS:
+                interval.counts[event] += 1
+        self._sidecar_ended(live)
+
+    def _request_arrived(
+        self, live: dict[int, TracedRequest], interval: Interval, at: int, fields: list[Any]
+    ) -> None:
+        request_id, request_class, _, is_repeat, _ = fields
+        live[request_id] = TracedRequest(at, request_class, is_repeat)
+        interval.requests += 1
+        value = self.classes.get(request_class, (1.0, 0))[0]
+        if not is_repeat:
+            interval.first_requests += 1
+            interval.offered += value
+            self.by_class[request_class][0] += value
+
+    def _attempt_sent(
+        self, live: dict[int, TracedRequest], interval: Interval, idle: Counter[str], fields: list[Any]
+    ) -> None:
+        request_id, server, is_cold, _ = fields
+        if is_cold:
             self.cold.add(server)
         if idle[server] > 0:
             idle[server] -= 1
         else:
-            slot.counts["dial"] += 1
-        if ident in live:
-            live[ident].sent += 1
-            slot.counts["resend"] += live[ident].sent > 1
-
-    def _ended(self, live: dict[int, Try], idle: Counter[str], at: int, rest: list[Any]) -> None:
-        ident, _, server, outcome, _, answered = rest
-        idle[server] += outcome in CONNECTED
-        found = live.get(ident)
-        if found is None:
+            interval.counts["dial"] += 1
+        if request_id in live:
+            live[request_id].attempts += 1
+            interval.counts["resend"] += live[request_id].attempts > 1
+
+    def _attempt_ended(
+        self, live: dict[int, TracedRequest], idle: Counter[str], at: int, fields: list[Any]
+    ) -> None:
+        request_id, _, server, outcome, _, is_answered = fields
+        idle[server] += outcome in KEEPS_CONNECTION
+        request = live.get(request_id)
+        if request is None:
             return
-        found.ends.append(outcome)
-        if not answered:
+        request.outcomes.append(outcome)
+        if not is_answered:
             return
-        del live[ident]
-        worth, aim = self.kinds.get(found.kind, (1.0, 1))
-        slot = self.slots[found.at // self._step]
-        spent = (at - found.at) / max(aim, 1)
-        slot.spent.append(spent)
-        if outcome == "delivered" and spent <= 1.0:
-            slot.in_time += worth
-            self.by_kind[found.kind][1] += worth
-            slot.served_by[server] += 1
+        del live[request_id]
+        value, objective_us = self.classes.get(request.request_class, (1.0, 1))
+        interval = self.intervals[request.at // self.step_us]
+        latency_ratio = (at - request.at) / max(objective_us, 1)
+        interval.latency_ratios.append(latency_ratio)
+        if outcome == "delivered" and latency_ratio <= 1.0:
+            interval.in_time += value
+            self.by_class[request.request_class][1] += value
+            interval.served_by[server] += 1
         else:
-            slot.causes["late" if outcome == "delivered" else f"answered {outcome}"] += 1
+            interval.causes["late" if outcome == "delivered" else f"answered {outcome}"] += 1
 
-    def _answered(self, live: dict[int, Try], slot: Slot, what: str, rest: list[Any]) -> None:
-        found = live.pop(rest[0], None)
-        if found is None:
+    def _request_ended(
+        self, live: dict[int, TracedRequest], interval: Interval, event: str, fields: list[Any]
+    ) -> None:
+        request = live.pop(fields[0], None)
+        if request is None:
             return
-        cause = {"refuse": "refused", "fail": "failed", "gone": "client left"}[what]
-        if not found.sent:
+        cause = FINAL_CAUSES[event]
+        if not request.attempts:
             cause += ", nothing sent"
-        elif found.ends:
-            cause += f" after {found.ends[-1]}"
+        elif request.outcomes:
+            cause += f" after {request.outcomes[-1]}"
         else:
             cause += ", attempt out"
-        self.slots[found.at // self._step].causes[cause] += 1
-        for name, value in (rest[1] if len(rest) > 1 else {}).items():
+        self.intervals[request.at // self.step_us].causes[cause] += 1
+        for name, value in (fields[1] if len(fields) > 1 else {}).items():
             if value is not None:
-                slot.beliefs[name].append(value)
+                interval.estimates[name].append(value)
 
-    def _cut_off(self, live: dict[int, Try]) -> None:
-        """The sidecar ended with these: it was killed, or the day was over."""
-        for found in live.values():
-            self.slots[found.at // self._step].causes["sidecar ended"] += 1
+    def _sidecar_ended(self, live: dict[int, TracedRequest]) -> None:
+        """Count the requests that were live when the sidecar was killed, or when its log ended."""
+        for request in live.values():
+            self.intervals[request.at // self.step_us].causes["sidecar ended"] += 1
         live.clear()
 
 
-def lines(path: Path) -> Iterator[list[Any]]:
-    """The traced lines of a log, in order; what is cut short at its end is passed over."""
+def trace_lines(path: Path) -> Iterator[list[Any]]:
+    """Yield the traced lines of a log, in order; a line that is cut short is left out."""
     with path.open(encoding="utf-8", errors="replace") as file:
         for line in file:
             _, mark, text = line.partition(MARK + "[")
@@ -169,81 +179,92 @@
                     continue
 
 
-def show(account: Account) -> None:
-    slots = [(at, slot) for at, slot in sorted(account.slots.items()) if slot.tries or slot.counts]
-    if not slots:
+def print_account(account: FleetAccount) -> None:
+    """Print a line for each interval, then the totals; exit if there is no trace."""
+    intervals = [
+        (at, interval)
+        for at, interval in sorted(account.intervals.items())
+        if interval.requests or interval.counts
+    ]
+    if not intervals:
         sys.exit("no traced lines: is [trace] on in the operator file?")
-    whole = sum(slot.offered for _, slot in slots) or 1.0
-    first = next((at for at, slot in slots if slot.tries), slots[0][0])
-    causes: Counter[str] = Counter()
-    counts: Counter[str] = Counter()
-    print(f"{account.sidecars} sidecars, {account.lives} lives; lost, in 100 parts of what was asked for")
+    offered = sum(interval.offered for _, interval in intervals) or 1.0
+    first = next((at for at, interval in intervals if interval.requests), intervals[0][0])
+    print(f"{account.sidecars} sidecars, {account.starts} starts; lost, in percent of the value offered")
     print(
-        f"{'s':>5} {'tries':>6} {'firsts':>6} {'lost':>6} {'refused':>8} {'late':>5} {'else':>5} {'median':>7}"
-        f" {'dials':>6} {'probes':>6} {'tells':>6} {'lists':>6} {'resent':>6}  beliefs on refusing (medians)"
+        f"{'s':>5} {'reqs':>6} {'firsts':>6} {'lost':>6} {'rejected':>8} {'late':>5} {'else':>5} {'median':>7}"
+        f" {'dials':>6} {'probes':>6} {'tells':>6} {'lists':>6} {'resent':>6}  estimates at rejections (medians)"
     )
-    for at, slot in slots:
-        causes += slot.causes
-        counts += slot.counts
-        refused, late = slot.causes["refused, nothing sent"], slot.causes["late"]
-        beliefs = " ".join(
-            f"{name} {median(slot.beliefs[name]):.2f}" for name in BELIEFS if slot.beliefs.get(name)
-        )
-        print(
-            f"{(at - first) * account._step / S:5.1f} {slot.tries:6} {slot.firsts:6}"
-            f" {100 * (slot.offered - slot.in_time) / whole:6.2f} {refused:8} {late:5}"
-            f" {sum(slot.causes.values()) - refused - late:5}"
-            f" {median(slot.spent) if slot.spent else 0.0:7.2f}"
-            + "".join(f" {slot.counts[name]:6}" for name in COUNTED)
-            + f"  {beliefs}"
-        )
-    lost = sum(slot.offered - slot.in_time for _, slot in slots)
-    print(
-        f"all: lost {100 * lost / whole:.2f} of 100; by class: "
-        + ", ".join(
-            f"{kind} {100 * (1 - got / max(asked, 1e-9)):.1f}% of its own"
-            for kind, (asked, got) in sorted(account.by_kind.items())
-        )
+    for at, interval in intervals:
+        print(f"{(at - first) * account.step_us / US_PER_S:5.1f} {_format_interval(interval, offered)}")
+    _print_totals(account, [interval for _, interval in intervals], offered)
+
+
+def _format_interval(interval: Interval, offered: float) -> str:
+    """Return the columns of an interval; `offered`: the value of all first requests of the run."""
+    rejected, late = interval.causes["refused, nothing sent"], interval.causes["late"]
+    others = sum(interval.causes.values()) - rejected - late
+    lost_percent = 100 * (interval.offered - interval.in_time) / offered
+    latency = median(interval.latency_ratios) if interval.latency_ratios else 0.0
+    counts = "".join(f" {interval.counts[name]:6}" for name in COUNTED_EVENTS)
+    estimates = " ".join(
+        f"{name} {median(interval.estimates[name]):.2f}" for name in ESTIMATES if interval.estimates.get(name)
     )
-    tries = sum(slot.tries for _, slot in slots)
-    print(
-        f"tries that did not come in time, of {tries}: "
-        + ", ".join(f"{name} {n}" for name, n in causes.most_common())
+    return (
+        f"{interval.requests:6} {interval.first_requests:6} {lost_percent:6.2f} {rejected:8} {late:5} {others:5}"
+        f" {latency:7.2f}{counts}  {estimates}"
     )
-    firsts = sum(slot.firsts for _, slot in slots)
-    print(
-        "for each 1,000 first tries: "
-        + ", ".join(f"{name} {1000 * counts[name] / max(firsts, 1):.1f}" for name in COUNTED)
+
+
+def _print_totals(account: FleetAccount, intervals: list[Interval], offered: float) -> None:
+    causes: Counter[str] = Counter()
+    counts: Counter[str] = Counter()
+    for interval in intervals:
+        causes += interval.causes
+        counts += interval.counts
+    lost = sum(interval.offered - interval.in_time for interval in intervals)
+    by_class = ", ".join(
+        f"{name} {100 * (1 - in_time / max(class_offered, 1e-9)):.1f}% of its own"
+        for name, (class_offered, in_time) in sorted(account.by_class.items())
     )
+    print(f"all: lost {100 * lost / offered:.2f} percent; by class: {by_class}")
+    requests = sum(interval.requests for interval in intervals)
+    by_cause = ", ".join(f"{name} {count}" for name, count in causes.most_common())
+    print(f"requests not answered in time, of {requests}: {by_cause}")
+    first_requests = max(sum(interval.first_requests for interval in intervals), 1)
+    rates = ", ".join(f"{name} {1000 * counts[name] / first_requests:.1f}" for name in COUNTED_EVENTS)
+    print(f"for each 1,000 first requests: {rates}")
     if account.dropped:
-        print(f"{account.dropped} lines went beyond the trace's bound: all figures are too small")
+        print(f"{account.dropped} lines were beyond the trace's limit: all figures are too small")
 
 
-def show_servers(account: Account) -> None:
-    """What servers answered in time, by whether they were ever cold."""
+def print_servers(account: FleetAccount) -> None:
+    """Print what servers answered in time, by whether they were ever cold."""
     print(f"{'s':>5} {'warm':>5} {'a server':>9} {'cold':>5} {'a server':>9}")
-    slots = sorted(account.slots.items())
-    for at, slot in slots:
-        once_cold = [n for name, n in slot.served_by.items() if name in account.cold]
-        never = [n for name, n in slot.served_by.items() if name not in account.cold]
+    intervals = sorted(account.intervals.items())
+    for at, interval in intervals:
+        cold = [count for name, count in interval.served_by.items() if name in account.cold]
+        warm = [count for name, count in interval.served_by.items() if name not in account.cold]
         print(
-            f"{(at - slots[0][0]) * account._step / S:5.1f} {len(never):5} {sum(never) / max(len(never), 1):9.1f}"
-            f" {len(once_cold):5} {sum(once_cold) / max(len(once_cold), 1):9.1f}"
+            f"{(at - intervals[0][0]) * account.step_us / US_PER_S:5.1f}"
+            f" {len(warm):5} {sum(warm) / max(len(warm), 1):9.1f}"
+            f" {len(cold):5} {sum(cold) / max(len(cold), 1):9.1f}"
         )
 
 
 def main() -> int:
+    """Parse the command line, read the logs and print the account."""
     parser = argparse.ArgumentParser(prog="benchmarks.fleet_account", description=__doc__)
     parser.add_argument("logs", type=Path)
     parser.add_argument("--step", type=float, default=1.0, help="seconds of a line")
     parser.add_argument("--servers", action="store_true", help="what cold and warm servers answered")
-    given = parser.parse_args()
-    account = Account(given.step)
-    for path in sorted(given.logs.glob("*.log")):
+    options = parser.parse_args()
+    account = FleetAccount(options.step)
+    for path in sorted(options.logs.glob("*.log")):
         account.read(path)
-    show(account)
-    if given.servers:
-        show_servers(account)
+    print_account(account)
+    if options.servers:
+        print_servers(account)
     return 0
 
 
--- a/benchmarks/forward_cost.py
+++ b/benchmarks/forward_cost.py
@@ -1,11 +1,11 @@
-"""What a request costs the sidecar in CPU, for the four pairs of protocols, beside a bare asyncio forwarder.
+"""The CPU that a request costs the sidecar, for the four pairs of protocols, beside a bare asyncio forwarder.
 
     .venv/bin/python -m benchmarks.forward_cost [--seconds 5] [--rounds 3] [--before DIR]
 
-Each round plays every case once, so that a slow spell of the machine falls on all; a case's figure is its median.
+Each round measures every case once, so that a slow phase of the machine affects all; a case's figure is its median.
 `--before DIR` adds HTTP to HTTP by the program of another checkout (with its own .venv or this one's).  Programs run as
-they are deployed, from the compiled copy where there is one; one case runs this one's sources as they are.  The load is
-closed: 32 requests out at any time, from one process; six nodes answer at once from another.
+they are deployed, from the compiled copy if there is one; one case runs this checkout's sources.  The load is closed:
+32 requests in flight at any time, from one process; six backends answer at once from another.
 """
 
 from __future__ import annotations
@@ -26,18 +26,20 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.load import Bare, HttpNode, Load, RpcNode, cpu_s
+from benchmarks.load import BareForwarder, HttpBackend, Load, RpcBackend, cpu_s
 from testbed.registry import Registry
 from testbed.wire import HTTP, MSGPACK_RPC, Address, format_address
 
 ROOT = Path(__file__).parent.parent
-NODES = 6
-OUT = 32  # requests out at any time
-WARM_S = 1.5
-BARE, BEFORE = "bare asyncio forwarder", "http to http, before"
-PLAIN = "http to http, not compiled"
-WIDTHS = (18, 16, 12, 9, 8, 6)  # of the report's columns
-LANES = [
+BACKENDS = 6
+REQUESTS_IN_FLIGHT = 32
+RPC_CONNECTIONS = 4
+WARMUP_S = 1.5
+BARE_FORWARDER = "bare asyncio forwarder"
+HTTP_BEFORE = "http to http, before"
+HTTP_NOT_COMPILED = "http to http, not compiled"
+COLUMN_WIDTHS = (18, 16, 12, 9, 8, 6)  # of the report's columns, characters
+REQUEST_CLASSES = [
     {"name": "look", "giveUpUs": 2_000_000, "promiseUs": 500_000, "repeat": "read_like", "group": "all"},
     {"name": "pay", "giveUpUs": 2_000_000, "promiseUs": 500_000, "repeat": "non_idempotent", "worth": 10},
     {
@@ -50,7 +52,7 @@
     },
 ]
 SETTINGS: dict[str, Any] = {
-    "lanes": LANES,
+    "lanes": REQUEST_CLASSES,
     "bounds": {"sendCap": 3, "mayCancel": True, "idleCloseUs": 15_000_000, "dialTimeoutUs": 250_000},
     "discovery": "on_request",
     "zone": "a",
@@ -59,44 +61,52 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
+    """A program under a load."""
+
     name: str
-    client: str
-    nodes: str
-    root: Path | None  # whose program; None: the bare forwarder
-    compiled: bool = True  # where there is a compiled copy
+    client_protocol: str
+    backend_protocol: str
+    root: Path | None  # the program's checkout; None: the bare forwarder
+    compiled: bool = True  # if there is a compiled copy
 
 
 @dataclass(frozen=True, slots=True)
-class Figure:
+class Measurement:
+    """One case in one round."""
+
     cpu_us: float  # of the sidecar, for each request that was answered 200
-    served_s: float  # in a second
-    refused: int
+    served_per_s: float
+    rejected: int
     failed: int
-    memory_mb: float  # resident, the most
+    memory_mb: float  # resident, maximum
 
 
 def free_port() -> int:
+    """Return a port that is free now."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         return int(sock.getsockname()[1])
 
 
-def serve_nodes(protocol: str, out: Any) -> None:
-    """In a process of its own: nodes that answer at once; their ports go to `out`."""
+def serve_backends(protocol: str, out: Any) -> None:
+    """Serve backends that answer at once, in a process of their own; write their ports to `out`."""
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        make = HttpNode if protocol == HTTP else RpcNode
-        servers = [await loop.create_server(make, "127.0.0.1", 0, backlog=512) for _ in range(NODES)]
-        print(json.dumps([each.sockets[0].getsockname()[1] for each in servers]), file=out, flush=True)
+        make = HttpBackend if protocol == HTTP else RpcBackend
+        servers = [await loop.create_server(make, "127.0.0.1", 0, backlog=512) for _ in range(BACKENDS)]
+        ports = [server.sockets[0].getsockname()[1] for server in servers]
+        print(json.dumps(ports), file=out, flush=True)
         await asyncio.Event().wait()
 
     asyncio.run(run())
 
 
-def serve_bare(port: int, node: int) -> None:
+def serve_bare_forwarder(port: int, backend_port: int) -> None:
+    """Serve the bare forwarder, in a process of its own."""
+
     async def run() -> None:
         server = await asyncio.get_running_loop().create_server(
-            lambda: Bare(("127.0.0.1", node)), "127.0.0.1", port, backlog=512
+            lambda: BareForwarder(("127.0.0.1", backend_port)), "127.0.0.1", port, backlog=512
         )
         await server.serve_forever()
 
@@ -104,8 +114,9 @@
 
 
 @contextlib.contextmanager
-def process(*command: str, cwd: Path = ROOT, **given: Any) -> Iterator[subprocess.Popen[str]]:
-    started = subprocess.Popen(command, cwd=cwd, text=True, stderr=subprocess.DEVNULL, **given)
+def process(*command: str, cwd: Path = ROOT, **options: Any) -> Iterator[subprocess.Popen[str]]:
+    """Run a process until the block ends."""
+    started = subprocess.Popen(command, cwd=cwd, text=True, stderr=subprocess.DEVNULL, **options)
     try:
         yield started
     finally:
@@ -114,41 +125,65 @@
 
 
 @contextlib.contextmanager
-def program(case: Case, ports: list[int], discovery: Address, folder: Path) -> Iterator[tuple[int, Address]]:
-    """The forwarder under test: its process id and where it listens."""
+def run_program(
+    case: Case, ports: list[int], discovery: Address, folder: Path
+) -> Iterator[tuple[int, Address]]:
+    """Run the forwarder under test; give its process id and where it listens."""
     listen = ("127.0.0.1", free_port())
     if case.root is None:
         command = [sys.executable, "-m", "benchmarks.forward_cost", "--bare", str(listen[1]), str(ports[0])]
         with process(*command) as started:
             yield started.pid, listen
         return
-    lines = [
-        {"name": f"s-{number}", "address": f"127.0.0.1:{port}", "zone": "a", "type": "m", "group": 1}
-        | {"status": "active", "weight": 1.0, "since_ms": 0, "protocol": case.nodes}
+    path = folder / "config.json"
+    path.write_text(json.dumps(deployment(case, ports, listen, discovery)), encoding="utf-8")
+    command, environment = program_command(case, case.root)
+    with process(*command, cwd=case.root, env=environment | {"RELAY_CONFIG": str(path)}) as started:
+        yield started.pid, listen
+
+
+def deployment(case: Case, ports: list[int], listen: Address, discovery: Address) -> dict[str, Any]:
+    """Return the configuration of the program under test, with the backends at these ports."""
+    entries = [
+        {
+            "name": f"s-{number}",
+            "address": f"127.0.0.1:{port}",
+            "zone": "a",
+            "type": "m",
+            "group": 1,
+            "status": "active",
+            "weight": 1.0,
+            "since_ms": 0,
+            "protocol": case.backend_protocol,
+        }
         for number, port in enumerate(ports)
     ]
-    config = {
+    return {
         "listen": format_address(listen),
         "discovery": format_address(discovery),
         "seed": "8c1f",
         "settings": SETTINGS,
+        "known": {"index": 1, "snapshot": True, "endpoints": entries},
+        "limits": {"sockets": 1024},
     }
-    config |= {"known": {"index": 1, "snapshot": True, "endpoints": lines}, "limits": {"sockets": 1024}}
-    path = folder / "config.json"
-    path.write_text(json.dumps(config), encoding="utf-8")
-    python, compiled = case.root / ".venv" / "bin" / "python", case.root / ".venv" / "compiled"
+
+
+def program_command(case: Case, root: Path) -> tuple[list[str], dict[str, str]]:
+    """Return the command and the environment of the program of a checkout."""
+    python, compiled = root / ".venv" / "bin" / "python", root / ".venv" / "compiled"
     command = [str(python) if python.exists() else sys.executable]
-    env = {**os.environ, "RELAY_CONFIG": str(path)}
+    environment = dict(os.environ)
     if case.compiled and (compiled / "stamp").exists():
-        command, env = [*command, "-P"], env | {"PYTHONPATH": str(compiled)}
+        command.append("-P")
+        environment["PYTHONPATH"] = str(compiled)
     command += ["-m", "topazbank"]
-    if (case.root / "deploy" / "operator.toml").exists():
+    if (root / "deploy" / "operator.toml").exists():
         command += ["--operator", "deploy/operator.toml"]
-    with process(*command, cwd=case.root, env=env) as started:
-        yield started.pid, listen
+    return command, environment
 
 
-async def until_up(address: Address) -> None:
+async def wait_until_listening(address: Address) -> None:
+    """Wait until a connection comes up; raise TimeoutError after 20 s."""
     async with asyncio.timeout(20.0):
         while True:
             with contextlib.suppress(OSError):
@@ -159,93 +194,103 @@
 
 
 def memory_mb(pid: int) -> float:
+    """Return the maximum of a process's resident memory."""
     with open(f"/proc/{pid}/status", encoding="ascii") as file:
         return int(next(line for line in file if line.startswith("VmHWM")).split()[1]) / 1024
 
 
-async def measure(case: Case, ports: dict[str, list[int]], seconds: float, folder: Path) -> Figure:
+async def measure(case: Case, ports: dict[str, list[int]], seconds: float, folder: Path) -> Measurement:
+    """Measure a case for so long after it has warmed up."""
     registry = Registry()
     registry.index = 1
     await registry.start()
-    with program(case, ports[case.nodes], registry.address, folder) as (pid, listen):
-        await until_up(listen)
-        rpc = case.client == MSGPACK_RPC
-        load = Load(case.client, listen, 4 if rpc else OUT, OUT // 4 if rpc else 1)
+    with run_program(case, ports[case.backend_protocol], registry.address, folder) as (pid, listen):
+        await wait_until_listening(listen)
+        if case.client_protocol == MSGPACK_RPC:
+            load = Load(case.client_protocol, listen, RPC_CONNECTIONS, REQUESTS_IN_FLIGHT // RPC_CONNECTIONS)
+        else:
+            load = Load(case.client_protocol, listen, REQUESTS_IN_FLIGHT, 1)
         await load.start()
-        await asyncio.sleep(WARM_S)
-        load.got.clear()
-        began, cpu = asyncio.get_running_loop().time(), cpu_s(pid)
+        await asyncio.sleep(WARMUP_S)
+        load.statuses.clear()
+        started_at, cpu_before_s = asyncio.get_running_loop().time(), cpu_s(pid)
         await asyncio.sleep(seconds)
-        spent, took = cpu_s(pid) - cpu, asyncio.get_running_loop().time() - began
-        got = dict(load.got)
+        cpu_used_s, took_s = cpu_s(pid) - cpu_before_s, asyncio.get_running_loop().time() - started_at
+        statuses = dict(load.statuses)
         load.running = False
         memory = memory_mb(pid)
     registry.stop()
-    served, refused = got.get(200, 0), got.get(503, 0)
-    return Figure(
-        1e6 * spent / max(served, 1), served / took, refused, sum(got.values()) - served - refused, memory
-    )
+    served, rejected = statuses.get(200, 0), statuses.get(503, 0)
+    failed = sum(statuses.values()) - served - rejected
+    return Measurement(1e6 * cpu_used_s / max(served, 1), served / took_s, rejected, failed, memory)
 
 
-def cases(before: Path | None) -> list[Case]:
-    made = [Case(BARE, HTTP, HTTP, None)]
+def all_cases(before: Path | None) -> list[Case]:
+    """Return the cases; `before`: another checkout."""
+    cases = [Case(BARE_FORWARDER, HTTP, HTTP, None)]
     if before is not None:
-        made.append(Case(BEFORE, HTTP, HTTP, before))
-    made.append(Case(PLAIN, HTTP, HTTP, ROOT, compiled=False))
+        cases.append(Case(HTTP_BEFORE, HTTP, HTTP, before))
+    cases.append(Case(HTTP_NOT_COMPILED, HTTP, HTTP, ROOT, compiled=False))
     for client in (HTTP, MSGPACK_RPC):
-        made += [Case(f"{client} to {nodes}", client, nodes, ROOT) for nodes in (HTTP, MSGPACK_RPC)]
-    return made
+        cases += [Case(f"{client} to {backend}", client, backend, ROOT) for backend in (HTTP, MSGPACK_RPC)]
+    return cases
 
 
-async def run(given: argparse.Namespace) -> None:
-    all_cases = [each for each in cases(given.before) if not given.only or given.only in each.name]
-    figures: dict[str, list[Figure]] = {each.name: [] for each in all_cases}
+async def run(options: argparse.Namespace) -> None:
+    """Measure all cases in rounds and print the report."""
+    cases = [case for case in all_cases(options.before) if not options.only or options.only in case.name]
+    measurements: dict[str, list[Measurement]] = {case.name: [] for case in cases}
     with contextlib.ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         ports = {}
         for protocol in (HTTP, MSGPACK_RPC):
             command = [sys.executable, "-m", "benchmarks.forward_cost", "--nodes", protocol]
-            nodes = stack.enter_context(process(*command, stdout=subprocess.PIPE))
-            assert nodes.stdout is not None
-            ports[protocol] = json.loads(nodes.stdout.readline())
-        for number in range(given.rounds):
-            for case in all_cases:
-                print(f"round {number + 1} of {given.rounds}: {case.name} ...", file=sys.stderr, flush=True)
-                figures[case.name].append(await measure(case, ports, given.seconds, folder))
-    report(figures, given)
-
-
-def report(figures: dict[str, list[Figure]], given: argparse.Namespace) -> None:
-    def median(name: str, what: str) -> float:
-        return float(statistics.median(getattr(each, what) for each in figures[name]))
-
-    print(f"{OUT} requests out, {NODES} nodes, medians of {given.rounds} rounds of {given.seconds:g} s")
+            backends = stack.enter_context(process(*command, stdout=subprocess.PIPE))
+            assert backends.stdout is not None
+            ports[protocol] = json.loads(backends.stdout.readline())
+        for number in range(options.rounds):
+            for case in cases:
+                print(f"round {number + 1} of {options.rounds}: {case.name} ...", file=sys.stderr, flush=True)
+                measurements[case.name].append(await measure(case, ports, options.seconds, folder))
+    print_report(measurements, options)
+
+
+def print_report(measurements: dict[str, list[Measurement]], options: argparse.Namespace) -> None:
+    """Print the medians of each case, and the ratios that are compared."""
     print(
-        f"{'':<28}{'CPU µs a request':>17}{'(least to most)':>18}{'served a s':>12}{'refused':>9}{'failed':>8}{'MB':>6}"
+        f"{REQUESTS_IN_FLIGHT} requests in flight, {BACKENDS} backends, "
+        f"medians of {options.rounds} rounds of {options.seconds:g} s"
     )
-    for name, each in figures.items():
-        spread = [one.cpu_us for one in each]
-        refused, failed = sum(one.refused for one in each), sum(one.failed for one in each)
-        between = f"{min(spread):.0f} to {max(spread):.0f}"
+    titles = ("CPU µs a request", "(min to max)", "served a s", "rejected", "failed", "MB")
+    print(f"{'':<28}" + _format_columns(titles))
+    for name, rounds in measurements.items():
+        cpu_us = [measurement.cpu_us for measurement in rounds]
         columns = (
-            f"{median(name, 'cpu_us'):.0f}",
-            between,
-            f"{median(name, 'served_s'):.0f}",
-            f"{refused}",
-            f"{failed}",
-            f"{median(name, 'memory_mb'):.0f}",
+            f"{statistics.median(cpu_us):.0f}",
+            f"{min(cpu_us):.0f} to {max(cpu_us):.0f}",
+            f"{statistics.median(measurement.served_per_s for measurement in rounds):.0f}",
+            f"{sum(measurement.rejected for measurement in rounds)}",
+            f"{sum(measurement.failed for measurement in rounds)}",
+            f"{statistics.median(measurement.memory_mb for measurement in rounds):.0f}",
         )
-        print(
-            f"{name:<28}" + "".join(f"{text:>{width}}" for text, width in zip(columns, WIDTHS, strict=True))
-        )
-    http = "http to http"
-    pairs = ((http, BARE), (http, PLAIN), (http, BEFORE), ("msgpack-rpc to msgpack-rpc", http))
-    for over, under in pairs:
-        if over in figures and under in figures:
-            print(f"{over} / {under}: {median(over, 'cpu_us') / median(under, 'cpu_us'):.2f}")
+        print(f"{name:<28}" + _format_columns(columns))
+    http, rpc = "http to http", "msgpack-rpc to msgpack-rpc"
+    for name, base in ((http, BARE_FORWARDER), (http, HTTP_NOT_COMPILED), (http, HTTP_BEFORE), (rpc, http)):
+        if name in measurements and base in measurements:
+            ratio = _median_cpu_us(measurements[name]) / _median_cpu_us(measurements[base])
+            print(f"{name} / {base}: {ratio:.2f}")
+
+
+def _format_columns(columns: tuple[str, ...]) -> str:
+    return "".join(f"{text:>{width}}" for text, width in zip(columns, COLUMN_WIDTHS, strict=True))
+
+
+def _median_cpu_us(rounds: list[Measurement]) -> float:
+    return statistics.median(measurement.cpu_us for measurement in rounds)
 
 
 def main() -> None:
+    """Parse the command line and run the benchmark, or one of its processes."""
     parser = argparse.ArgumentParser(prog="benchmarks.forward_cost", description=__doc__)
     parser.add_argument("--seconds", type=float, default=5.0, help="that each case is measured in a round")
     parser.add_argument("--rounds", type=int, default=3)
@@ -253,13 +298,13 @@
     parser.add_argument("--only", metavar="TEXT", help="only the cases with this in their name")
     parser.add_argument("--nodes", choices=(HTTP, MSGPACK_RPC), help=argparse.SUPPRESS)
     parser.add_argument("--bare", nargs=2, type=int, help=argparse.SUPPRESS)
-    given = parser.parse_args()
-    if given.nodes:
-        serve_nodes(given.nodes, sys.stdout)
-    elif given.bare:
-        serve_bare(*given.bare)
+    options = parser.parse_args()
+    if options.nodes:
+        serve_backends(options.nodes, sys.stdout)
+    elif options.bare:
+        serve_bare_forwarder(*options.bare)
     else:
-        asyncio.run(run(given))
+        asyncio.run(run(options))
 
 
 if __name__ == "__main__":
--- a/benchmarks/list_hold.py
+++ b/benchmarks/list_hold.py
@@ -1,9 +1,9 @@
-"""How long the event loop is held by one changed entry and by a whole list, at several sizes of fleet.
+"""How long one changed entry and a snapshot of the endpoint list block the event loop, at several sizes of fleet.
 
     .venv/bin/python -m benchmarks.list_hold [--sizes 15 1000 5000]
 
-Each part on the way from the ensemble's word to the decision module is timed alone, and the sidecar's own part as it
-runs: the longest turn of the loop counts, since that is what a request waits for.
+Each part between the ensemble's response and the decision module is timed alone, and the sidecar's own part as it runs:
+the longest turn of the loop counts, since that is what a request waits for.
 """
 
 from __future__ import annotations
@@ -31,10 +31,11 @@
 from topazbank.wiring import wire
 
 ROUNDS = 40  # of one change; the median is given
-WHOLE_ROUNDS = 5
+SNAPSHOT_ROUNDS = 5  # of a snapshot; the median is given
 
 
-def lines(size: int, state: ServerState = ServerState.READY) -> list[DiscoveredServer]:
+def discovered_servers(size: int, state: ServerState = ServerState.READY) -> list[DiscoveredServer]:
+    """Return so many servers of an endpoint list."""
     return [
         DiscoveredServer(
             ServerDescription(f"n-{number:05}", "a", "m", number % 7, state, 1.0, 1_000_000 + number),
@@ -45,42 +46,46 @@
 
 
 def median_ms(work: Callable[[int], object], rounds: int) -> float:
+    """Return the median time of some work, which gets the number of the round."""
     times = []
     for number in range(rounds):
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         work(number)
-        times.append(time.perf_counter() - began)
+        times.append(time.perf_counter() - started_at)
     return sorted(times)[rounds // 2] * 1e3
 
 
-def decision_module(size: int) -> tuple[float, float]:
-    """One change and a whole list, given at once."""
+def measure_decision_module(size: int) -> tuple[float, float]:
+    """Return the times of one change and of a snapshot in the decision module, in ms."""
     settings = settings_from_wire(SETTINGS)
-    whole = [line.server for line in lines(size)]
-    made = [Balancer(settings, number) for number in range(WHOLE_ROUNDS)]
-    all_at_once = median_ms(
-        lambda number: made[number].handle(1, EndpointsUpdated(UpdateKind.SNAPSHOT, whole, 1)), WHOLE_ROUNDS
+    servers = [entry.server for entry in discovered_servers(size)]
+    balancers = [Balancer(settings, number) for number in range(SNAPSHOT_ROUNDS)]
+    snapshot_ms = median_ms(
+        lambda number: balancers[number].handle(1, EndpointsUpdated(UpdateKind.SNAPSHOT, servers, 1)),
+        SNAPSHOT_ROUNDS,
     )
     states = (ServerState.DRAINING, ServerState.READY)
 
     def change(number: int) -> None:
-        line = lines_of_one(whole[size // 2], states[number % 2])
-        made[0].handle(2 + number, EndpointsUpdated(UpdateKind.DELTA, [line], 2))
+        server = with_state(servers[size // 2], states[number % 2])
+        balancers[0].handle(2 + number, EndpointsUpdated(UpdateKind.DELTA, [server], 2))
 
-    return median_ms(change, ROUNDS), all_at_once
+    return median_ms(change, ROUNDS), snapshot_ms
 
 
-def lines_of_one(server: ServerDescription, state: ServerState) -> ServerDescription:
+def with_state(server: ServerDescription, state: ServerState) -> ServerDescription:
+    """Return a server in another state."""
     return ServerDescription(
         server.name, server.zone, server.kind, server.cell, state, server.nominal_capacity, server.started_at
     )
 
 
-def settled(made: Sidecar) -> bool:
-    return not made.endpoint_watcher.updates.has_pending()
+def is_settled(sidecar: Sidecar) -> bool:
+    """Whether a sidecar has applied all updates."""
+    return not sidecar.endpoint_watcher.updates.has_pending()
 
 
-class Turns:
+class LoopTurns:
     """Times each turn of a loop, from when its callbacks begin to when they have run."""
 
     def __init__(self) -> None:
@@ -88,6 +93,7 @@
         self.count = 0
 
     async def until(self, condition: Callable[[], bool]) -> None:
+        """Time turns until a condition holds."""
         last = time.perf_counter()
         while True:
             await asyncio.sleep(0)
@@ -99,42 +105,37 @@
                 return
 
 
-async def sidecar(size: int) -> tuple[float, float, int]:
-    """One change and a whole list of new nodes as the sidecar takes them: the longest hold, and its steps."""
+async def measure_sidecar(size: int) -> tuple[float, float, int]:
+    """Return the time of one change and the longest turn of a snapshot, in ms, and the snapshot's number of turns."""
     config = SidecarConfig(
         ("127.0.0.1", 0), ("127.0.0.1", 9), 1, 512, settings_from_wire(SETTINGS), EndpointList(0, True, [])
     )
-    whole = lines(size)
-    holds, steps = [], 0
-    for _ in range(WHOLE_ROUNDS):
-        made = Sidecar(config, wire(OperatorConfig()))
-        made.endpoint_watcher.source.stop()  # nobody answers there
-        turns = Turns()
-        began = time.perf_counter()
-        made.endpoint_watcher.receive(EndpointList(1, True, whole))
-        turns.longest_s = time.perf_counter() - began
-        await turns.until(partial(settled, made))
-        holds.append(turns.longest_s)
-        steps = turns.count
+    entries = discovered_servers(size)
+    longest_s, turn_count = [], 0
+    for _ in range(SNAPSHOT_ROUNDS):
+        sidecar = Sidecar(config, wire(OperatorConfig()))
+        sidecar.endpoint_watcher.source.stop()  # there is no registry
+        turns = LoopTurns()
+        started_at = time.perf_counter()
+        sidecar.endpoint_watcher.receive(EndpointList(1, True, entries))
+        turns.longest_s = time.perf_counter() - started_at
+        await turns.until(partial(is_settled, sidecar))
+        longest_s.append(turns.longest_s)
+        turn_count = turns.count
     states = (ServerState.DRAINING, ServerState.READY)
 
     def change(number: int) -> None:
-        line = whole[size // 2]
-        made.endpoint_watcher.receive(
-            EndpointList(
-                2,
-                False,
-                [DiscoveredServer(lines_of_one(line.server, states[number % 2]), line.address, "http")],
-            )
-        )
+        entry = entries[size // 2]
+        changed = DiscoveredServer(with_state(entry.server, states[number % 2]), entry.address, "http")
+        sidecar.endpoint_watcher.receive(EndpointList(2, False, [changed]))
 
     for task in asyncio.all_tasks() - {asyncio.current_task()}:
         task.cancel()
-    return median_ms(change, ROUNDS), sorted(holds)[WHOLE_ROUNDS // 2] * 1e3, steps
+    return median_ms(change, ROUNDS), sorted(longest_s)[SNAPSHOT_ROUNDS // 2] * 1e3, turn_count
 
 
-def registration_view(size: int) -> tuple[float, float]:
-    """One node's new data, and the names read again, in the view of an ensemble's registrations."""
+def measure_registration_view(size: int) -> tuple[float, float]:
+    """Return the times of one server's new data and of all names read again, in the view of an ensemble, in ms."""
     view = RegistrationView()
     names = [f"n-{number:05}" for number in range(size)]
     view.names_listed(0.0, names, 1)
@@ -154,56 +155,59 @@
     def list_names(number: int) -> None:
         view.names_listed(0.0, names, 2 + number)
 
-    return median_ms(change_node, ROUNDS), median_ms(list_names, WHOLE_ROUNDS)
+    return median_ms(change_node, ROUNDS), median_ms(list_names, SNAPSHOT_ROUNDS)
 
 
-def merge(size: int) -> tuple[float, float]:
-    """One change and one step of a snapshot, with two sources."""
+def measure_merge(size: int) -> tuple[float, float]:
+    """Return the times of one change and of one step of a snapshot in the merge of two sources, in ms."""
     merger = SourceMerger(["zookeeper", "registry"])
-    ready = lines(size)
-    draining = lines(min(size, BATCH_SIZE), ServerState.DRAINING)
+    ready = discovered_servers(size)
+    draining = discovered_servers(min(size, BATCH_SIZE), ServerState.DRAINING)
     merger.update("zookeeper", EndpointList(1, True, ready))
-    merger.update("registry", EndpointList(1, True, lines(size)))
+    merger.update("registry", EndpointList(1, True, discovered_servers(size)))
     states = (ServerState.DRAINING, ServerState.READY)
 
     def change_node(number: int) -> None:
-        line = ready[size // 2]
-        server = lines_of_one(line.server, states[number % 2])
-        merger.update("zookeeper", EndpointList(2, False, [DiscoveredServer(server, line.address)]))
+        entry = ready[size // 2]
+        server = with_state(entry.server, states[number % 2])
+        merger.update("zookeeper", EndpointList(2, False, [DiscoveredServer(server, entry.address)]))
 
     def step(number: int) -> None:
         merger.update("zookeeper", EndpointList(2, False, ready[:BATCH_SIZE] if number % 2 else draining))
 
-    return median_ms(change_node, ROUNDS), median_ms(step, WHOLE_ROUNDS)
+    return median_ms(change_node, ROUNDS), median_ms(step, SNAPSHOT_ROUNDS)
 
 
-def names_decoded(size: int) -> float:
-    """The names below a path that are decoded in one turn of the event loop."""
+def measure_name_decoding(size: int) -> float:
+    """Return the time to decode the names below a path that one turn of the event loop decodes, in ms."""
     data = zkwire.encode_strings([f"n-{number:05}" for number in range(size)])
 
     def decode(number: int) -> None:
         record = zkwire.RecordReader(data)
         record.read_strings(min(record.read_int(), zkclient._NAMES_PER_TURN))
 
-    return median_ms(decode, WHOLE_ROUNDS)
+    return median_ms(decode, SNAPSHOT_ROUNDS)
 
 
 def main() -> int:
+    """Parse the command line, measure all parts and print the table."""
     parser = argparse.ArgumentParser(prog="benchmarks.list_hold", description=__doc__)
     parser.add_argument("--sizes", type=int, nargs="+", default=[15, 1000, 5000])
     arguments = parser.parse_args()
     rows: list[tuple[str, list[tuple[float, float]]]] = []
-    rows.append(("decision module", [decision_module(each) for each in arguments.sizes]))
-    taken = [asyncio.run(sidecar(each)) for each in arguments.sizes]
-    rows.append(("sidecar (longest turn)", [each[:2] for each in taken]))
-    rows.append(("view (one node / names again)", [registration_view(size) for size in arguments.sizes]))
-    rows.append(("merge of two sources (a turn)", [merge(each) for each in arguments.sizes]))
-    rows.append(("names decoded (a turn)", [(0.0, names_decoded(each)) for each in arguments.sizes]))
-    sizes = "".join(f"{f'{each} nodes':>22}" for each in arguments.sizes)
-    print(f"{'ms: one change / whole list':<32}{sizes}")
+    rows.append(("decision module", [measure_decision_module(size) for size in arguments.sizes]))
+    sidecars = [asyncio.run(measure_sidecar(size)) for size in arguments.sizes]
+    rows.append(("sidecar (longest turn)", [figures[:2] for figures in sidecars]))
+    rows.append(
+        ("view (one node / names again)", [measure_registration_view(size) for size in arguments.sizes])
+    )
+    rows.append(("merge of two sources (a turn)", [measure_merge(size) for size in arguments.sizes]))
+    rows.append(("names decoded (a turn)", [(0.0, measure_name_decoding(size)) for size in arguments.sizes]))
+    sizes = "".join(f"{f'{size} servers':>22}" for size in arguments.sizes)
+    print(f"{'ms: one change / snapshot':<32}{sizes}")
     for name, figures in rows:
-        print(f"{name:<32}" + "".join(f"{one:>13.3f} /{whole:>7.2f}" for one, whole in figures))
-    print("steps of the sidecar's whole list: " + ", ".join(str(each[2]) for each in taken))
+        print(f"{name:<32}" + "".join(f"{change:>13.3f} /{snapshot:>7.2f}" for change, snapshot in figures))
+    print("turns of the sidecar's snapshot: " + ", ".join(str(figures[2]) for figures in sidecars))
     return 0
 
 
--- a/benchmarks/notification_delay.py
+++ b/benchmarks/notification_delay.py
@@ -1,24 +1,25 @@
-"""From a node deleted or leaving in the ensemble to nothing new sent there, over many changes under load.
+"""The time from a backend deleted or draining in the ensemble to the last request sent to it, over many changes.
 
     .venv/bin/python -m benchmarks.notification_delay [--changes 200]
 
-One sidecar in this process, over the stand-in ensemble and nodes that answer at once. A change counts from when the
-ensemble committed it to the last request that reached that node after it.
+One sidecar in this process, under load, with the emulated ensemble and backends that answer at once.  A change counts
+from when the ensemble committed it to the last request that reached that backend.
 """
 
 from __future__ import annotations
 
 import argparse
 import asyncio
+import itertools
 import statistics
 import sys
 from collections import deque
-from typing import Any
+from collections.abc import Callable
 
 from benchmarks.forward_cost import SETTINGS
 from testbed.backend import Backend, BackendServer, RunLog
 from testbed.clients import ClientCall, HttpClient
-from testbed.wire import HTTP, Message, Reply
+from testbed.wire import HTTP, Address, Message, Reply
 from testbed.zookeeper import Ensemble
 from topazbank.balancing.events import ServerState
 from topazbank.core.components import SidecarConfig
@@ -31,117 +32,162 @@
 from topazbank.platform_names import settings_from_wire
 from topazbank.wiring import wire
 
-NODES, CALLERS = 30, 48  # so many that none comes back often enough to be held out as one that flaps
-PATH = "/lodge/nodes"
-WATCH_S = 0.15  # after a change, how long the node is watched for something new; the rule allows 0.5
+BACKENDS, CLIENTS = 30, 48  # so many backends that none returns often enough to count as flapping
+REGISTRATION_PATH = "/lodge/nodes"
+SESSION_S = 20.0
+DELAY_MAX_S = 0.5
+OBSERVATION_S = 0.15  # after a change, for requests that still arrive; 0.5 s are allowed
 
 
-class Noting(Backend):
-    """A node that notes when each request reached it."""
+class RecordingBackend(Backend):
+    """A backend that records when each request reached it."""
 
-    reached: list[float]
+    arrivals: list[float]
 
-    async def serve(self, asked: Message) -> Reply | None:
-        self.reached.append(asyncio.get_running_loop().time())
-        return await super().serve(asked)
+    async def serve(self, request: Message) -> Reply | None:
+        """Record the request, then run it."""
+        self.arrivals.append(asyncio.get_running_loop().time())
+        return await super().serve(request)
 
 
-async def node(number: int) -> tuple[Noting, BackendServer]:
-    lodge = Noting(
-        f"n-{number}", RunLog(), asyncio.get_running_loop().time, slots=64, work=lambda asked: 0.001
+async def start_backend(number: int) -> tuple[RecordingBackend, BackendServer]:
+    """Start a backend."""
+    backend = RecordingBackend(
+        f"n-{number}", RunLog(), asyncio.get_running_loop().time, slots=64, work=lambda request: 0.001
     )
-    lodge.reached = []
-    server = BackendServer(lodge, HTTP)
+    backend.arrivals = []
+    server = BackendServer(backend, HTTP)
     await server.start()
-    return lodge, server
+    return backend, server
 
 
-def registrar(where: EnsembleConfig, server: BackendServer) -> Registrar:
-    registration = Registration(server.address, 1, "m", "a", HTTP, 1.0, server.lodge.name, 0)
-    made = Registrar(where, PATH, server.lodge.name, registration)
-    made.start()
-    return made
+def start_registrar(ensemble: EnsembleConfig, server: BackendServer) -> Registrar:
+    """Register a backend."""
+    registration = Registration(server.address, 1, "m", "a", HTTP, 1.0, server.backend.name, 0)
+    registrar = Registrar(ensemble, REGISTRATION_PATH, server.backend.name, registration)
+    registrar.start()
+    return registrar
 
 
-async def load(target: Any, number: int) -> None:
-    caller = HttpClient(target)
-    count = 0
-    while True:
-        count += 1
-        await caller.call(ClientCall("look", f"{number}-{count}"))
+async def run_client(target: Address, number: int) -> None:
+    """Make one call after the other."""
+    client = HttpClient(target)
+    for count in itertools.count(1):
+        await client.call(ClientCall("look", f"{number}-{count}"))
 
 
-async def until(condition: Any) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
+    """Wait until a condition holds; raise TimeoutError after 20 s."""
     async with asyncio.timeout(20.0):
         while not condition():
             await asyncio.sleep(0.001)
 
 
-async def run(changes: int) -> int:
-    ensemble = Ensemble(3)
-    await ensemble.start()
-    members = ensemble.addresses
-    where = EnsembleConfig(members, 20.0)
-    nodes = [await node(number) for number in range(NODES)]
-    registrars = [registrar(where, server) for _, server in nodes]
-    operator = OperatorConfig(membership=Membership((ZOOKEEPER,), ZooKeeper(members, PATH, "", 20.0)))
-    config = SidecarConfig(
-        ("127.0.0.1", 0), ("127.0.0.1", 9), 1, 512, settings_from_wire(SETTINGS), EndpointList(0, True, [])
-    )
-    sidecar = Sidecar(config, wire(operator))
-    tasks = [asyncio.create_task(sidecar.run(asyncio.Event()))]
-
-    def ready() -> set[str]:
-        servers = sidecar._balancer.servers.by_name.values()
-        return {each.name for each in servers if each.state is ServerState.READY}
-
-    everyone = {lodge.name for lodge, _ in nodes}
-    await until(lambda: ready() == everyone)
-    tasks += [asyncio.create_task(load(sidecar.listener.address, number)) for number in range(CALLERS)]
-    took: dict[str, list[float]] = {"deleted": [], "leaving": []}
-    changed: deque[int] = deque(maxlen=NODES - 6)
-    loop = asyncio.get_running_loop()
-    for change in range(changes):
-        # Take a node that requests go to now: the module draws from a reach that grows with what is in flight.
-        rested = [each for each in range(NODES) if each not in changed]
-        for lodge, _ in nodes:
-            lodge.reached.clear()
-        await until(lambda rested=rested: any(len(nodes[each][0].reached) > 2 for each in rested))
-        index = max(rested, key=lambda each: len(nodes[each][0].reached))
-        changed.append(index)
-        lodge, server = nodes[index]
-        kind = ("deleted", "leaving")[change % 2]
+class Benchmark:
+    """The ensemble, the backends and the sidecar, with clients."""
+
+    def __init__(self) -> None:
+        self.ensemble = Ensemble(3)
+        self.backends: list[tuple[RecordingBackend, BackendServer]] = []
+        self.registrars: list[Registrar] = []
+        self.delays_s: dict[str, list[float]] = {"deleted": [], "leaving": []}  # by kind of change
+        self._changed: deque[int] = deque(maxlen=BACKENDS - 6)  # backends that were changed of late
+        self._tasks: list[asyncio.Task[None]] = []
+
+    async def start(self) -> None:
+        """Start all parts and wait until the sidecar knows all backends."""
+        await self.ensemble.start()
+        members = self.ensemble.addresses
+        self._ensemble_config = EnsembleConfig(members, SESSION_S)
+        self.backends = [await start_backend(number) for number in range(BACKENDS)]
+        self.registrars = [start_registrar(self._ensemble_config, server) for _, server in self.backends]
+        source = ZooKeeper(members, REGISTRATION_PATH, "", SESSION_S)
+        operator = OperatorConfig(membership=Membership((ZOOKEEPER,), source))
+        settings = settings_from_wire(SETTINGS)
+        config = SidecarConfig(
+            ("127.0.0.1", 0), ("127.0.0.1", 9), 1, 512, settings, EndpointList(0, True, [])
+        )
+        self.sidecar = Sidecar(config, wire(operator))
+        self._tasks.append(asyncio.create_task(self.sidecar.run(asyncio.Event())))
+        await wait_until(self._all_ready)
+        address = self.sidecar.listener.address
+        self._tasks += [asyncio.create_task(run_client(address, number)) for number in range(CLIENTS)]
+
+    def _ready(self) -> set[str]:
+        servers = self.sidecar._balancer.servers.by_name.values()
+        return {server.name for server in servers if server.state is ServerState.READY}
+
+    def _all_ready(self) -> bool:
+        return self._ready() == {backend.name for backend, _ in self.backends}
+
+    async def _pick_busy_backend(self) -> int:
+        """Return a backend that gets requests now: the sidecar uses a subset, which grows with the load."""
+        candidates = [number for number in range(BACKENDS) if number not in self._changed]
+        for backend, _ in self.backends:
+            backend.arrivals.clear()
+
+        def arrivals(number: int) -> int:
+            return len(self.backends[number][0].arrivals)
+
+        await wait_until(lambda: any(arrivals(number) > 2 for number in candidates))
+        return max(candidates, key=arrivals)
+
+    async def change(self, kind: str) -> None:
+        """Delete or drain one backend, record the delay, and bring the backend back."""
+        number = await self._pick_busy_backend()
+        self._changed.append(number)
+        backend, server = self.backends[number]
+        registrar = self.registrars[number]
+        loop = asyncio.get_running_loop()
         if kind == "deleted":
-            registrars[index]._task.cancel()  # type: ignore[union-attr]
-            began = loop.time()
-            ensemble.expire(registrars[index]._session.session_id)
+            registrar._task.cancel()  # type: ignore[union-attr]
+            started_at = loop.time()
+            self.ensemble.expire(registrar._session.session_id)
         else:
-            began = loop.time()
-            await registrars[index].drain()
-        await asyncio.sleep(WATCH_S)
-        late = [at for at in lodge.reached if at > began]
-        took[kind].append((max(late) - began) if late else 0.0)
-        await registrars[index].stop()
-        await until(lambda name=lodge.name: name not in ready())
-        registrars[index] = registrar(where, server)
-        await until(lambda index=index: registrars[index].state is RegistrationState.REGISTERED)
-        await until(lambda: ready() == everyone)
-        if change % 20 == 19:
-            print(f"{change + 1} of {changes} changes", file=sys.stderr, flush=True)
-    for task in tasks:
-        task.cancel()
-    print(f"{'':<10}{'changes':>9}{'median ms':>11}{'99th ms':>9}{'most ms':>9}")
-    for kind, each in took.items():
-        ordered = sorted(each)
+            started_at = loop.time()
+            await registrar.drain()
+        await asyncio.sleep(OBSERVATION_S)
+        late = [at for at in backend.arrivals if at > started_at]
+        self.delays_s[kind].append((max(late) - started_at) if late else 0.0)
+        await registrar.stop()
+        await wait_until(lambda: backend.name not in self._ready())
+        registrar = self.registrars[number] = start_registrar(self._ensemble_config, server)
+        await wait_until(lambda: registrar.state is RegistrationState.REGISTERED)
+        await wait_until(self._all_ready)
+
+    def stop(self) -> None:
+        """Stop the clients, the sidecar and the ensemble."""
+        for task in self._tasks:
+            task.cancel()
+        self.ensemble.stop()
+
+
+def print_delays(delays_s: dict[str, list[float]]) -> None:
+    """Print the table of delays by kind of change."""
+    print(f"{'':<10}{'changes':>9}{'median ms':>11}{'99th ms':>9}{'max ms':>9}")
+    for kind, delays in delays_s.items():
+        ordered = sorted(delays)
         high = ordered[min(int(len(ordered) * 0.99), len(ordered) - 1)]
         median = statistics.median(ordered)
-        print(f"{kind:<10}{len(each):>9}{median * 1e3:>11.1f}{high * 1e3:>9.1f}{ordered[-1] * 1e3:>9.1f}")
-    most = max(max(each) for each in took.values())
-    ensemble.stop()
-    return 0 if most < 0.5 else 1
+        print(f"{kind:<10}{len(ordered):>9}{median * 1e3:>11.1f}{high * 1e3:>9.1f}{ordered[-1] * 1e3:>9.1f}")
+
+
+async def run(changes: int) -> int:
+    """Make so many changes by turns, and return the exit code: 1 if a delay is beyond what is allowed."""
+    benchmark = Benchmark()
+    await benchmark.start()
+    for change in range(changes):
+        await benchmark.change(("deleted", "leaving")[change % 2])
+        if change % 20 == 19:
+            print(f"{change + 1} of {changes} changes", file=sys.stderr, flush=True)
+    benchmark.stop()
+    print_delays(benchmark.delays_s)
+    longest_s = max(max(delays) for delays in benchmark.delays_s.values())
+    return 0 if longest_s < DELAY_MAX_S else 1
 
 
 def main() -> int:
+    """Parse the command line and run the benchmark."""
     parser = argparse.ArgumentParser(prog="benchmarks.notification_delay", description=__doc__)
     parser.add_argument("--changes", type=int, default=200)
     return asyncio.run(run(parser.parse_args().changes))
--- a/benchmarks/planners.py
+++ b/benchmarks/planners.py
@@ -38,13 +38,13 @@
 
 
 def all_follow(rig: FleetHarness) -> bool:
-    return rig.leader() is not None and min(rig.trusts()) > 0.85
+    return rig.leader() is not None and min(rig.plan_trusts()) > 0.85
 
 
 async def failover(times: int, session_s: float, by_rank: bool) -> int:
     took = []
     for number in range(times):
-        rig = FleetHarness(planners=2, nodes=4, seed=number + 1, session_s=session_s, by_rank=by_rank)
+        rig = FleetHarness(planners=2, backends=4, seed=number + 1, session_s=session_s, by_rank=by_rank)
         await rig.start()
         await wait_until(partial(all_follow, rig))
         first = rig.leader()
--- a/benchmarks/quota_use.py
+++ b/benchmarks/quota_use.py
@@ -61,8 +61,8 @@
     fleet = Fleet(quota_for(members, division), members, demand, seed, check_period_s)
     fleet.faults.loss = loss
     if division is not Division.FIXED_SHARES:  # a lease server is killed, and starts again without its grants
-        fleet.at(seconds / 2, lambda: fleet.kill(0))
-        fleet.at(seconds / 2 + SERVER_DOWN_S, lambda: fleet.start(0))
+        fleet.schedule(seconds / 2, lambda: fleet.kill(0))
+        fleet.schedule(seconds / 2 + SERVER_DOWN_S, lambda: fleet.start(0))
     return fleet.run_until(seconds)
 
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -10,7 +10,7 @@
 from helpers import MS, START, S, names
 from helpers import settings as made_settings
 
-from benchmarks.fleet_account import Account, lines
+from benchmarks.fleet_account import FleetAccount, trace_lines
 from topazbank import Balancer
 from topazbank.balancing.actions import SendAttempt
 from topazbank.balancing.events import (
@@ -56,9 +56,9 @@
         self.play(AttemptEnded(ident, 0, send.server, outcome, took_us, answered))
 
 
-def read(recorded: Recorded, folder: Path) -> Account:
+def read(recorded: Recorded, folder: Path) -> FleetAccount:
     (folder / "n0.log").write_text("".join(recorded.text), encoding="utf-8")
-    account = Account(1.0)
+    account = FleetAccount(1.0)
     account.read(folder / "n0.log")
     return account
 
@@ -71,11 +71,11 @@
     recorded.play(RequestArrived(4, "pay", "acme", None, 2 * S))
     recorded.play(RequestCancelled(4))
     account = read(recorded, tmp_path)
-    asked, in_time = account.by_kind["pay"]
+    asked, in_time = account.by_class["pay"]
     assert (asked, in_time) == (40.0, 10.0)
-    causes = sum((slot.causes for slot in account.slots.values()), start=Counter[str]())
+    causes = sum((slot.causes for slot in account.intervals.values()), start=Counter[str]())
     assert causes == {"late": 1, "failed after dropped": 1, "client left, attempt out": 1}
-    assert sum(slot.offered - slot.in_time for slot in account.slots.values()) == 30.0
+    assert sum(slot.offered - slot.in_time for slot in account.intervals.values()) == 30.0
 
 
 def test_a_clients_repeat_asks_for_no_worth_of_its_own_but_its_answer_counts(tmp_path: Path) -> None:
@@ -83,7 +83,7 @@
     recorded.call(1, 900 * MS)
     (send,) = recorded.play(RequestArrived(2, "pay", "acme", None, 2 * S, client_retry=True))
     recorded.play(AttemptEnded(2, 0, send.server, Outcome.DELIVERED, 10 * MS, True))
-    assert read(recorded, tmp_path).by_kind["pay"] == [10.0, 10.0]
+    assert read(recorded, tmp_path).by_class["pay"] == [10.0, 10.0]
 
 
 def test_a_killed_sidecars_requests_are_told_apart_from_those_of_its_next_life(tmp_path: Path) -> None:
@@ -92,8 +92,8 @@
     again = Recorded()
     recorded.text += ['@["arrived",5', *("\n", *again.text)]  # cut short by the kill
     account = read(recorded, tmp_path)
-    assert account.lives == 2
-    assert sum(slot.causes["sidecar ended"] for slot in account.slots.values()) == 1
+    assert account.starts == 2
+    assert sum(slot.causes["sidecar ended"] for slot in account.intervals.values()) == 1
 
 
 def test_lines_beyond_the_bound_of_a_second_are_counted_and_not_written(tmp_path: Path) -> None:
@@ -121,7 +121,7 @@
 def test_other_lines_of_a_log_are_passed_over(tmp_path: Path) -> None:
     log = tmp_path / "n0.log"
     log.write_text('12.5 @["gone",7,1]\nejected s-1: silent\n@[broken\n', encoding="utf-8")
-    assert list(lines(log)) == [["gone", 7, 1]]
+    assert list(trace_lines(log)) == [["gone", 7, 1]]
 
 
 @pytest.mark.parametrize("most", [-1, 1_000_000, True, "all"])
