--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The pairs of client and node protocol that tests run under: HTTP at both ends unless a test asks for more."""
+"""The pairs of client and server protocols that tests run with: HTTP on both sides unless a test wants more."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
 
 @pytest.fixture(params=PAIRS, ids=str)
 def each_pair(request: pytest.FixtureRequest, _both_http: None) -> Pair:
-    """Runs the test under all four pairs."""
+    """Run the test with all four pairs."""
     use(request.param)
     return request.param  # type: ignore[no-any-return]
 
 
 @pytest.fixture(params=[HTTP, MSGPACK_RPC])
 def each_client(request: pytest.FixtureRequest, _both_http: None) -> str:
-    """Runs the test with clients of each protocol before HTTP nodes."""
+    """Run the test with clients of each protocol and HTTP servers."""
     use(Pair(client=request.param))
     return request.param  # type: ignore[no-any-return]
 
 
 @pytest.fixture(params=[HTTP, MSGPACK_RPC])
 def each_node(request: pytest.FixtureRequest, _both_http: None) -> str:
-    """Runs the test with nodes of each protocol behind HTTP clients."""
+    """Run the test with servers of each protocol and HTTP clients."""
     use(Pair(nodes=request.param))
     return request.param  # type: ignore[no-any-return]
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Run what is on the list of known failures, pass over its failures, and fail where one of them passes."""
+    """Run the tests on the list of known failures, accept their failures, and fail if one of them passes."""
     listed = known_red.read()
     for item in items:
         for known in listed:
@@ -50,6 +50,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the list, so that no run hides it."""
+    """Print the list of known failures, so that no run hides it."""
     for known in known_red.read():
         terminalreporter.write_line(f"KNOWN RED: {known.test}: {known.cause} (issue {known.issue})")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Scripted events for one balancer, and a log of the actions that it returns."""
+"""Scripted events for one balancer, with a log of the actions that it returns."""
 
 from __future__ import annotations
 
@@ -52,8 +52,8 @@
 
 
 def settings(**changes: Any) -> Settings:
-    """Settings of a permissive deployment; `limits` and `rules` are merged, the rest replaced."""
-    given: dict[str, Any] = {
+    """Return settings of a permissive deployment; `limits` and `rules` are merged, the rest replaced."""
+    fields: dict[str, Any] = {
         "classes": [SAFE, UNSAFE, KEYED],
         "zone": "east",
         "tick_us": 5 * MS,
@@ -68,25 +68,27 @@
         },
     }
     for key, value in changes.items():
-        given[key] = {**given[key], **value} if isinstance(given.get(key), dict) else value
-    return Settings.from_mapping(given)
+        fields[key] = {**fields[key], **value} if isinstance(fields.get(key), dict) else value
+    return Settings.from_mapping(fields)
 
 
 def names(count: int) -> list[str]:
+    """Return the names of so many servers."""
     return [f"10.0.0.{number}:80" for number in range(1, count + 1)]
 
 
 class Stage:
-    """Plays events to one balancer; timers fire by themselves as time moves on."""
+    """Feeds events to one balancer in virtual time, microseconds; timers fire as time moves on."""
 
-    def __init__(self, given: Settings | None = None, seed: int = 7, now: int = START) -> None:
+    def __init__(self, config: Settings | None = None, seed: int = 7, now: int = START) -> None:
         self.now = now
-        self.balancer = Balancer(given or settings(), seed)
+        self.balancer = Balancer(config or settings(), seed)
         self.log: list[tuple[int, Action]] = []
         self._timers: list[tuple[int, str]] = []
         self._next = 1
 
     def play(self, event: Event) -> list[Action]:
+        """Feed an event; return and log the actions."""
         actions = self.balancer.handle(self.now, event)
         for action in actions:
             self.log.append((self.now, action))
@@ -97,10 +99,14 @@
     def servers(
         self, listed: Iterable[str | ServerDescription], kind: UpdateKind = UpdateKind.SNAPSHOT
     ) -> list[Action]:
-        lines = [ServerDescription(each, zone="east") if isinstance(each, str) else each for each in listed]
-        return self.play(EndpointsUpdated(kind, lines, 1))
+        """Feed an update of the endpoint list; a name stands for a ready server in the own zone."""
+        servers = [
+            ServerDescription(server, zone="east") if isinstance(server, str) else server for server in listed
+        ]
+        return self.play(EndpointsUpdated(kind, servers, 1))
 
     def drain(self, server: str, state: ServerState = ServerState.DRAINING) -> list[Action]:
+        """Feed a change of one server's state."""
         return self.servers([ServerDescription(server, zone="east", state=state)], UpdateKind.DELTA)
 
     def request(
@@ -111,6 +117,7 @@
         key: int | None = None,
         tenant: str | None = None,
     ) -> int:
+        """Let a request arrive and return its number."""
         number, self._next = self._next, self._next + 1
         self.play(RequestArrived(number, name, tenant, key, remaining_us, cost_us))
         return number
@@ -123,18 +130,19 @@
         answered: bool | None = None,
         report: dict[str, float] | None = None,
     ) -> list[Action]:
+        """End an attempt of a request, the last one unless `attempt` names another."""
         sends = self.sends(request)
         index = len(sends) - 1 if attempt is None else attempt
         sent_at, send = sends[index]
-        done = outcome is Outcome.DELIVERED if answered is None else answered
-        took = self.now - sent_at
-        return self.play(AttemptEnded(request, index, send.server, outcome, took, done, report))
+        is_answered = outcome is Outcome.DELIVERED if answered is None else answered
+        took_us = self.now - sent_at
+        return self.play(AttemptEnded(request, index, send.server, outcome, took_us, is_answered, report))
 
     def wait(self, span_us: int) -> None:
         """Let time pass; due timers fire on the way."""
         until = self.now + span_us
         while True:
-            due = sorted(each for each in self._timers if each[0] <= until)
+            due = sorted(timer for timer in self._timers if timer[0] <= until)
             if not due:
                 break
             self._timers.remove(due[0])
@@ -143,37 +151,40 @@
         self.now = until
 
     def sends(self, request: int | None = None) -> list[tuple[int, SendAttempt]]:
+        """Return the attempts so far with their times, of one request or of all."""
         return [
-            (at, each)
-            for at, each in self.log
-            if isinstance(each, SendAttempt) and (request is None or each.request == request)
+            (at, action)
+            for at, action in self.log
+            if isinstance(action, SendAttempt) and (request is None or action.request == request)
         ]
 
     def target(self, request: int) -> str:
+        """Return the server of a request's last attempt."""
         return self.sends(request)[-1][1].server
 
     def said(self, kind: type[_Kind]) -> list[_Kind]:
-        return [each for _, each in self.log if isinstance(each, kind)]
+        """Return all actions of a type so far."""
+        return [action for _, action in self.log if isinstance(action, kind)]
 
     def serve(
         self, count: int, every_us: int = 20 * MS, taking_us: int = 50 * MS, name: str = "look"
     ) -> None:
-        """Traffic in good health: a request every so often, each answered after the same time."""
+        """Let requests arrive at a steady rate, each answered after the same time."""
         pending: list[tuple[int, int]] = []
         for _ in range(count):
             self.wait(every_us)
             pending.append((self.now + taking_us, self.request(name)))
             while pending and pending[0][0] <= self.now:
-                done = pending.pop(0)[1]
-                if self.sends(done):
-                    self.end(done)
-        for _, done in pending:
+                request = pending.pop(0)[1]
+                if self.sends(request):
+                    self.end(request)
+        for _, request in pending:
             self.wait(every_us)
-            if self.sends(done):
-                self.end(done)
+            if self.sends(request):
+                self.end(request)
 
 
-# What health checks that cost next to nothing take in the settings.
+# Settings with health checks that report the load.
 CHECKED = {
     "limits": {"health_checks": True},
     "report": {"source": "health_checks", "columns": ["inflight"]},
@@ -184,7 +195,9 @@
     """Answer the health checks sent at this moment, each with what its server has in flight."""
     stage.wait(2 * MS)
     checked = [
-        each.server for at, each in stage.log if isinstance(each, CheckHealth) and at == stage.now - 2 * MS
+        action.server
+        for at, action in stage.log
+        if isinstance(action, CheckHealth) and at == stage.now - 2 * MS
     ]
     for server in checked:
         if server != silent:
@@ -193,14 +206,14 @@
 
 
 def two_zones() -> list[ServerDescription]:
-    """Six servers in two zones, three in the own one."""
+    """Return six servers in two zones, three in the own one."""
     return [
         ServerDescription(name, zone="east" if index < 3 else "west") for index, name in enumerate(names(6))
     ]
 
 
 def serve_singly(stage: Stage, count: int, taking_us: int = 50 * MS, every_us: int = 400 * MS) -> None:
-    """Traffic of a small balancer: each request is answered before the next comes."""
+    """Let requests arrive one at a time, each answered before the next arrives."""
     for _ in range(count):
         request = stage.request()
         stage.wait(taking_us)
--- a/tests/incidents/test_drains_and_discovery.py
+++ b/tests/incidents/test_drains_and_discovery.py
@@ -1,8 +1,8 @@
 """Incident of 2 December 2026: requests to draining servers, against the program in processes of its own.
 
-Whatever becomes of the calls for the list, a change counts as told at the latest 6 s after discovery had it and could
-be reached; 4 s after a SIGHUP; 2 s after the process of an upgrade is ready.  From then on there is a drain's grace.
-Nothing here is read from the program: servers note who asked them and when.
+Whatever becomes of the polls, a sidecar counts as notified of a change at the latest 6 s after discovery had it and
+could be reached; 4 s after a SIGHUP; 2 s after the process of an upgrade is ready.  From then on there is a drain's
+grace.  Nothing here is read from the program: servers record which requests reached them and when.
 """
 
 from __future__ import annotations
@@ -30,60 +30,60 @@
 from testbed.registry.faulty import Fault, FaultyRegistry
 from testbed.wire import Address
 
-TOLD_S = 6.0  # after discovery had a change and could be reached
-TOLD_AFTER_SIGHUP_S = 4.0
-TOLD_AFTER_UPGRADE_S = 2.0
+NOTIFIED_S = 6.0  # after discovery had a change and could be reached
+NOTIFIED_AFTER_SIGHUP_S = 4.0
+NOTIFIED_AFTER_UPGRADE_S = 2.0
 GRACE_S = 0.55  # of the settings, and 50 ms that the platform adds on sockets
-SLACK_S = 0.25  # servers, clients and registries of a scene share one loop
-LAG_LOOK_S = 0.02  # how often that loop's lag is looked at
-SIGNALLED_S = 3.5  # how much longer signals go on
-JUDGED_S = 3.0  # how long a server that drains is watched from then on
-OUTAGE_MOST_S = 40.0  # by then so many calls have failed, however long the program waits between them
+SLACK_S = 0.25  # servers, clients and registries of a scenario share one event loop
+LAG_SAMPLE_S = 0.02  # between two samples of that loop's lag
+SIGNALLED_S = 3.5  # how much longer signals are sent after that
+OBSERVED_S = 3.0  # how long a draining server is observed from then on
+OUTAGE_MAX_S = 40.0  # enough for so many polls to fail with any backoff
 RATE = 25.0  # requests a second at each process
-SIDECARS = 8  # processes a scene: each has its own registry, and other chance
+SIDECARS = 8  # processes of a scenario, each with its own registry and seed
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """What the settings say: how many sidecars share discovery, and how long one may go without asking."""
+    """What the settings say: how many sidecars share discovery, and the longest time between two polls."""
 
     sidecars: int = 200
-    ask_within_s: float = 10.0
+    poll_within_s: float = 10.0
     discovery: str = "on_request"
 
 
 @dataclass(slots=True)
-class One:
-    """One process, the registry that it asks, and when it was told of the drain at the latest."""
+class SidecarProcess:
+    """SidecarProcess process, the registry that it polls, and when it counts as notified of the drain."""
 
     number: int
     registry: FaultyRegistry
     path: Path  # of its configuration
     listen: Address
     process: asyncio.subprocess.Process
-    told_at: float = 0.0  # on the monotonic clock
+    notified_at: float = 0.0  # on the monotonic clock
 
-    def drain(self, entry: Mapping[str, Any], told_s: float = TOLD_S) -> None:
-        """Its registry has a change from now on, and can be reached."""
+    def drain(self, entry: Mapping[str, Any], notified_s: float = NOTIFIED_S) -> None:
+        """From now on its registry can be reached and has the drain of a server."""
         self.registry.fault = Fault.NONE
         self.registry.put(dict(entry) | {"status": "leaving"})
-        self.told_at = time.monotonic() + told_s
+        self.notified_at = time.monotonic() + notified_s
 
 
 @dataclass(slots=True)
-class Scene:
-    """Some processes before two servers, of which the first is drained."""
+class Scenario:
+    """Some sidecar processes with two servers, of which the first is drained."""
 
     folder: Path
     fleet: Fleet
     servers: list[FakeServer] = field(default_factory=list)
-    reached: list[tuple[float, str, str]] = field(default_factory=list)  # when, server, the request's id
-    all: list[One] = field(default_factory=list)
-    lag_s: float = 0.0  # the most by which this scene's own loop was late: what it notes is late by as much
+    arrivals: list[tuple[float, str, str]] = field(default_factory=list)  # (time, server, request id)
+    processes: list[SidecarProcess] = field(default_factory=list)
+    lag_s: float = 0.0  # maximum lag of this process's event loop: records are late by as much
     _tasks: list[asyncio.Task[None]] = field(default_factory=list)
-    _idents: itertools.count[int] = field(default_factory=itertools.count)
+    _numbers: itertools.count[int] = field(default_factory=itertools.count)
 
-    async def begin(self) -> None:
+    async def start_servers(self) -> None:
         self._tasks.append(asyncio.create_task(self._watch_lag()))
         for name in ("s-0", "s-1"):
             server = FakeServer(name, lambda first, head, body, name=name: self._served(name, head))  # type: ignore[misc]
@@ -93,101 +93,107 @@
     async def _watch_lag(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + LAG_LOOK_S
-            await asyncio.sleep(LAG_LOOK_S)
+            due = loop.time() + LAG_SAMPLE_S
+            await asyncio.sleep(LAG_SAMPLE_S)
             self.lag_s = max(self.lag_s, loop.time() - due)
 
     def _served(self, name: str, head: Head) -> bytes:
-        self.reached.append((time.monotonic(), name, head["x-call-id"]))
+        self.arrivals.append((time.monotonic(), name, head["x-call-id"]))
         return answer(200, b"served")
 
-    async def sidecars(self, count: int = SIDECARS) -> None:
+    async def start_sidecars(self, count: int = SIDECARS) -> None:
         await asyncio.gather(*(self.start(number) for number in range(count)))
 
-    async def start(self, number: int, prepared: Callable[[FaultyRegistry], None] = lambda _: None) -> One:
-        """A process that is ready, with clients that ask it all the time."""
+    async def start(
+        self, number: int, prepare: Callable[[FaultyRegistry], None] = lambda _: None
+    ) -> SidecarProcess:
+        """Start a process with a steady load and wait until it is ready."""
         registry = FaultyRegistry()
-        registry.put(*(each.entry() for each in self.servers))
-        prepared(registry)
+        registry.put(*(server.entry() for server in self.servers))
+        prepare(registry)
         await registry.start(*free_addresses(private_loopback_host(), 1)[0])
         (listen,) = free_addresses(private_loopback_host(), 1)
         folder = self.folder / str(number)
         folder.mkdir()
         path = folder / "config.json"
         self.configure(path, listen, registry)
-        one = One(number, registry, path, listen, await launch(path, folder))
+        sidecar = SidecarProcess(number, registry, path, listen, await launch(path, folder))
         await ready(listen)
-        self.all.append(one)
-        self._tasks.append(asyncio.create_task(self._load(one)))
-        return one
+        self.processes.append(sidecar)
+        self._tasks.append(asyncio.create_task(self._load(sidecar)))
+        return sidecar
 
     def configure(self, path: Path, listen: Address, registry: FaultyRegistry) -> None:
-        """Write a process's configuration; the list that it knows is of before any drain."""
+        """Write a process's configuration, with the endpoint list from before any drain."""
         settings = {
             "lanes": [{"name": "look", "giveUpUs": 3_000_000, "promiseUs": 500_000, "repeat": "read_like"}],
             "bounds": {"sendCap": 3, "mayCancel": True},
-            "guarantees": {"drainGraceUs": 500_000, "askWithinUs": int(self.fleet.ask_within_s * 1e6)},
+            "guarantees": {"drainGraceUs": 500_000, "askWithinUs": int(self.fleet.poll_within_s * 1e6)},
             "discovery": self.fleet.discovery,
             "groupSize": self.fleet.sidecars,
             "zone": "east",
         }
-        known = {"index": 2, "snapshot": True, "endpoints": [each.entry() for each in self.servers]}
+        known = {"index": 2, "snapshot": True, "endpoints": [server.entry() for server in self.servers]}
         seed = f"{random.Random(str(path.parent.name)).getrandbits(64):016x}"
-        given = config(
+        deployment = config(
             listen="{}:{}".format(*listen),
             discovery="{}:{}".format(*registry.address),
             known=known,
             settings=settings,
             seed=seed,
         )
-        path.write_text(json.dumps(given), encoding="utf-8")
+        path.write_text(json.dumps(deployment), encoding="utf-8")
 
-    async def _load(self, one: One) -> None:
+    async def _load(self, sidecar: SidecarProcess) -> None:
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        out: set[asyncio.Task[None]] = set()
+        started_at = loop.time()
+        tasks: set[asyncio.Task[None]] = set()
         for count in itertools.count(1):
-            task = asyncio.create_task(self._ask(one))
-            out.add(task)
-            task.add_done_callback(out.discard)
-            await asyncio.sleep(max(began + count / RATE - loop.time(), 0.0))
+            task = asyncio.create_task(self._call(sidecar))
+            tasks.add(task)
+            task.add_done_callback(tasks.discard)
+            await asyncio.sleep(max(started_at + count / RATE - loop.time(), 0.0))
 
-    async def _ask(self, one: One) -> None:
-        ident = f"{one.number}-{next(self._idents)}"
+    async def _call(self, sidecar: SidecarProcess) -> None:
+        request_id = f"{sidecar.number}-{next(self._numbers)}"
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-            await ask(one.listen, request(X_Call_Id=ident, budget="3.0"))
+            await ask(sidecar.listen, request(X_Call_Id=request_id, budget="3.0"))
 
-    async def judge(self, faults: Callable[[One], Awaitable[None]]) -> list[str]:
-        """Play the faults at all processes; what reached the first server after it was told as draining, and grace."""
-        await asyncio.gather(*(faults(one) for one in self.all))
-        end = max(one.told_at for one in self.all) + GRACE_S + SLACK_S + JUDGED_S
-        await asyncio.sleep(end - time.monotonic())
-        return [line for one in self.all for line in self._late(one)]
+    async def late_requests(self, faults: Callable[[SidecarProcess], Awaitable[None]]) -> list[str]:
+        """Apply the faults to all processes; return what reached the draining server after notice and grace."""
+        await asyncio.gather(*(faults(sidecar) for sidecar in self.processes))
+        end_at = max(sidecar.notified_at for sidecar in self.processes) + GRACE_S + SLACK_S + OBSERVED_S
+        await asyncio.sleep(end_at - time.monotonic())
+        return [line for sidecar in self.processes for line in self._late(sidecar)]
 
-    def _late(self, one: One) -> list[str]:
+    def _late(self, sidecar: SidecarProcess) -> list[str]:
         slack_s = SLACK_S + self.lag_s
         late = [
-            at - one.told_at
-            for at, server, ident in self.reached
-            if server == "s-0" and ident.startswith(f"{one.number}-") and at > one.told_at + GRACE_S + slack_s
+            at - sidecar.notified_at
+            for at, server, request_id in self.arrivals
+            if server == "s-0"
+            and request_id.startswith(f"{sidecar.number}-")
+            and at > sidecar.notified_at + GRACE_S + slack_s
         ]
         served = [
-            each for each in self.reached if each[2].startswith(f"{one.number}-") and each[0] > one.told_at
+            request_id
+            for at, _, request_id in self.arrivals
+            if request_id.startswith(f"{sidecar.number}-") and at > sidecar.notified_at
         ]
-        assert served, f"process {one.number} served nothing: there is nothing to judge"
+        assert served, f"process {sidecar.number} served nothing: there is nothing to check"
         if not late:
             return []
-        return [f"process {one.number}: {len(late)} requests, the last {max(late):.2f} s after it was told"]
+        return [f"process {sidecar.number}: {len(late)} requests, the last {max(late):.2f} s after notice"]
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        for one in self.all:
+        for sidecar in self.processes:
             with contextlib.suppress(ProcessLookupError):
-                one.process.kill()
-            await one.process.wait()
-            one.registry.stop()
+                sidecar.process.kill()
+            await sidecar.process.wait()
+            sidecar.registry.stop()
         for server in self.servers:
             server.stop()
 
@@ -212,172 +218,177 @@
 
 
 @contextlib.asynccontextmanager
-async def scene(folder: Path, fleet: Fleet) -> AsyncIterator[Scene]:
-    made = Scene(folder, fleet)
+async def run_scenario(folder: Path, fleet: Fleet) -> AsyncIterator[Scenario]:
+    scenario = Scenario(folder, fleet)
     try:
-        await made.begin()
-        yield made
+        await scenario.start_servers()
+        yield scenario
     finally:
-        await made.end()
+        await scenario.stop()
 
 
-def fail_until(trouble: Fault, failures: int) -> Callable[[Scene, One], Awaitable[None]]:
-    """Discovery is down, and is back with a drain just behind a process's failed call."""
+def fail_until(fault: Fault, failures: int) -> Callable[[Scenario, SidecarProcess], Awaitable[None]]:
+    """Discovery is down, and is back with a drain right after a failed poll of the process."""
 
-    async def faults(scene: Scene, one: One) -> None:
-        await until(lambda: one.registry.list_calls)
-        one.registry.fault = trouble
-        one.registry.end_watches()
-        async with asyncio.timeout(OUTAGE_MOST_S):
-            while one.registry.refused_calls < failures:
+    async def faults(scenario: Scenario, sidecar: SidecarProcess) -> None:
+        await until(lambda: sidecar.registry.list_calls)
+        sidecar.registry.fault = fault
+        sidecar.registry.end_watches()
+        async with asyncio.timeout(OUTAGE_MAX_S):
+            while sidecar.registry.refused_calls < failures:
                 await asyncio.sleep(0.002)
-        one.drain(scene.servers[0].entry())
+        sidecar.drain(scenario.servers[0].entry())
 
     return faults
 
 
-async def swallow_the_call_after_a_failure(scene: Scene, one: One) -> None:
-    """Discovery's only call after a failed one gets no answer, ever; discovery itself is back."""
-    await until(lambda: one.registry.list_calls)
-    one.registry.fault = Fault.REFUSED
-    one.registry.end_watches()
-    await until(lambda: one.registry.refused_calls)
-    one.registry.fault = Fault.UNANSWERED
-    await until(lambda: one.registry.count(Fault.UNANSWERED))
-    one.drain(scene.servers[0].entry())
+async def lose_the_poll_after_a_failure(scenario: Scenario, sidecar: SidecarProcess) -> None:
+    """The poll after a failed one never gets a response, although discovery is back."""
+    await until(lambda: sidecar.registry.list_calls)
+    sidecar.registry.fault = Fault.REFUSED
+    sidecar.registry.end_watches()
+    await until(lambda: sidecar.registry.refused_calls)
+    sidecar.registry.fault = Fault.UNANSWERED
+    await until(lambda: sidecar.registry.count(Fault.UNANSWERED))
+    sidecar.drain(scenario.servers[0].entry())
 
 
-def signal_while_discovery_is_slow(gap_s: float) -> Callable[[Scene, One], Awaitable[None]]:
-    """New configurations in quick succession, faster than discovery answers; it has moved nowhere."""
+def signal_while_discovery_is_slow(gap_s: float) -> Callable[[Scenario, SidecarProcess], Awaitable[None]]:
+    """New configurations in quick succession, faster than discovery answers; its address stays the same."""
 
-    async def faults(scene: Scene, one: One) -> None:
-        await until(lambda: one.registry.list_calls)
-        one.drain(scene.servers[0].entry())
-        one.registry.fault = Fault.ANSWERED_LATE
-        one.registry.end_watches()
-        while time.monotonic() < one.told_at + SIGNALLED_S:
-            one.process.send_signal(signal.SIGHUP)
+    async def faults(scenario: Scenario, sidecar: SidecarProcess) -> None:
+        await until(lambda: sidecar.registry.list_calls)
+        sidecar.drain(scenario.servers[0].entry())
+        sidecar.registry.fault = Fault.ANSWERED_LATE
+        sidecar.registry.end_watches()
+        while time.monotonic() < sidecar.notified_at + SIGNALLED_S:
+            sidecar.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(gap_s)
 
     return faults
 
 
-async def swallow_the_call_after_a_signal(scene: Scene, one: One) -> None:
-    """Discovery has moved, and the first call at its new place is lost on the way."""
-    await until(lambda: one.registry.list_calls)
+async def lose_the_poll_after_a_signal(scenario: Scenario, sidecar: SidecarProcess) -> None:
+    """Discovery has moved, and the first poll at its new address is lost."""
+    await until(lambda: sidecar.registry.list_calls)
     moved = FaultyRegistry()
-    moved.put(*(each.entry() for each in scene.servers))
+    moved.put(*(server.entry() for server in scenario.servers))
     moved.fault = Fault.UNANSWERED
     await moved.start(*free_addresses(private_loopback_host(), 1)[0])
-    former, one.registry = one.registry, moved
-    scene.configure(one.path, one.listen, moved)
-    one.process.send_signal(signal.SIGHUP)
+    former, sidecar.registry = sidecar.registry, moved
+    scenario.configure(sidecar.path, sidecar.listen, moved)
+    sidecar.process.send_signal(signal.SIGHUP)
     await until(lambda: moved.list_calls)
-    one.drain(scene.servers[0].entry(), TOLD_AFTER_SIGHUP_S)
+    sidecar.drain(scenario.servers[0].entry(), NOTIFIED_AFTER_SIGHUP_S)
     former.stop()
 
 
-async def silence_the_agent(scene: Scene, one: One) -> None:
-    """Where lists are pushed, the agent says nothing for some seconds; what it has at its return counts at once."""
-    await until(lambda: one.registry.list_calls)
+async def silence_the_agent(scenario: Scenario, sidecar: SidecarProcess) -> None:
+    """Where lists are pushed, the agent is silent for some seconds; what it has at its return counts at once."""
+    await until(lambda: sidecar.registry.list_calls)
     await asyncio.sleep(0.5)  # its watch is open
-    one.registry.fault = Fault.UNANSWERED
-    one.registry.end_watches()
+    sidecar.registry.fault = Fault.UNANSWERED
+    sidecar.registry.end_watches()
     await asyncio.sleep(3.0)
-    one.drain(scene.servers[0].entry(), told_s=0.0)
+    sidecar.drain(scenario.servers[0].entry(), notified_s=0.0)
 
 
-FAULTS: Mapping[str, tuple[Fleet, Callable[[Scene, One], Awaitable[None]]]] = {
+FAULTS: Mapping[str, tuple[Fleet, Callable[[Scenario, SidecarProcess], Awaitable[None]]]] = {
     "refused, 200 sidecars": (Fleet(200, 15.0), fail_until(Fault.REFUSED, 4)),
-    "held, 200 sidecars": (Fleet(200, 15.0), fail_until(Fault.REFUSED_LATE, 3)),
-    "refused, asked for once a minute": (Fleet(8, 60.0), fail_until(Fault.REFUSED, 3)),
-    "swallowed after a failure": (Fleet(), swallow_the_call_after_a_failure),
+    "refused late, 200 sidecars": (Fleet(200, 15.0), fail_until(Fault.REFUSED_LATE, 3)),
+    "refused, polled once a minute": (Fleet(8, 60.0), fail_until(Fault.REFUSED, 3)),
+    "lost after a failure": (Fleet(), lose_the_poll_after_a_failure),
     "signals while discovery is slow": (Fleet(), signal_while_discovery_is_slow(0.35)),
     "many signals while discovery is slow": (Fleet(), signal_while_discovery_is_slow(0.05)),
-    "swallowed after a signal": (Fleet(), swallow_the_call_after_a_signal),
+    "lost after a signal": (Fleet(), lose_the_poll_after_a_signal),
     "pushed, and the agent silent": (Fleet(discovery="pushed"), silence_the_agent),
 }
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_a_drain_is_kept_whatever_became_of_earlier_calls(name: str, tmp_path: Path) -> None:
+def test_no_request_reaches_a_draining_server_whatever_became_of_earlier_polls(
+    name: str, tmp_path: Path
+) -> None:
+    """A server drains while polls fail, hang or get lost, or while signals restart them."""
     fleet, faults = FAULTS[name]
 
-    async def played() -> None:
-        async with scene(tmp_path, fleet) as made:
-            await made.sidecars()
-            late = await made.judge(lambda one: faults(made, one))
-            assert not late, f"{len(late)} of {len(made.all)} processes: {late}"
+    async def check() -> None:
+        async with run_scenario(tmp_path, fleet) as scenario:
+            await scenario.start_sidecars()
+            late = await scenario.late_requests(lambda sidecar: faults(scenario, sidecar))
+            assert not late, f"{len(late)} of {len(scenario.processes)} processes: {late}"
 
-    play(played())
+    play(check())
 
 
-def test_a_process_that_starts_with_an_old_list_asks_in_time(tmp_path: Path) -> None:
-    """Its list is of before a drain, and its first calls fail: nobody may put its calls off for the fleet's sake."""
+def test_a_process_that_starts_with_an_old_list_polls_in_time(tmp_path: Path) -> None:
+    """Its list is from before a drain, and its first polls fail: it may not delay polls to spare the registry."""
 
-    async def played() -> None:
-        async with scene(tmp_path, Fleet()) as made:
-            begun_at = time.monotonic()
+    async def check() -> None:
+        async with run_scenario(tmp_path, Fleet()) as scenario:
+            started_at = time.monotonic()
 
-            def prepared(registry: FaultyRegistry) -> None:
-                registry.put(made.servers[0].entry() | {"status": "leaving"})
+            def prepare(registry: FaultyRegistry) -> None:
+                registry.put(scenario.servers[0].entry() | {"status": "leaving"})
                 registry.fault = Fault.REFUSED
 
-            async def begun(one: One) -> None:
-                one.told_at = begun_at + TOLD_S
-                await until(lambda: one.registry.refused_calls >= 2)
-                one.registry.fault = Fault.NONE
+            async def recover(sidecar: SidecarProcess) -> None:
+                sidecar.notified_at = started_at + NOTIFIED_S
+                await until(lambda: sidecar.registry.refused_calls >= 2)
+                sidecar.registry.fault = Fault.NONE
 
-            await asyncio.gather(*(made.start(number, prepared) for number in range(2 * SIDECARS)))
-            late = await made.judge(begun)
-            assert not late, f"{len(late)} of {len(made.all)} processes: {late}"
+            await asyncio.gather(*(scenario.start(number, prepare) for number in range(2 * SIDECARS)))
+            late = await scenario.late_requests(recover)
+            assert not late, f"{len(late)} of {len(scenario.processes)} processes: {late}"
 
-    play(played())
+    play(check())
 
 
-def test_the_process_of_an_upgrade_hears_of_a_drain_in_time(tmp_path: Path) -> None:
-    async def played() -> None:
-        async with scene(tmp_path, Fleet()) as made:
-            await made.sidecars(6)
+def test_the_process_of_an_upgrade_is_notified_of_a_drain_in_time(tmp_path: Path) -> None:
+    """A process is replaced, and a server begins to drain as the new one has read its first list."""
 
-            async def upgraded(one: One) -> None:
-                await until(lambda: one.registry.list_calls)
-                old = one.process
-                one.process = await launch(one.path, one.path.parent)
-                log = one.path.parent / "log"
+    async def check() -> None:
+        async with run_scenario(tmp_path, Fleet()) as scenario:
+            await scenario.start_sidecars(6)
+
+            async def upgrade(sidecar: SidecarProcess) -> None:
+                await until(lambda: sidecar.registry.list_calls)
+                old = sidecar.process
+                sidecar.process = await launch(sidecar.path, sidecar.path.parent)
+                log = sidecar.path.parent / "log"
                 await until(lambda: log.read_bytes().count(b"list at the start") == 2)  # of both processes
                 old.send_signal(signal.SIGTERM)
-                one.drain(made.servers[0].entry(), TOLD_AFTER_UPGRADE_S)
+                sidecar.drain(scenario.servers[0].entry(), NOTIFIED_AFTER_UPGRADE_S)
                 await old.wait()
 
-            late = await made.judge(upgraded)
-            assert not late, f"{len(late)} of {len(made.all)} processes: {late}"
+            late = await scenario.late_requests(upgrade)
+            assert not late, f"{len(late)} of {len(scenario.processes)} processes: {late}"
 
-    play(played())
+    play(check())
 
 
-def test_signals_in_series_from_the_first_moment_on_end_no_process(tmp_path: Path) -> None:
-    """A new configuration may come while a process starts, before there is a program that could hear of it."""
+def test_repeated_signals_from_its_start_on_do_not_end_a_process(tmp_path: Path) -> None:
+    """A SIGHUP may arrive while a process starts, before the program handles signals."""
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
 
-    async def played() -> None:
-        async with scene(tmp_path, Fleet()) as made:
-            one = await made.start(0)
-            one.process.kill()
-            await one.process.wait()
-            environ = os.environ | {"RELAY_CONFIG": str(one.path), "TMPDIR": str(one.path.parent)}
-            with (one.path.parent / "log").open("ab") as log:
-                one.process = await asyncio.create_subprocess_shell(
+    async def check() -> None:
+        async with run_scenario(tmp_path, Fleet()) as scenario:
+            sidecar = await scenario.start(0)
+            sidecar.process.kill()
+            await sidecar.process.wait()
+            environ = os.environ | {"RELAY_CONFIG": str(sidecar.path), "TMPDIR": str(sidecar.path.parent)}
+            with (sidecar.path.parent / "log").open("ab") as log:
+                sidecar.process = await asyncio.create_subprocess_shell(
                     deploy["run"], cwd=ROOT, env=environ, stderr=log
                 )
             await asyncio.sleep(0.01)  # the shell has begun
             for _ in range(60):
-                one.process.send_signal(signal.SIGHUP)
+                sidecar.process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.02)
-            await ready(one.listen)
-            assert one.process.returncode is None
-            one.process.send_signal(signal.SIGHUP)
-            log_path = one.path.parent / "log"
+            await ready(sidecar.listen)
+            assert sidecar.process.returncode is None
+            sidecar.process.send_signal(signal.SIGHUP)
+            log_path = sidecar.path.parent / "log"
             await until(lambda: b"discovery is at" in log_path.read_bytes())
 
-    play(played())
+    play(check())
--- a/tests/incidents/test_stopped_clients.py
+++ b/tests/incidents/test_stopped_clients.py
@@ -1,7 +1,7 @@
 """Incident of 2 December 2026: clients that stop in the middle of a request, against the program in a process.
 
-Whoever stops is owed an error or a close within 3 s of its last byte (STOPPED_S).  Whoever goes on, however slowly the
-platform allows, is served.
+A client that stops is owed an error or the end of its connection within 3 s of its last byte (STOPPED_S).  A client
+that goes on, as slowly as the platform allows, is served.
 """
 
 from __future__ import annotations
@@ -34,13 +34,11 @@
 from testbed.wire import HTTP, MSGPACK_RPC, Address, pack
 from topazbank.core.connection_states import ConnectionState
 
-STOPPED_S = 3.0  # what a client that has stopped is owed its error or its close within
-HEAD_S = 2.0  # what a client may take for the head of a request
-BODY_RATE = 64_000  # bytes a second at which a body may come
+STOPPED_S = 3.0  # until a client that has stopped gets an error or the end of its connection
+HEAD_S = 2.0  # allowed for the head of a request
+BODY_BYTES_PER_S = 64_000  # the slowest body that is allowed
 CHUNK_S = 1.0  # between two pieces of such a body
-PATIENCE_S = (
-    STOPPED_S + 0.5
-)  # how long a stopped client listens: long enough to tell late from never in the report
+PATIENCE_S = STOPPED_S + 0.5  # how long a stopped client reads: enough to report late and never apart
 
 READING_HEAD = ConnectionState.READING_HEAD
 POST = request("pay", body=b"a declaration", X_Call_Id="stopped")
@@ -54,14 +52,14 @@
 
 
 def _answers(first: str, headers: Head, body: bytes) -> bytes | None:
-    """A server that answers all but what is to be held."""
+    """Answer all requests except those to be held."""
     return None if "held" in first else answer(200, b"served")
 
 
-async def _seconds_to_word(one: Client) -> float:
-    """How long a client that has stopped hears nothing; infinity where it hears nothing at all."""
+async def _seconds_to_end(one: Client) -> float:
+    """Return how long a stopped client waits for its error or the end; infinity if neither comes."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     try:
         async with asyncio.timeout(PATIENCE_S):
             await one.reader.read(1)  # an error's first byte, or the end
@@ -69,18 +67,18 @@
         pass
     except TimeoutError:
         return math.inf
-    return loop.time() - began
+    return loop.time() - started_at
 
 
 def _after(*pieces: bytes) -> Stopped:
-    """A client that sends these, a moment between them, and stops."""
+    """Return a client that sends these pieces, with short pauses, and stops."""
 
     async def stop(listen: Address) -> float:
         one = await client(listen)
         for piece in pieces:
             one.writer.write(piece)
             await asyncio.sleep(0.02)
-        waited = await _seconds_to_word(one)
+        waited = await _seconds_to_end(one)
         one.close()
         return waited
 
@@ -88,14 +86,14 @@
 
 
 def _after_an_answer(half: bytes) -> Stopped:
-    """A client whose connection has carried a request, and that stops in the middle of the next."""
+    """Return a client that stops in the middle of its second request."""
 
     async def stop(listen: Address) -> float:
         one = await client(listen)
         one.send(request(X_Call_Id=f"before-{id(one):x}"))
         assert (await one.answer())[0] == 200
         one.writer.write(half)
-        waited = await _seconds_to_word(one)
+        waited = await _seconds_to_end(one)
         one.close()
         return waited
 
@@ -103,13 +101,13 @@
 
 
 def _after_continue(listen: Address) -> Awaitable[float]:
-    """A client that is told to go on with its body, and does not."""
+    """Run a client that gets 100 Continue for its body, and stops."""
 
     async def stop() -> float:
         one = await client(listen)
         one.writer.write(EXPECTING)
         assert b" 100 " in await one.reader.readuntil(b"\r\n\r\n")
-        waited = await _seconds_to_word(one)
+        waited = await _seconds_to_end(one)
         one.close()
         return waited
 
@@ -117,7 +115,7 @@
 
 
 async def _holding(listen: Address, server: FakeServer) -> Client:
-    """A client whose request is at a server that does not answer it yet."""
+    """Return a client whose request is held by a server."""
     one = await client(listen)
     one.send(request("pay", path="/api/held", body=b"x", X_Call_Id="held", budget="30.0"))
     while not server.requests:
@@ -135,7 +133,7 @@
     "in a chunk": _after(CHUNKED, b"a\r\nhalf"),
     "before the last chunk": _after(CHUNKED, b"4\r\nhalf\r\n"),
     "before the last empty line": _after(CHUNKED, b"4\r\nhalf\r\n0\r\n"),
-    "when told to go on": _after_continue,
+    "after 100 Continue": _after_continue,
     "in a large body": _after(LARGE, bytes(200_000)),
     "in the next request's head": _after_an_answer(POST[:30]),
     "in the next request's body": _after_an_answer(POST[:-5]),
@@ -159,10 +157,10 @@
     [(HTTP, HTTP_STOPS, False), (MSGPACK_RPC, RPC_STOPS, False), (HTTP, HTTP_STOPS, True)],
     ids=[HTTP, MSGPACK_RPC, "http while the program ends"],
 )
-def test_whoever_stops_anywhere_in_a_request_gets_an_error_or_a_close_in_time(
+def test_a_client_that_stops_anywhere_in_a_request_gets_an_error_or_a_close_in_time(
     protocol: str, stops: Mapping[str, Stopped], ends: bool, tmp_path: Path
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with program(tmp_path, FakeServer("s-0", _answers)) as (process, listen):
             use(Pair(client=protocol))
             holding = await client(listen)
@@ -173,21 +171,21 @@
                 process.send_signal(signal.SIGTERM)
             waited = await stopping
             late = {where: seconds for where, seconds in waited.items() if seconds > STOPPED_S}
-            assert not late, f"{len(late)} of {len(waited)} heard nothing in time: {late}"
+            assert not late, f"{len(late)} of {len(waited)} got nothing in time: {late}"
             holding.close()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
     "half", [b"GET /half", POST[:-5], b"\x00\x01 junk\r\n\r\n"], ids=["half a head", "half a body", "junk"]
 )
 @pytest.mark.parametrize("served", [True, False])
-def test_a_request_before_what_never_becomes_one_still_gets_its_answer(
+def test_a_complete_request_before_an_incomplete_one_still_gets_its_response(
     half: bytes, served: bool, tmp_path: Path
 ) -> None:
-    # Both terms hold: the held request was read, so it is answered; who stopped behind it hears in time.
-    async def scene() -> None:
+    # Both promises hold: the held request was read and is answered; the incomplete one after it ends in time.
+    async def scenario() -> None:
         server = FakeServer("s-0", _answers)
         async with program(tmp_path, server) as (_, listen):
             one = await _holding(listen, server)
@@ -197,16 +195,18 @@
                     await asyncio.sleep(0.3)
                     server.answer_held(answer(200, b"served"))
                 status, *_ = await read_answer(one.reader)
-                assert status == (200 if served else 500)  # it may have run: failed, not refused
-                await one.reader.read()  # and the end: what is behind it gets its error, or the close alone
+                assert status == (200 if served else 500)  # it may have run: failed, not rejected
+                await (
+                    one.reader.read()
+                )  # and the end: the incomplete request gets its error, or only the close
             one.close()
 
-    play(scene())
+    play(scenario())
 
 
-def test_junk_behind_more_than_waits_here_is_told_off_in_time(tmp_path: Path) -> None:
-    # So much is not read further; but what is junk by then stays junk.
-    async def scene() -> None:
+def test_junk_after_more_than_is_buffered_is_rejected_in_time(tmp_path: Path) -> None:
+    # After so much buffered data reading stops; junk that was read before that is rejected all the same.
+    async def scenario() -> None:
         server = FakeServer("s-0", _answers)
         async with program(tmp_path, server) as (_, listen):
             one = await _holding(listen, server)
@@ -217,12 +217,12 @@
                 assert (await read_answer(one.reader))[0] == 500
             one.close()
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_request_whose_body_is_too_long_to_wait_here_is_read_once_its_turn_comes(tmp_path: Path) -> None:
-    # Sent ahead whole: that it is not read further is this process's choice, and no fault of its client's.
-    async def scene() -> None:
+def test_a_pipelined_request_too_large_to_buffer_is_read_when_its_turn_comes(tmp_path: Path) -> None:
+    # The client has sent it completely: that it is not read yet is the sidecar's choice, not the client's fault.
+    async def scenario() -> None:
         server = FakeServer("s-0", _answers)
         async with program(tmp_path, server) as (_, listen):
             one = await _holding(listen, server)
@@ -232,13 +232,13 @@
             assert await _statuses(one, 2) == [200, 200]
             one.close()
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_large_answer_that_has_begun_is_given_whole_whatever_is_half_here_behind_its_request(
+def test_a_large_response_that_has_begun_is_completed_despite_an_incomplete_request_after_it(
     tmp_path: Path,
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         server = FakeServer("s-0", _answers)
         async with program(tmp_path, server) as (_, listen):
             one = await _holding(listen, server)
@@ -250,14 +250,14 @@
             status, _, body = await read_answer(one.reader)
             assert (status, len(body)) == (200, 100_000)
             async with asyncio.timeout(STOPPED_S):
-                await one.reader.read()  # and the half behind it has its error
+                await one.reader.read()  # and the incomplete request has its error
             one.close()
 
-    play(scene())
+    play(scenario())
 
 
 async def _stops_before_its_id(one: Client, server: FakeServer) -> None:
-    """Nothing tells which call the half would become, so that no error can name it: the end is its word."""
+    """The message has no id yet, so that no error can name it: the connection ends."""
     one.writer.write(_MESSAGE[:1])
     async with asyncio.timeout(STOPPED_S):
         assert (await one.answer())[0] == 500  # the held call; it may have run
@@ -265,10 +265,10 @@
 
 
 async def _keeps_coming(one: Client, server: FakeServer) -> None:
-    """Each write ends in the middle of a message, for longer than any one of them may take."""
+    """Each write ends in the middle of a message, for longer in all than a message may take."""
     calls = [
-        pack([0, each, "pay", [{"id": f"c-{each}", "budget": 5.0, "path": "/api/7f"}, b"x"]])
-        for each in range(10, 70)
+        pack([0, msgid, "pay", [{"id": f"c-{msgid}", "budget": 5.0, "path": "/api/7f"}, b"x"]])
+        for msgid in range(10, 70)
     ]
     stream, step = b"".join(calls), len(calls[0])
     cuts = [0, *range(step // 2, len(stream) - step, step), len(stream)]
@@ -284,10 +284,10 @@
 
 
 @pytest.mark.parametrize("halves", [_stops_before_its_id, _keeps_coming])
-def test_calls_beside_half_a_message_are_answered_and_its_client_hears_in_time(
+def test_calls_beside_an_incomplete_message_are_answered_and_the_connection_ends_in_time(
     halves: Callable[[Client, FakeServer], Awaitable[None]], tmp_path: Path
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         server = FakeServer("s-0", _answers)
         async with program(tmp_path, server) as (_, listen):
             use(Pair(client=MSGPACK_RPC))
@@ -295,11 +295,11 @@
             await halves(one, server)
             one.close()
 
-    play(scene())
+    play(scenario())
 
 
-def test_an_error_that_names_its_half_message_leaves_the_other_calls_their_time(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_an_error_for_an_incomplete_message_leaves_the_other_calls_their_time(tmp_path: Path) -> None:
+    async def scenario() -> None:
         server = FakeServer("s-0", _answers)
         async with program(tmp_path, server) as (_, listen):
             use(Pair(client=MSGPACK_RPC))
@@ -312,7 +312,7 @@
             assert not await one.reader.read()
             one.close()
 
-    play(scene())
+    play(scenario())
 
 
 def _pieces(data: bytes, count: int) -> Sequence[bytes]:
@@ -320,53 +320,57 @@
     return [data[start : start + size] for start in range(0, len(data), size)]
 
 
-async def _send_slowly(one: Client, pieces: Sequence[bytes], every_s: float) -> None:
+async def _send_slowly(one: Client, pieces: Sequence[bytes], interval_s: float) -> None:
     for piece in pieces:
         one.writer.write(piece)
-        await asyncio.sleep(every_s)
+        await asyncio.sleep(interval_s)
 
 
-def test_whoever_goes_on_as_slowly_as_is_allowed_is_served(tmp_path: Path) -> None:
-    # A head in 2 s, evenly or nearly all of it at the end, and then a body of 5 s in pieces a second apart.
-    async def scene() -> None:
-        body = bytes(5 * BODY_RATE)
+def test_a_client_as_slow_as_is_allowed_is_served(tmp_path: Path) -> None:
+    # A head in 2 s, evenly or nearly all of it at the end, then a body of 5 s in pieces a second apart.
+    async def scenario() -> None:
+        body = bytes(5 * BODY_BYTES_PER_S)
         data = request("pay", body=body, X_Call_Id="slow", budget="5.0")
-        head, size = data[: -len(body)], int(BODY_RATE * CHUNK_S)
-        ways = [_pieces(head, 20), [head[:1], head[1:]], [head[:-1], head[-1:]]]
+        head, size = data[: -len(body)], int(BODY_BYTES_PER_S * CHUNK_S)
+        splits = [_pieces(head, 20), [head[:1], head[1:]], [head[:-1], head[-1:]]]
 
         async def ask(listen: Address, number: int, pieces: Sequence[bytes]) -> int:
             one = await client(listen)
-            changed = [each.replace(b"slow", b"slw%d" % number) for each in pieces]
-            await _send_slowly(one, changed[:-1], HEAD_S / (len(pieces) - 1))
-            one.writer.write(changed[-1])
+            renamed = [piece.replace(b"slow", b"slw%d" % number) for piece in pieces]
+            await _send_slowly(one, renamed[:-1], HEAD_S / (len(pieces) - 1))
+            one.writer.write(renamed[-1])
             await _send_slowly(one, [body[at : at + size] for at in range(0, len(body), size)], CHUNK_S)
             status = (await one.answer())[0]
             one.close()
             return status
 
         async with program(tmp_path, FakeServer("s-0", _answers)) as (_, listen):
-            asked = [ask(listen, number, pieces) for number, pieces in enumerate(ways)]
-            assert await asyncio.gather(*asked) == [200] * len(ways)
+            calls = [ask(listen, number, pieces) for number, pieces in enumerate(splits)]
+            assert await asyncio.gather(*calls) == [200] * len(splits)
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
-    ("half", "word"), [(POST[:30], "_time_out"), (_MESSAGE[:20], "_settle")], ids=[HTTP, MSGPACK_RPC]
+    ("half", "method"), [(POST[:30], "_time_out"), (_MESSAGE[:20], "_settle")], ids=[HTTP, MSGPACK_RPC]
 )
-def test_a_stopped_client_that_leaves_in_the_moment_of_its_word_is_no_defect(half: bytes, word: str) -> None:
-    # Found by the soak: what is written to a client that has just closed is answered by a reset, and then our side
-    # can't be ended any more.
-    async def scene() -> None:
+def test_a_stopped_client_that_leaves_as_its_error_is_written_causes_no_exception(
+    half: bytes, method: str
+) -> None:
+    # What is written to a client that has just closed is answered by a reset, after which shutting down the socket
+    # fails.
+    async def scenario() -> None:
         async with world(_answers) as w:
             sock = socket.create_connection(w.sidecar.listener.address)
             sock.sendall(half)
-            await until(lambda: [each.state for each in w.sidecar.listener.connections] == [READING_HEAD])
+            await until(
+                lambda: [connection.state for connection in w.sidecar.listener.connections] == [READING_HEAD]
+            )
             (connection,) = w.sidecar.listener.connections
-            sock.close()  # before the loop has had a turn to hear of it
-            if word == "_settle":
+            sock.close()  # before the event loop can notice it
+            if method == "_settle":
                 connection._sock.send(b"x")
-            getattr(connection, word)()
+            getattr(connection, method)()
             await until(lambda: not w.sidecar.listener.connections)
 
-    play(scene())
+    play(scenario())
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,9 +1,9 @@
-"""The list of known failures holds to its form, and what is on it is run."""
+"""The list of known failures is valid, and an invalid one is rejected."""
 
 from __future__ import annotations
 
 import pytest
-from known_red import BadList, parse, read
+from known_red import InvalidListError, parse, read
 
 LINE = "tests/test_known_red.py::test_the_list_as_it_stands_can_be_read | none | 0"
 
@@ -13,11 +13,11 @@
 
 
 def test_a_line_names_a_test_with_all_its_cases_or_one_of_them() -> None:
-    (every,) = parse(f"# a comment\n\n{LINE}\n")
-    (one,) = parse(LINE.replace(" |", "[a] |", 1))
+    (all_cases,) = parse(f"# a comment\n\n{LINE}\n")
+    (one_case,) = parse(LINE.replace(" |", "[a] |", 1))
     named = "tests/test_known_red.py::test_the_list_as_it_stands_can_be_read"
-    assert every.covers(named) and every.covers(f"{named}[b]") and one.covers(f"{named}[a]")
-    assert not one.covers(f"{named}[b]") and not every.covers(f"{named}_too")
+    assert all_cases.covers(named) and all_cases.covers(f"{named}[b]") and one_case.covers(f"{named}[a]")
+    assert not one_case.covers(f"{named}[b]") and not all_cases.covers(f"{named}_too")
 
 
 @pytest.mark.parametrize(
@@ -30,6 +30,6 @@
     ],
     ids=["no cause", "no file", "no test", "four"],
 )
-def test_a_list_that_does_not_hold_to_its_form_is_refused(text: str) -> None:
-    with pytest.raises(BadList):
+def test_an_invalid_list_is_rejected(text: str) -> None:
+    with pytest.raises(InvalidListError):
         parse(text)
--- a/tests/test_other_deployments.py
+++ b/tests/test_other_deployments.py
@@ -81,66 +81,67 @@
     }
 
 
-def test_the_two_differ_as_the_users_ask() -> None:
-    sites = [read(each) for each in SITES]
-    assert sorted(each["discovery"]["mode"] for each in sites) == ["ask", "push"]
-    shortest, longest = sorted(sites, key=lambda each: max(one["deadline_ms"] for one in each["class"]))
-    assert {one["effect"] for one in shortest["class"]} == set(REPEATS)
-    assert max(one["deadline_ms"] for one in shortest["class"]) < 500
-    assert min(one["deadline_ms"] for one in longest["class"]) >= 9000
-
-
-@pytest.mark.parametrize("path", SITES, ids=lambda each: each.stem)
-def test_one_request_of_each_class_is_served_and_reaches_a_node_once(path: Path, tmp_path: Path) -> None:
+def test_the_two_deployments_differ_in_discovery_effects_and_deadlines() -> None:
+    sites = [read(path) for path in SITES]
+    assert sorted(site["discovery"]["mode"] for site in sites) == ["ask", "push"]
+    by_deadline = sorted(sites, key=lambda site: max(row["deadline_ms"] for row in site["class"]))
+    shortest, longest = by_deadline
+    assert {row["effect"] for row in shortest["class"]} == set(REPEATS)
+    assert max(row["deadline_ms"] for row in shortest["class"]) < 500
+    assert min(row["deadline_ms"] for row in longest["class"]) >= 9000
+
+
+@pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
+def test_one_request_of_each_class_is_served_and_reaches_a_server_once(path: Path, tmp_path: Path) -> None:
     site = read(path)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         server = FakeServer("s-0", lambda *_: answer(200, b"served"))
         async with program(tmp_path, server, settings=settings_of(site)) as (process, listen):
-            for number, each in enumerate(site["class"]):
-                one = request(
-                    each["name"],
-                    body=b"" if each["effect"] == "safe" else b"x",
-                    budget=f"{each['deadline_ms'] / 1000:.3f}",
-                    method="GET" if each["effect"] == "safe" else "POST",
+            for number, row in enumerate(site["class"]):
+                data = request(
+                    row["name"],
+                    body=b"" if row["effect"] == "safe" else b"x",
+                    budget=f"{row['deadline_ms'] / 1000:.3f}",
+                    method="GET" if row["effect"] == "safe" else "POST",
                     X_Call_Id=f"id-{number}",
                     X_Caller=site["tenant"][0]["name"],
-                    Idempotency_Key="5c0f6e1a" if each["effect"] == "keyed" else None,
+                    Idempotency_Key="5c0f6e1a" if row["effect"] == "keyed" else None,
                 )
-                assert (await ask(listen, one))[::2] == (200, b"served"), each["name"]
+                assert (await ask(listen, data))[::2] == (200, b"served"), row["name"]
             ids = [headers["x-call-id"] for _, headers, _ in server.requests]
             assert ids == [f"id-{number}" for number in range(len(site["class"]))]
             process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
 
-    play(scene())
+    play(scenario())
 
 
-def _texts(source: str) -> set[str]:
-    """What a program compares or looks up: its texts, but for those that explain."""
+def _constants(source: str) -> set[str]:
+    """Return the string and other constants of a program, except its docstrings."""
     tree = ast.parse(source)
-    explain = {
+    docstrings = {
         node.body[0].value
         for node in ast.walk(tree)
         if isinstance(node, ast.Module | ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef)
         and node.body
         and isinstance(node.body[0], ast.Expr)
     }
-    found = set()
+    constants = set()
     for node in ast.walk(tree):
-        if isinstance(node, ast.Constant) and node not in explain:
+        if isinstance(node, ast.Constant) and node not in docstrings:
             value = node.value
-            found.add(value.decode("latin-1") if isinstance(value, bytes) else str(value))
-    return found
+            constants.add(value.decode("latin-1") if isinstance(value, bytes) else str(value))
+    return constants
 
 
 def known_names() -> set[str]:
-    """Classes, tenants, sites, zones and kinds of any deployment that this repository has heard of."""
-    found = set(CLASSES)
+    """Return the classes, tenants, sites, zones and kinds of all deployments known to this repository."""
+    names = set(CLASSES)
     for site in map(read, SITES):
-        found |= {site["name"], site["tier"][0]["name"], *site["net"]["zones"]}
-        found |= {each["name"] for each in (*site["class"], *site["tenant"], *site["tier"][0]["kind"])}
-    return found
+        names |= {site["name"], site["tier"][0]["name"], *site["net"]["zones"]}
+        names |= {row["name"] for row in (*site["class"], *site["tenant"], *site["tier"][0]["kind"])}
+    return names
 
 
 def test_no_name_of_a_deployment_decides_anything() -> None:
@@ -148,16 +149,16 @@
     assert files
     for file in files:
         source = file.read_text(encoding="utf-8")
-        assert not _texts(source) & known_names(), file
-        assert not [each for each in NAMES if each in source.lower()], file
-    assert not _texts((ROOT / "deploy/compile.py").read_text(encoding="utf-8")) & known_names()
+        assert not _constants(source) & known_names(), file
+        assert not [name for name in NAMES if name in source.lower()], file
+    assert not _constants((ROOT / "deploy/compile.py").read_text(encoding="utf-8")) & known_names()
     for name in ("balancer.toml", "operator.toml", "build.sh"):
         text = (ROOT / "deploy" / name).read_text(encoding="utf-8")
-        assert not [each for each in NAMES if each in text.lower()], name
-        said = "\n".join(line.partition("#")[0] for line in text.splitlines())
-        assert not set(re.findall(r"[\w-]+", said)) & known_names(), name
+        assert not [word for word in NAMES if word in text.lower()], name
+        code = "\n".join(line.partition("#")[0] for line in text.splitlines())
+        assert not set(re.findall(r"[\w-]+", code)) & known_names(), name
 
 
 def test_the_search_finds_a_planted_name() -> None:
-    assert "lodge" in _texts('"""Of lodge."""\nif kind == "lodge":\n    pass\n')
-    assert "lodge" not in _texts('"""lodge"""\n')
+    assert "lodge" in _constants('"""Of lodge."""\nif kind == "lodge":\n    pass\n')
+    assert "lodge" not in _constants('"""lodge"""\n')
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,4 +1,4 @@
-"""Bodies of any size, in pieces cut anywhere, over loopback: what is passed on is what came, and has one end."""
+"""Bodies of any size, in pieces cut anywhere, over loopback: they are forwarded unchanged and end exactly once."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 async def head_and_rest(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
-    """A client's view of an answer: its head, and all that follows until the connection ends."""
+    """Read a response as a client: its head, and all that follows until the connection ends."""
     head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
     rest = b""
     with contextlib.suppress(ConnectionError):
@@ -35,7 +35,7 @@
 
 
 def unchunked(data: bytes) -> tuple[bytes, bool]:
-    """What chunks hold, and whether the last one is there."""
+    """Return the body of a chunked message, and whether its last chunk is there."""
     body = b""
     while found := re.match(rb"([0-9a-f]+)\r\n", data):
         size = int(found[1], 16)
@@ -47,10 +47,10 @@
 
 
 @contextlib.asynccontextmanager
-async def held_answer(
+async def begun_response(
     *parts: bytes,
 ) -> AsyncIterator[tuple[asyncio.StreamReader, asyncio.StreamWriter, FakeServer]]:
-    """A client that has asked, and a server that has begun to answer with these bytes."""
+    """A client with a request, and a server that has begun its response with these bytes."""
     async with world(lambda *_: None) as w:
         reader, writer = await asyncio.open_connection(*w.sidecar.listener.address, limit=2**25)
         writer.write(request("pay", body=b"x", Connection="close"))
@@ -68,8 +68,8 @@
     "size", [CHUNK_BYTES - 1, CHUNK_BYTES, CHUNK_BYTES + 1, 2 * CHUNK_BYTES, 3 * CHUNK_BYTES + 5]
 )
 @pytest.mark.parametrize("step", [1000, 65536, 10**9])
-def test_a_request_of_any_size_reaches_its_node_as_it_came(size: int, step: int) -> None:
-    async def scene() -> None:
+def test_a_request_of_any_size_reaches_its_server_unchanged(size: int, step: int) -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             body = BIG[:size]
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
@@ -81,11 +81,11 @@
             assert w.sent()[0][2] == body
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_chunks_with_extensions_and_trailers_are_one_body() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             head = request("pay", Content_Length=None, Transfer_Encoding="chunked")
@@ -96,10 +96,10 @@
             assert w.sent()[0][2] == BIG
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_large_request_goes_whole_to_the_next_node_where_the_first_turns_it_away() -> None:
+def test_a_large_request_is_sent_completely_to_the_next_server_if_the_first_rejects_it() -> None:
     def script(first: str, *_: object) -> bytes:
         return answer(503, b"", X_Rejected="1") if len(seen) == 1 else answer(200, b"second")
 
@@ -109,7 +109,7 @@
         seen.append(hashlib.sha256(body).hexdigest())
         return script(first)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(counted, counted) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(request("pay", body=BIG))
@@ -118,11 +118,11 @@
             assert seen == [hashlib.sha256(BIG).hexdigest()] * 2
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
-def test_the_spool_is_empty_again_once_requests_are_over_or_broken_off() -> None:
-    async def scene() -> None:
+def test_the_spool_is_empty_again_after_requests_have_ended_or_were_aborted() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             spool = w.sidecar.listener.callbacks.spool
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
@@ -139,11 +139,11 @@
             await until(lambda: not spool.used_bytes)
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
-def test_without_room_a_large_request_is_refused_and_small_ones_are_served() -> None:
-    async def scene() -> None:
+def test_with_a_full_spool_a_large_request_is_rejected_and_small_ones_are_served() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             w.sidecar.listener.callbacks.spool = Spool(None, CHUNK_BYTES)
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
@@ -152,10 +152,10 @@
             assert not w.sent() and (await w.ask())[0] == 200
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_spool_uses_its_chunks_again_and_keeps_its_bound() -> None:
+def test_a_spool_reuses_its_chunks_within_its_limit() -> None:
     spool = Spool(None, 3 * CHUNK_BYTES)
     intake = BodyBuffer(spool)
     intake.append(BIG[: 2 * CHUNK_BYTES + 5])
@@ -173,35 +173,35 @@
     spool.close()
 
 
-# -- Answers ------------------------------------------------------------------------------------------
+# -- Responses ------------------------------------------------------------------------------------------
 
 
-def test_a_large_answer_is_passed_on_from_its_first_bytes_on() -> None:
-    async def scene() -> None:
-        told = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BIG)
-        async with held_answer(told + BIG[:10]) as (reader, _, server):
-            head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
-            assert b"Content-Length: %d" % len(BIG) in head
+def test_a_large_response_is_forwarded_from_its_first_bytes_on() -> None:
+    async def scenario() -> None:
+        head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BIG)
+        async with begun_response(head + BIG[:10]) as (reader, _, server):
+            forwarded = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
+            assert b"Content-Length: %d" % len(BIG) in forwarded
             assert await asyncio.wait_for(reader.readexactly(10), PATIENCE_S) == BIG[:10]
             server.writers[-1].write(BIG[10:])
             assert await asyncio.wait_for(reader.readexactly(len(BIG) - 10), PATIENCE_S) == BIG[10:]
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize("step", [7001, 10**9])
-def test_a_large_answer_in_chunks_is_passed_on_in_chunks(step: int) -> None:
-    async def scene() -> None:
+def test_a_large_response_in_chunks_is_forwarded_in_chunks(step: int) -> None:
+    async def scenario() -> None:
         chunks = [BIG[at : at + step] for at in range(0, len(BIG), step)]
         coded = b"".join(b"%x\r\n%b\r\n" % (len(each), each) for each in chunks) + b"0\r\n\r\n"
-        async with held_answer(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", coded) as (
+        async with begun_response(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", coded) as (
             reader,
             *_,
         ):
             head, rest = await head_and_rest(reader)
             assert b"chunked" in head and unchunked(rest) == (BIG, True)
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
@@ -211,67 +211,67 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
     ],
 )
-def test_a_large_answer_that_breaks_off_is_cut_so_that_the_client_can_tell(head: bytes) -> None:
-    async def scene() -> None:
+def test_a_large_response_that_breaks_off_is_cut_so_that_the_client_notices(head: bytes) -> None:
+    async def scenario() -> None:
         chunked = b"chunked" in head
         data = b"%x\r\n%b\r\n" % (len(BIG), BIG) if chunked else BIG
         first = head if chunked else head % (len(BIG) + 1)
-        async with held_answer(first + data) as (reader, _, server):
+        async with begun_response(first + data) as (reader, _, server):
             await asyncio.sleep(0.05)
             server.writers[-1].close()
             _, rest = await head_and_rest(reader)
             assert not unchunked(rest)[1] if chunked else len(rest) <= len(BIG)
 
-    play(scene())
+    play(scenario())
 
 
-def test_an_answer_that_says_it_ends_with_its_connection_is_whole_at_its_end() -> None:
-    async def scene() -> None:
+def test_a_response_that_ends_with_its_connection_as_announced_is_complete() -> None:
+    async def scenario() -> None:
         for body in (b"small", BIG):
             data = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body
-            async with held_answer(data) as (reader, _, server):
+            async with begun_response(data) as (reader, _, server):
                 await asyncio.sleep(0.02)
                 server.writers[-1].close()
                 head, rest = await head_and_rest(reader)
-                whole = unchunked(rest) if b"chunked" in head else (rest, True)
-                assert whole == (body, True)
+                received = unchunked(rest) if b"chunked" in head else (rest, True)
+                assert received == (body, True)
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_client_that_stops_reading_holds_up_its_own_answer_alone() -> None:
-    async def scene() -> None:
+def test_a_client_that_stops_reading_delays_its_own_response_alone() -> None:
+    async def scenario() -> None:
         size = 32 * 1024 * 1024
-        async with held_answer(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size) as (
+        async with begun_response(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size) as (
             reader,
             writer,
             server,
         ):
             assert isinstance(writer.transport, asyncio.Transport)
             writer.transport.pause_reading()
-            giving = server.writers[-1]
+            sending = server.writers[-1]
             for _ in range(size // CHUNK_BYTES):
-                giving.write(bytes(CHUNK_BYTES))
+                sending.write(bytes(CHUNK_BYTES))
             before = -1
-            while before != giving.transport.get_write_buffer_size():  # until nothing moves any more
-                before = giving.transport.get_write_buffer_size()
+            while before != sending.transport.get_write_buffer_size():  # until the buffers are full
+                before = sending.transport.get_write_buffer_size()
                 await asyncio.sleep(0.2)
-            assert before > 0  # the kernel holds a few MB, the sidecar a piece
+            assert before > 0  # the kernel buffers a few MB, the sidecar a piece
             writer.transport.resume_reading()
             await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
             assert len(await asyncio.wait_for(reader.readexactly(size), PATIENCE_S)) == size
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize("ends", [False, True])
-def test_the_last_piece_of_a_large_answer_waits_for_a_client_that_reads_slowly(
+def test_the_last_piece_of_a_large_response_waits_for_a_client_that_reads_slowly(
     ends: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against cutting off what the node gave: its end is here long before a slow client has taken it.
+    # Guards against a response cut at its end: the server has sent it all long before a slow client has read it.
     monkeypatch.setitem(STATE_LIMITS_S, ConnectionState.CLOSING, 0.1)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(lambda *_: None) as w:
             size = 1024 * 1024
             sock = socket.socket()
@@ -280,27 +280,27 @@
             reader, writer = await asyncio.open_connection(sock=sock, limit=1024)
             writer.write(request("pay", body=b"x", **({"Connection": "close"} if ends else {})))
             await until(w.sent)
-            # A small buffer, so that the last piece is sure to wait here.
-            taking = w.sidecar.listener.connections[0]
-            taking._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            giving = w.servers[0].writers[-1]
-            giving.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + bytes(size))
+            # A small buffer, so that the last piece is sure to wait in the sidecar.
+            client_side = w.sidecar.listener.connections[0]
+            client_side._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            sending = w.servers[0].writers[-1]
+            sending.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + bytes(size))
             head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
             assert b"%d" % size in head
             took = 0
-            while taking._stream is not None:  # type: ignore[attr-defined]
+            while client_side._stream is not None:  # type: ignore[attr-defined]
                 took += len(await asyncio.wait_for(reader.read(4096), PATIENCE_S))
-            await asyncio.sleep(0.5)  # the node's end is here, and the rest waits
+            await asyncio.sleep(0.5)  # the server has sent all, and the rest waits
             took += len(await asyncio.wait_for(reader.readexactly(size - took), PATIENCE_S))
             assert took == size
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_client_that_leaves_in_the_middle_ends_what_its_node_still_gives() -> None:
-    async def scene() -> None:
-        async with held_answer(b"HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n") as (
+def test_a_client_that_leaves_in_the_middle_of_its_response_closes_the_server_connection() -> None:
+    async def scenario() -> None:
+        async with begun_response(b"HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n") as (
             reader,
             writer,
             server,
@@ -309,39 +309,39 @@
             writer.transport.abort()
             await until(lambda: server.closed)
 
-    play(scene())
+    play(scenario())
 
 
-def test_an_answer_of_unknown_length_that_comes_slowly_is_passed_on_before_64_kib_are_here() -> None:
-    async def scene() -> None:
+def test_a_slow_response_of_unknown_length_is_forwarded_before_64_kib_have_arrived() -> None:
+    async def scenario() -> None:
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-        async with held_answer(head, b"5\r\nfirst\r\n") as (reader, _, server):
+        async with begun_response(head, b"5\r\nfirst\r\n") as (reader, _, server):
             await asyncio.wait_for(reader.readuntil(b"5\r\nfirst\r\n"), PATIENCE_S)
             server.writers[-1].write(b"4\r\nlast\r\n0\r\n\r\n")
             assert (await asyncio.wait_for(reader.read(), PATIENCE_S)).endswith(b"4\r\nlast\r\n0\r\n\r\n")
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize("body", [b"perhaps all", BIG], ids=["small", "large"])
-def test_a_slow_answer_whose_end_cannot_be_told_is_not_passed_on(body: bytes) -> None:
-    # Guards rule 1: it ends with its connection, says nothing of that, and may have been cut short.
-    async def scene() -> None:
-        async with held_answer(b"HTTP/1.1 200 OK\r\n\r\n", body) as (reader, _, server):
+def test_a_slow_response_without_a_recognizable_end_is_not_forwarded(body: bytes) -> None:
+    # Guards against a truncated response: it ends with its connection without announcing that, perhaps too early.
+    async def scenario() -> None:
+        async with begun_response(b"HTTP/1.1 200 OK\r\n\r\n", body) as (reader, _, server):
             await asyncio.sleep(0.1)
             server.writers[-1].close()
-            got = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
-            assert got.startswith(b"HTTP/1.1 500 ")
+            response = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
+            assert response.startswith(b"HTTP/1.1 500 ")
 
-    play(scene())
+    play(scenario())
 
 
-def test_an_answer_without_end_is_ended_in_time_however_it_drips(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_response_that_drips_without_end_is_ended_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection, "_STREAM_S", 0.3)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-        async with held_answer(head, b"1\r\nx\r\n") as (reader, _, server):
+        async with begun_response(head, b"1\r\nx\r\n") as (reader, _, server):
 
             async def drip() -> None:
                 while not server.writers[-1].is_closing():
@@ -353,24 +353,24 @@
             assert rest and not unchunked(rest)[1]
             dripping.cancel()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
     ("limit", "begun"),
     [
         ("HEAD_LIMIT_S", b"GET /api/1 HTTP/1.1\r\nX-Long: "),
-        ("STALL_LIMIT_S", request("pay", Content_Length="99999")),  # behind it a body has a least pace
+        ("STALL_LIMIT_S", request("pay", Content_Length="99999")),  # after it a body has a minimum rate
         ("REQUEST_LIMIT_S", request("pay", Content_Length="99999")),
     ],
 )
-def test_a_request_that_drips_is_turned_away_in_time(
+def test_a_request_that_drips_is_rejected_in_time(
     limit: str, begun: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards connections against clients that send a byte before each limit.
+    # Guards connections against clients that send a byte before each time limit.
     monkeypatch.setattr(connection_states, limit, 0.2)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(begun)
@@ -383,23 +383,23 @@
             assert (await asyncio.wait_for(answered, PATIENCE_S)).startswith(b"HTTP/1.1 408 ")
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_refusal_in_chunks_that_comes_slowly_is_still_a_refusal() -> None:
-    async def scene() -> None:
+def test_a_slow_rejection_in_chunks_is_still_a_rejection() -> None:
+    async def scenario() -> None:
         head = b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n"
-        async with held_answer(head) as (reader, _, server):
+        async with begun_response(head) as (reader, _, server):
             await asyncio.sleep(0.1)
             server.writers[-1].write(b"0\r\n\r\n")
-            got = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
-            assert got.startswith(b"HTTP/1.1 503 ")
+            response = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
+            assert response.startswith(b"HTTP/1.1 503 ")
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_client_of_http_1_0_gets_a_large_answer_until_the_connection_ends() -> None:
-    async def scene() -> None:
+def test_a_client_of_http_1_0_gets_a_large_response_until_the_connection_ends() -> None:
+    async def scenario() -> None:
         async with world(lambda *_: None) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(request("pay", body=b"x").replace(b"HTTP/1.1", b"HTTP/1.0"))
@@ -410,14 +410,14 @@
             assert b"chunked" not in head and rest == BIG
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 # -- Forms --------------------------------------------------------------------------------------------
 
 
-def test_every_cut_of_a_request_reads_the_same() -> None:
-    async def scene() -> None:
+def test_a_request_cut_anywhere_reads_the_same() -> None:
+    async def scenario() -> None:
         async with world(lambda first, head, body: answer(200, body)) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             chunked = request("pay", Content_Length=None, Transfer_Encoding="chunked")
@@ -441,11 +441,11 @@
             assert all(first.split()[1].startswith("/api") for first, *_ in w.sent())
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
-def test_headers_that_a_client_names_as_its_connections_own_are_not_passed_on() -> None:
-    async def scene() -> None:
+def test_headers_named_in_connection_are_not_forwarded() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(request("pay", body=b"x", Connection="keep-alive, X-Hop", X_Hop="1", X_Kept="2"))
@@ -454,11 +454,11 @@
             assert "x-hop" not in headers and headers["x-kept"] == "2"
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_head_that_takes_two_seconds_is_waited_for() -> None:
-    async def scene() -> None:
+def test_a_head_that_takes_two_seconds_is_accepted() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             data = request("pay", body=b"x")
@@ -468,4 +468,4 @@
             assert (await read_answer(reader))[0] == 200
             writer.close()
 
-    play(scene())
+    play(scenario())
