--- a/benchmarks/cluster_cost.py
+++ b/benchmarks/cluster_cost.py
@@ -24,12 +24,19 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.forward_cost import OUT, ROOT, SETTINGS, WARM_S, process, until_up
+from benchmarks.forward_cost import (
+    REQUESTS_IN_FLIGHT,
+    ROOT,
+    SETTINGS,
+    WARMUP_S,
+    process,
+    wait_until_listening,
+)
 from benchmarks.load import Load, cpu_s
 from testbed.cluster.synthetic_peers import SyntheticPeers
-from testbed.ports import free, own_host
+from testbed.ports import free_addresses, private_loopback_host
 from testbed.registry import Registry
-from testbed.wire import HTTP, Address, place
+from testbed.wire import HTTP, Address, format_address
 from topazbank.cluster.__main__ import fetch_status
 
 SETTLE_S = 3.0
@@ -74,14 +81,14 @@
     settings = SETTINGS | {"groupSize": len(peers), "me": 0}
     settings["bounds"] = SETTINGS["bounds"] | {"mayTell": True}
     return {
-        "listen": place(listen),
-        "discovery": place(registry),
+        "listen": format_address(listen),
+        "discovery": format_address(registry),
         "seed": "8c1f",
         "settings": settings,
         "known": {"index": 1, "snapshot": True, "endpoints": endpoints},
         "limits": {"sockets": 1024},
-        "peer_listen": place(peers[0]),
-        "peers": [place(peer) for peer in peers],
+        "peer_listen": format_address(peers[0]),
+        "peers": [format_address(peer) for peer in peers],
     }
 
 
@@ -90,7 +97,7 @@
     on: bool, peers: Sequence[Address], registry: Address, ports: Sequence[int], folder: Path
 ) -> Iterator[tuple[int, Address]]:
     """Run the sidecar, number 0 of these peers; yield its process id and its address."""
-    (listen,) = free(own_host(), 1)
+    (listen,) = free_addresses(private_loopback_host(), 1)
     configuration = _configuration(listen, peers, registry, ports)
     (folder / "relay.json").write_text(json.dumps(configuration), encoding="utf-8")
     operator_file = folder / "operator.toml"
@@ -112,13 +119,13 @@
     registry = Registry()
     registry.index = 1
     await registry.start()
-    (gossip_address,) = free(own_host(), 1, socket.SOCK_DGRAM)
+    (gossip_address,) = free_addresses(private_loopback_host(), 1, socket.SOCK_DGRAM)
     peers = SyntheticPeers(size, gossip_address)
     await peers.start()
     try:
         addresses = [gossip_address, *peers.addresses]
         with sidecar(on, addresses, registry.address, ports, folder) as (pid, listen):
-            await until_up(listen)
+            await wait_until_listening(listen)
             await peers.introduce()
             await asyncio.sleep(SETTLE_S)
             cpu_before_s = cpu_s(pid)
@@ -127,7 +134,7 @@
             memory_mb = resident_mb(pid)
             members = 0
             if on:
-                members = (await asyncio.to_thread(fetch_status, place(listen)))["at_most"]
+                members = (await asyncio.to_thread(fetch_status, format_address(listen)))["at_most"]
             return Cost(rest_ms, memory_mb, await _request_us(pid, listen, arguments.seconds), members)
     finally:
         peers.stop()
@@ -136,13 +143,13 @@
 
 async def _request_us(pid: int, listen: Address, seconds: float) -> float:
     """Return the CPU time of a request under load."""
-    load = Load(HTTP, listen, OUT, 1)
+    load = Load(HTTP, listen, REQUESTS_IN_FLIGHT, 1)
     await load.start()
-    await asyncio.sleep(WARM_S)
-    load.got.clear()
+    await asyncio.sleep(WARMUP_S)
+    load.statuses.clear()
     cpu_before_s = cpu_s(pid)
     await asyncio.sleep(seconds)
-    spent_s, served = cpu_s(pid) - cpu_before_s, load.got[200]
+    spent_s, served = cpu_s(pid) - cpu_before_s, load.statuses[200]
     load.running = False
     return 1e6 * spent_s / max(served, 1)
 
--- a/benchmarks/planners.py
+++ b/benchmarks/planners.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Any
 
-from testbed.fleet.harness import Rig, until
+from testbed.fleet.harness import FleetHarness, wait_until
 from topazbank.balancing.events import ServerDescription, ServerState
 from topazbank.core.endpoint_source import DiscoveredServer, EndpointList, SourceStatus
 from topazbank.core.net import Address, parse_address
@@ -37,29 +37,29 @@
 # -- Failover ----------------------------------------------------------------------------------------
 
 
-def all_follow(rig: Rig) -> bool:
-    return rig.leader() is not None and min(rig.trusts()) > 0.85
+def all_follow(rig: FleetHarness) -> bool:
+    return rig.leader() is not None and min(rig.plan_trusts()) > 0.85
 
 
 async def measure_failover(times: int, session_s: float, by_rank: bool) -> int:
     durations_s = []
     for number in range(times):
-        rig = Rig(planners=2, nodes=4, seed=number + 1, session_s=session_s, by_rank=by_rank)
+        rig = FleetHarness(planners=2, backends=4, seed=number + 1, session_s=session_s, by_rank=by_rank)
         await rig.start()
-        await until(partial(all_follow, rig))
+        await wait_until(partial(all_follow, rig))
         first = rig.leader()
         assert first is not None
         started_s = time.monotonic()
         rig.kill_planner(first)
 
-        def followed(rig: Rig = rig, name: str = f"p-{1 - first}") -> bool:
+        def followed(rig: FleetHarness = rig, name: str = f"p-{1 - first}") -> bool:
             statuses = [rig.following(number) for number in range(len(rig.processes))]
             return all(
                 status is not None and status.planner == name and status.plan_age_us is not None
                 for status in statuses
             )
 
-        await until(followed)
+        await wait_until(followed)
         durations_s.append(time.monotonic() - started_s)
         await rig.stop()
         if number % 10 == 9:
--- a/testbed/cluster/__main__.py
+++ b/testbed/cluster/__main__.py
@@ -20,7 +20,7 @@
 from testbed.cluster.invariants import FaultRecord, Outcome
 from testbed.cluster.scenarios import SCENARIOS
 from testbed.cluster.virtual_time import VirtualCluster
-from testbed.fleet.invariants import Verdicts
+from testbed.fleet.invariants import InvariantReport
 
 HEADER = (
     f"{'scenario':<22}{'seed':>5}{'false dead':>11}{'known s':>9}{'equal s':>9}{'suspected':>10}{'flaps':>7}"
@@ -28,7 +28,7 @@
 CALLS_HEADER = f"{'calls':>8}{'served':>9}{'lost':>6}{'rules':>7}"
 
 
-def result_line(name: str, seed: int, outcome: Outcome, verdicts: Verdicts | None) -> str:
+def result_line(name: str, seed: int, outcome: Outcome, verdicts: InvariantReport | None) -> str:
     """Return a scenario's line of the table."""
     known = f"{max(outcome.detection_s):.2f}" if outcome.detection_s else "-"
     equal = f"{outcome.convergence_s:.2f}" if outcome.convergence_s is not None else "never"
@@ -37,8 +37,8 @@
         f"{outcome.suspicions:>10}{outcome.flaps:>7}"
     )
     if verdicts is not None:
-        lost, rules = verdicts.counts["lost"], len(verdicts.broken)
-        line += f"{verdicts.calls:>8}{verdicts.served:>9.2%}{lost:>6}{rules:>7}"
+        lost, rules = verdicts.outcomes["lost"], len(verdicts.violations)
+        line += f"{verdicts.call_count:>8}{verdicts.served_ratio:>9.2%}{lost:>6}{rules:>7}"
     return line
 
 
@@ -68,7 +68,7 @@
                 outcome, verdicts = await harness.run_scenario(scenario)
                 print(result_line(name, seed, outcome, verdicts), flush=True)
                 _write_notes(arguments.notes, name, seed, harness.applied)
-                wrong = outcome.violations + verdicts.broken
+                wrong = outcome.violations + verdicts.violations
                 failures += [f"{name}, {violation}, seed {seed}" for violation in wrong]
         finally:
             await harness.stop()
--- a/testbed/cluster/harness.py
+++ b/testbed/cluster/harness.py
@@ -12,9 +12,9 @@
 from testbed.cluster.process_faults import FaultyProcesses, interrupts_calls
 from testbed.cluster.processes import START_TIMEOUT_S, now
 from testbed.cluster.scenarios import Scenario
-from testbed.fleet.calling import Clients
-from testbed.fleet.invariants import Verdicts
-from testbed.fleet.invariants import judge as judge_rules
+from testbed.fleet.invariants import InvariantReport
+from testbed.fleet.invariants import check_invariants as judge_rules
+from testbed.fleet.load_generator import LoadGenerator
 from testbed.wire import HTTP, MSGPACK_RPC
 from topazbank.cluster.member import MemberState
 from topazbank.cluster.status import state_of_label
@@ -41,10 +41,10 @@
 
         `hammer_rate`: calls a second to all sidecars, whose answers nobody looks at.
         """
-        clients = Clients(random.Random(seed), protocols=(HTTP, MSGPACK_RPC))
+        clients = LoadGenerator(random.Random(seed), protocols=(HTTP, MSGPACK_RPC))
         super().__init__(members, seed, clients, membership_on, operator_extra)
         self._rate, self._hammer_rate = rate, hammer_rate
-        self.hammer_clients = Clients(random.Random(seed + 1), _HAMMER_PREFIX)
+        self.hammer_clients = LoadGenerator(random.Random(seed + 1), _HAMMER_PREFIX)
         self._view_changes: set[StateChange] = set()
         self.samples: list[ViewSample] = []
         self.generations: dict[int, int] = {}  # of the members that run, by their own status
@@ -105,7 +105,7 @@
 
     # -- Scenarios -------------------------------------------------------------------------------------
 
-    async def run_scenario(self, scenario: Scenario) -> tuple[Outcome, Verdicts]:
+    async def run_scenario(self, scenario: Scenario) -> tuple[Outcome, InvariantReport]:
         """Run a scenario under load and judge it; afterwards all members run again and see one another."""
         self._reset_records()
         load_ended = asyncio.Event()
@@ -150,12 +150,12 @@
         """Call the sidecars that no step touches."""
         touched = {number for step in scenario.steps if interrupts_calls(step) for number in step.members}
         untouched = [member.number for member in self.members if member.number not in touched]
-        await self.clients.load(self._rate, ended, lambda: untouched, self._listen_address)
+        await self.clients.run(self._rate, ended, lambda: untouched, self._listen_address)
 
     async def _hammer(self, ended: asyncio.Event) -> None:
         if self._hammer_rate:
             running: Callable[[], list[int]] = lambda: [member.number for member in self._running()]  # noqa: E731
-            await self.hammer_clients.load(self._hammer_rate, ended, running, self._listen_address)
+            await self.hammer_clients.run(self._hammer_rate, ended, running, self._listen_address)
 
     def _listen_address(self, number: int) -> tuple[str, int]:
         return self.members[number].listen
@@ -166,11 +166,11 @@
         changes = sorted(self._view_changes, key=lambda change: change.at)
         return judge(scenario, self.applied, changes, self.samples, self.generations)
 
-    def _judge_calls(self) -> Verdicts:
+    def _judge_calls(self) -> InvariantReport:
         lifetimes = {number: [(0.0, now())] for number in range(self.count)}
         hammer = f"{_HAMMER_PREFIX}-"
-        reached = [attempt for attempt in self._reached if not attempt.ident.startswith(hammer)]
-        runs = [run for run in self.log.runs if not run.ident.startswith(hammer)]
+        reached = [attempt for attempt in self._reached if not attempt.request_id.startswith(hammer)]
+        runs = [run for run in self.log.runs if not run.request_id.startswith(hammer)]
         return judge_rules(self.clients.calls, reached, runs, self._drain_notices, lifetimes, [])
 
     def retry_times(self) -> list[float]:
@@ -178,9 +178,9 @@
         seen: set[str] = set()
         times = []
         for attempt in self._reached:
-            if attempt.ident in seen:
+            if attempt.request_id in seen:
                 times.append(attempt.at)
-            seen.add(attempt.ident)
+            seen.add(attempt.request_id)
         return times
 
     async def _restore(self) -> None:
--- a/testbed/cluster/process_faults.py
+++ b/testbed/cluster/process_faults.py
@@ -13,8 +13,8 @@
 from testbed.cluster.invariants import FaultRecord
 from testbed.cluster.processes import Sidecar, SidecarProcesses, now
 from testbed.cluster.scenarios import TOLERATED_PAUSE_S, Step
-from testbed.fleet.calling import Clients
-from testbed.fleet.invariants import Word
+from testbed.fleet.invariants import EndpointNotice
+from testbed.fleet.load_generator import LoadGenerator
 from testbed.fleet.proxy import Proxy
 
 HANG_S = 2.0  # for which a successor that hangs is stopped
@@ -32,14 +32,19 @@
     """Processes with the faults that a scenario names."""
 
     def __init__(
-        self, members: int, seed: int, clients: Clients, membership_on: bool = True, operator_extra: str = ""
+        self,
+        members: int,
+        seed: int,
+        clients: LoadGenerator,
+        membership_on: bool = True,
+        operator_extra: str = "",
     ) -> None:
         """`clients`: told which sidecars end."""
         super().__init__(members, seed, membership_on, operator_extra)
         self.clients = clients
         self.applied: list[FaultRecord] = []
         self._began_at = now()
-        self._drain_notices: list[Word] = []
+        self._drain_notices: list[EndpointNotice] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._burners: list[asyncio.subprocess.Process] = []
 
@@ -78,7 +83,7 @@
             if step.action.startswith("tcp_"):
                 self._apply_tcp(self.proxies[target], step.action)
             elif step.action in ("refuse", "accept"):
-                self.nodes[target].lodge.draining = step.action == "refuse"
+                self.nodes[target].backend.draining = step.action == "refuse"
             elif step.action in ("drain", "undrain"):
                 self._drain(target, step.action == "drain")
 
@@ -97,7 +102,7 @@
             if step.action == "kill":
                 process.kill()
                 member.process = None
-                self.clients.leave(member.number)
+                self.clients.close_idle(member.number)
                 self._run_beside(self._reap(process))
                 return
             process.send_signal(signal.SIGSTOP)
@@ -134,7 +139,7 @@
 
     async def _leave(self, member: Sidecar, process: asyncio.subprocess.Process) -> None:
         member.process = None
-        self.clients.leave(member.number)
+        self.clients.close_idle(member.number)
         process.send_signal(signal.SIGTERM)
         await process.wait()
 
@@ -167,7 +172,7 @@
         member.process = new
         if kill_old:
             old.kill()
-            self.clients.leave(member.number)
+            self.clients.close_idle(member.number)
         await self._wait_until_up(member, new)
         if not kill_old:
             old.send_signal(signal.SIGTERM)
@@ -194,12 +199,12 @@
             proxy.heal()
 
     def _drain(self, node: int, is_draining: bool) -> None:
-        self.nodes[node].lodge.draining = is_draining
+        self.nodes[node].backend.draining = is_draining
         self.registry.put(self._entry(node))
-        name = self.nodes[node].lodge.name
+        name = self.nodes[node].backend.name
         notified_at = now() + (DRAIN_NOTICE_S if is_draining else 0.0)
         self._drain_notices += [
-            Word(notified_at, sidecar, name, not is_draining) for sidecar in range(self.count)
+            EndpointNotice(notified_at, sidecar, name, not is_draining) for sidecar in range(self.count)
         ]
 
     def _end_faults(self) -> None:
--- a/testbed/cluster/processes.py
+++ b/testbed/cluster/processes.py
@@ -15,14 +15,14 @@
 from pathlib import Path
 from typing import Any
 
-from testbed.backend import Lodge, LodgeServer, Memory, RunLog
+from testbed.backend import Backend, BackendServer, IdempotencyCache, RunLog
 from testbed.cluster.relay import Relay
 from testbed.cluster.scenarios import NODES, REGISTRY
-from testbed.fleet.invariants import Reached
+from testbed.fleet.invariants import AttemptArrival
 from testbed.fleet.proxy import Proxy
-from testbed.ports import free, own_host
+from testbed.ports import free_addresses, private_loopback_host
 from testbed.registry import Registry
-from testbed.wire import HTTP, MSGPACK_RPC, Address, Asked, place
+from testbed.wire import HTTP, MSGPACK_RPC, Address, Message, format_address
 from topazbank.cluster.__main__ import fetch_status
 
 ROOT = Path(__file__).parent.parent.parent
@@ -49,14 +49,14 @@
     return time.monotonic()
 
 
-class RecordingBackend(Lodge):
+class RecordingBackend(Backend):
     """A node that records each request that reaches it, whether it runs or not."""
 
     record: Callable[[str, str], None]
 
-    async def serve(self, asked: Asked) -> Any:
+    async def serve(self, asked: Message) -> Any:
         """Record the request and serve it."""
-        self.record(self.name, asked.ident)
+        self.record(self.name, asked.request_id)
         return await super().serve(asked)
 
 
@@ -88,15 +88,15 @@
         self.members = self._sidecars(members)
         self.relay = Relay([member.gossip_address for member in self.members], seed)
         self.registry = Registry()
-        self.nodes: list[LodgeServer] = []
+        self.nodes: list[BackendServer] = []
         self.proxies: dict[int, Proxy] = {}  # before the nodes by number, and before REGISTRY
         self.log = RunLog()
-        self._reached: list[Reached] = []
+        self._reached: list[AttemptArrival] = []
 
     def _sidecars(self, members: int) -> list[Sidecar]:
-        host = own_host()
-        listens = free(host, 3 * members)  # for clients, and two for the admin addresses
-        gossip_addresses = free(host, members, socket.SOCK_DGRAM)
+        host = private_loopback_host()
+        listens = free_addresses(host, 3 * members)  # for clients, and two for the admin addresses
+        gossip_addresses = free_addresses(host, members, socket.SOCK_DGRAM)
         sidecars = []
         for number in range(members):
             folder = self.folder / str(number)
@@ -123,7 +123,7 @@
         await self.relay.start()
         await self.registry.start()
         await self._add_proxy(REGISTRY, self.registry.address)
-        memories = [Memory(), Memory()]
+        memories = [IdempotencyCache(), IdempotencyCache()]
         for number in range(NODES):
             await self._start_node(number, memories[number % 2])
         on = "true" if self.membership_on else "false"
@@ -131,13 +131,18 @@
         (self.folder / "operator.toml").write_text(operator_file)
         await asyncio.gather(*(self._launch(member) for member in self.members))
 
-    async def _start_node(self, number: int, memory: Memory) -> None:
+    async def _start_node(self, number: int, memory: IdempotencyCache) -> None:
         pod = number % 2
         backend = self.node_class(
-            f"n-{number}", self.log, now, 1.0, work=lambda asked: WORK_S[asked.kind], memory=memory
+            f"n-{number}",
+            self.log,
+            now,
+            1.0,
+            work=lambda asked: WORK_S[asked.request_class],
+            idempotency_cache=memory,
         )
-        backend.record = lambda node, ident: self._reached.append(Reached(now(), node, ident))
-        server = LodgeServer(backend, (HTTP, MSGPACK_RPC)[pod], pod + 1)
+        backend.record = lambda node, ident: self._reached.append(AttemptArrival(now(), node, ident))
+        server = BackendServer(backend, (HTTP, MSGPACK_RPC)[pod], pod + 1)
         await server.start()
         self.nodes.append(server)
         await self._add_proxy(number, server.address)
@@ -149,7 +154,7 @@
         await self.proxies[target].start()
 
     def _entry(self, node: int) -> dict[str, Any]:
-        return self.nodes[node].entry(address=place(self.proxies[node].address))
+        return self.nodes[node].registry_entry(address=format_address(self.proxies[node].address))
 
     async def stop(self) -> None:
         """End all processes and servers."""
@@ -163,22 +168,22 @@
             proxy.stop()
         self.registry.stop()
         for node in self.nodes:
-            node.die()
+            node.kill()
         self._temporary_folder.cleanup()
 
     # -- One process -----------------------------------------------------------------------------------
 
     def _configuration(self, member: Sidecar) -> Path:
         """Write a member's configuration; return its path."""
-        peers = [place(address) for address in self.relay.addresses]
-        peers[member.number] = place(member.gossip_address)
+        peers = [format_address(address) for address in self.relay.addresses]
+        peers[member.number] = format_address(member.gossip_address)
         configuration = json.loads(EXAMPLE.read_text(encoding="utf-8"))
         configuration["settings"] |= {"groupSize": self.configured_fleet_size, "me": member.number}
         configuration["settings"]["bounds"] |= {"mayTell": True}
         configuration |= {
-            "listen": place(member.listen),
-            "discovery": place(self.proxies[REGISTRY].address),
-            "peer_listen": place(member.gossip_address),
+            "listen": format_address(member.listen),
+            "discovery": format_address(self.proxies[REGISTRY].address),
+            "peer_listen": format_address(member.gossip_address),
             "peers": peers,
             "seed": f"{member.number + 1:016x}",
         }
@@ -203,8 +208,8 @@
     async def _spawn(self, member: Sidecar) -> asyncio.subprocess.Process:
         env = os.environ | {
             "RELAY_CONFIG": str(self._configuration(member)),
-            "RELAY_LISTEN": place(member.listen),
-            "RELAY_OPERATOR": place(member.admin_addresses[0]),
+            "RELAY_LISTEN": format_address(member.listen),
+            "RELAY_OPERATOR": format_address(member.admin_addresses[0]),
             "TMPDIR": str(member.folder),
         }
         member.admin_addresses.reverse()  # the next process runs beside this one
@@ -247,7 +252,7 @@
         """Return the cluster's status as a process gives it; None while it gives none."""
         try:
             async with asyncio.timeout(STATUS_TIMEOUT_S):
-                return await asyncio.to_thread(fetch_status, place(member.listen))
+                return await asyncio.to_thread(fetch_status, format_address(member.listen))
         except (OSError, ValueError, TimeoutError):
             return None
 
--- a/testbed/cluster/relay.py
+++ b/testbed/cluster/relay.py
@@ -6,7 +6,7 @@
 import random
 from typing import Any
 
-from testbed.ports import own_host
+from testbed.ports import private_loopback_host
 from testbed.wire import Address
 
 
@@ -26,7 +26,7 @@
     def __init__(self, members: list[Address], seed: int) -> None:
         """`members`: the addresses at which they really receive, and from which they send."""
         self._members = members
-        self._host = own_host()  # unlike the members', whose ports are free while none runs
+        self._host = private_loopback_host()  # unlike the members', whose ports are free while none runs
         self._numbers = {address: number for number, address in enumerate(members)}
         self._random = random.Random(seed)
         self._sockets: list[asyncio.DatagramTransport] = []
--- a/testbed/cluster/virtual_time.py
+++ b/testbed/cluster/virtual_time.py
@@ -12,7 +12,7 @@
 
 from testbed.cluster.invariants import FaultRecord, Outcome, StateChange, ViewSample, judge
 from testbed.cluster.scenarios import Scenario, Step
-from testbed.virtual_time import PlayedTime
+from testbed.virtual_time import VirtualTime
 from topazbank.cluster.failure_detector import FailureDetector
 from topazbank.cluster.member import MemberRecord, MemberState, digest_of, ident_of
 from topazbank.cluster.outbox import OutgoingMessage
@@ -49,7 +49,7 @@
 DetectorFactory = Callable[..., FailureDetector]
 
 
-class VirtualCluster(PlayedTime):
+class VirtualCluster(VirtualTime):
     """Processes, the network between them, and what was done and observed."""
 
     def __init__(
@@ -123,7 +123,7 @@
         if process.alarm >= 0.0 and process.alarm <= due and process.alarm > self.now:
             return
         process.alarm = due
-        self.at(due, lambda: self._tick(process, due))
+        self.schedule(due, lambda: self._tick(process, due))
 
     def _tick(self, process: VirtualProcess, due: float) -> None:
         if self.processes.get(process.number) is not process or process.alarm != due:
@@ -140,7 +140,7 @@
 
     def _wake_later(self, process: VirtualProcess) -> None:
         process.alarm = process.suspended_until
-        self.at(process.suspended_until, lambda: self._tick(process, process.alarm))
+        self.schedule(process.suspended_until, lambda: self._tick(process, process.alarm))
 
     def _finish_step(self, process: VirtualProcess) -> None:
         for change in process.detector.changes.take():
@@ -164,7 +164,7 @@
                 self.sent["bytes"] += size
                 self.sent["longest"] = max(self.sent["longest"], size)
             deliver = partial(self._deliver, process.number, receiver, outgoing.message)
-            self.carry(process.number, receiver, deliver)
+            self.send(process.number, receiver, deliver)
 
     def _deliver(self, sender: int, receiver: int, message: Message) -> None:
         process = self.processes.get(receiver)
@@ -210,10 +210,10 @@
             self._upgrade(process)
         elif step.action == "new_dies":
             self._upgrade(process)
-            self.at(self.now + step.value, lambda: self._resume(process))
+            self.schedule(self.now + step.value, lambda: self._resume(process))
         elif step.action == "busy":
             process.delay_s = BUSY_DELAY_S
-            self.at(self.now + step.value, lambda: setattr(process, "delay_s", 0.0))
+            self.schedule(self.now + step.value, lambda: setattr(process, "delay_s", 0.0))
 
     def _upgrade(self, process: VirtualProcess) -> None:
         predecessor = process.detector.handover_state()
@@ -259,7 +259,7 @@
     def run_scenario(self, scenario: Scenario, settle_s: float = 3.0) -> Outcome:
         """Run a scenario to its end, after some time in which all find one another, and judge it."""
         for step in scenario.steps:
-            self.at(settle_s + step.at, partial(self.apply, step))
+            self.schedule(settle_s + step.at, partial(self.apply, step))
         self.run(settle_s)
         self.changes.clear()
         self.run(settle_s + scenario.faults_end_s)
--- a/testbed/fleet/child.py
+++ b/testbed/fleet/child_process.py
@@ -1,4 +1,4 @@
-"""A process of a rig: told a line, it answers with a line of JSON; it prints one when it is up."""
+"""A process of a harness: it prints a line of JSON when it is up, and answers each line that it reads with another."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from typing import Any
 
 ROOT = Path(__file__).parent.parent.parent
-START_S = 180.0  # for a process to come up or to answer, on a machine that is busy
-LINE_MOST = 1 << 26  # bytes of one answer: a minute's notes of some hundreds of calls a second
+REPLY_TIMEOUT_S = 180.0  # for a process to start or to answer on a busy machine
+REPLY_BYTES_MAX = 1 << 26  # one reply: a minute's records at some hundred calls a second
 
 
-class Child:
+class ChildProcess:
     """One such process, started as a module of this repository."""
 
-    def __init__(self, module: str, *given: str) -> None:
+    def __init__(self, module: str, *arguments: str) -> None:
         self._module = module
-        self._command = (sys.executable, "-m", module, *given)
+        self._command = (sys.executable, "-m", module, *arguments)
         self._process: asyncio.subprocess.Process | None = None
-        self._turn = asyncio.Lock()
+        self._turn = asyncio.Lock()  # one request at a time
 
     async def start(self) -> None:
-        """Start it and wait until it is up; raise RuntimeError where it ends, TimeoutError where it hangs."""
+        """Start it and wait until it is up; raise RuntimeError if it exits, TimeoutError if it does not come up."""
         pipe = asyncio.subprocess.PIPE
         self._process = await asyncio.create_subprocess_exec(
             *self._command,
@@ -31,22 +31,22 @@
             stdin=pipe,
             stdout=pipe,
             stderr=asyncio.subprocess.DEVNULL,
-            limit=LINE_MOST,
+            limit=REPLY_BYTES_MAX,
         )
-        await self._line()
+        await self._read_reply()
 
-    async def _line(self) -> Any:
+    async def _read_reply(self) -> Any:
         assert self._process is not None and self._process.stdout is not None
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(REPLY_TIMEOUT_S):
             line = await self._process.stdout.readline()
         if not line:
             raise RuntimeError(f"a process of {self._module} has ended")
         return json.loads(line)
 
-    async def say(self, line: str) -> Any:
-        """Tell it a line and give what it answers.
+    async def request(self, line: str) -> Any:
+        """Send a line and return the reply; raise RuntimeError if the process has exited, TimeoutError without a reply.
 
-        Who asks may be cancelled; the answer is read all the same, or it would be the next one's.
+        The caller may be cancelled; the reply is read all the same, or the next request would get it.
         """
         return await asyncio.shield(asyncio.get_running_loop().create_task(self._exchange(line)))
 
@@ -54,9 +54,10 @@
         async with self._turn:
             assert self._process is not None and self._process.stdin is not None
             self._process.stdin.write(f"{line}\n".encode())
-            return await self._line()
+            return await self._read_reply()
 
     async def stop(self) -> None:
+        """Kill the process, if it runs."""
         if self._process is not None and self._process.returncode is None:
             self._process.kill()
             await self._process.wait()
--- a/testbed/quota/processes.py
+++ b/testbed/quota/processes.py
@@ -16,7 +16,7 @@
 
 from testbed.cluster.harness import ClusterHarness
 from testbed.cluster.scenarios import NODES, Scenario, Step
-from testbed.fleet.invariants import Verdicts
+from testbed.fleet.invariants import InvariantReport
 from topazbank.quota.audit import QuotaAudit, audit
 from topazbank.quota.ledger_records import read_ledgers
 
@@ -142,12 +142,12 @@
     retries: int  # that reached the servers
     ahead_max: float  # of the limit's rate, in retries
     ahead_allowed: float
-    verdicts: Verdicts
+    verdicts: InvariantReport
     audit: QuotaAudit | None  # None: without the quota
 
     def faults(self) -> list[str]:
         """What was wrong; empty: nothing."""
-        faults = list(self.verdicts.broken)
+        faults = list(self.verdicts.violations)
         if self.ahead_max > self.ahead_allowed:
             faults.append(
                 f"{self.ahead_max:.1f} retries ahead of the limit reached the servers,"
@@ -194,7 +194,7 @@
     faults = []
     for name, result in results.items():
         held = f"{result.audit.held_max / 1000:g}" if result.audit is not None else "-"
-        lost = result.verdicts.counts["lost"]
+        lost = result.verdicts.outcomes["lost"]
         print(
             f"{name:<20}{result.retries:>9}{result.ahead_max:>8.1f}{result.ahead_allowed:>9.1f}{lost:>6}{held:>10}"
         )
--- a/tests/cluster/test_planted.py
+++ b/tests/cluster/test_planted.py
@@ -161,7 +161,7 @@
     """How often a member replaced a record by one that it supersedes."""
     cluster = VirtualCluster(6, seed)
     for step in LATE_AFTER_RESTART.steps:
-        cluster.at(3.0 + step.at, lambda step=step: cluster.apply(step))  # type: ignore[misc]
+        cluster.schedule(3.0 + step.at, lambda step=step: cluster.apply(step))  # type: ignore[misc]
     held: dict[tuple[int, int], MemberRecord] = {}
     found = 0
     while cluster.now < 12.0:
--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -35,7 +35,7 @@
             scenario = SCENARIOS[name](SIDECARS, random.Random(1), PACE)
             outcome, verdicts = await harness.run_scenario(scenario)
             assert not outcome.violations, f"{name}: {outcome.violations[:3]}"
-            assert not verdicts.broken, f"{name}: {verdicts.broken[:3]}"
+            assert not verdicts.violations, f"{name}: {verdicts.violations[:3]}"
     finally:
         await harness.stop()
 
--- a/tests/fleet/test_planners.py
+++ b/tests/fleet/test_planners.py
@@ -1,4 +1,4 @@
-"""Planners killed, stalled and cut off under load, judged by the servers' own logs; and fleets in simulated time."""
+"""Planners killed, stalled and cut off under load, checked by the backends' logs; and fleets in simulated time."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from testbed.fleet.scenarios import PLANNED, play
+from testbed.fleet.scenarios import PLANNER_SCENARIOS, run_scenario
 from testbed.fleet.simulated import START, Fleet, service_level
 from testbed.fleet.simulated_server import US_PER_S, SimulatedServer
 from topazbank.balancing.settings import Settings
@@ -16,20 +16,22 @@
 from topazbank.platform_names import settings_from_wire
 
 
-@pytest.mark.parametrize("name", PLANNED)
+@pytest.mark.parametrize("name", PLANNER_SCENARIOS)
 def test_no_rule_is_broken_while_planners_fail(name: str) -> None:
-    rig = asyncio.run(asyncio.wait_for(play(name, 0.5, 120.0, seed=1), 60.0))
-    verdicts = rig.verdicts()
-    assert verdicts.calls > 100 and not verdicts.broken and verdicts.served > 0.9
+    harness = asyncio.run(asyncio.wait_for(run_scenario(name, 0.5, 120.0, seed=1), 60.0))
+    report = harness.check()
+    assert report.call_count > 100 and not report.violations and report.served_ratio > 0.9
 
 
 def test_no_rule_is_broken_while_planners_elected_by_rank_fail(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(leadership, "TAKEOVER_DELAY_US", US_PER_S // 2)
     monkeypatch.setattr(leadership, "TAKEOVER_DELAY_PER_RANK_US", US_PER_S // 2)
     monkeypatch.setattr(leadership, "FRESH_PLAN_AGE_US_MAX", US_PER_S // 2)
-    rig = asyncio.run(asyncio.wait_for(play("planners_die", 0.5, 120.0, seed=2, by_rank=True), 60.0))
-    verdicts = rig.verdicts()
-    assert not verdicts.broken and verdicts.served > 0.9
+    harness = asyncio.run(
+        asyncio.wait_for(run_scenario("planners_die", 0.5, 120.0, seed=2, by_rank=True), 60.0)
+    )
+    report = harness.check()
+    assert not report.violations and report.served_ratio > 0.9
 
 
 # -- In simulated time ----------------------------------------------------------------------------------
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -17,7 +17,17 @@
 import msgpack
 from helpers import KEYED, SAFE, UNSAFE, S, settings
 
-from testbed.wire import HTTP, MSGPACK_RPC, Asked, Listening, Reply, pack, read_http, read_rpc, reset
+from testbed.wire import (
+    HTTP,
+    MSGPACK_RPC,
+    Message,
+    Reply,
+    TcpServer,
+    pack,
+    read_http,
+    read_rpc,
+    reset_connection,
+)
 from topazbank.core.components import SidecarConfig
 from topazbank.core.net import Address
 from topazbank.core.sidecar import Sidecar
@@ -92,7 +102,7 @@
     return response
 
 
-class FakeServer(Listening):
+class FakeServer(TcpServer):
     """A server that answers with what `script` returns: None is silence, b"" a reset."""
 
     def __init__(self, name: str, script: Callable[[str, Head, bytes], bytes | None]) -> None:
@@ -127,14 +137,14 @@
         finally:
             writer.close()
 
-    def _answer_one(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
+    def _answer_one(self, asked: Message, writer: asyncio.StreamWriter) -> bool:
         """Answer a request; return whether the connection ends with that."""
-        self.requests.append((asked.first, asked.headers, asked.body))
+        self.requests.append((asked.start_line, asked.headers, asked.body))
         if asked.msgid is not None:
             self.msgids.append((writer, asked.msgid))
-        reply = self.script(asked.first, asked.headers, asked.body)
+        reply = self.script(asked.start_line, asked.headers, asked.body)
         if reply == b"":
-            reset(writer)
+            reset_connection(writer)
         elif reply is not None:
             writer.write(encoded(reply, asked.msgid))
             return b"Connection: close" in reply
@@ -154,7 +164,7 @@
         """Stop at once: no new connections, and those that are open are reset."""
         super().stop()
         for writer in self.writers:
-            reset(writer)
+            reset_connection(writer)
 
     def entry(self, **changes: Any) -> dict[str, Any]:
         address = f"{self.address[0]}:{self.address[1]}"
@@ -170,7 +180,7 @@
         return entry | {"status": "active", "weight": 1.0, "since_ms": 0} | changes
 
 
-class FakeDiscovery(Listening):
+class FakeDiscovery(TcpServer):
     """Answers each call with the next of `answers`; while there is none the call waits."""
 
     def __init__(self) -> None:
@@ -183,7 +193,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            first = (await read_http(reader)).first
+            first = (await read_http(reader)).start_line
             if self._answered_at is not None:
                 self.called_after_s.append(loop.time() - self._answered_at)
             self.writers.append(writer)
@@ -441,7 +451,7 @@
 async def read_answer(reader: asyncio.StreamReader) -> tuple[int, Head, bytes]:
     """An HTTP answer."""
     got = await asyncio.wait_for(read_http(reader), PATIENCE_S)
-    return int(got.first.split(" ")[1]), got.headers, got.body
+    return int(got.start_line.split(" ")[1]), got.headers, got.body
 
 
 async def is_closed(reader: asyncio.StreamReader) -> bool:
--- a/tests/msgpackrpc/test_mapping.py
+++ b/tests/msgpackrpc/test_mapping.py
@@ -62,7 +62,7 @@
 def test_a_forwarded_call_has_its_client_s_fields_and_the_remaining_time() -> None:
     call = read("amend", idempotency_key="k-1", again=True)
     request = read_rpc(msgpack.unpackb(format_call(9, call, 0.75), raw=False))
-    assert (request.msgid, request.kind, request.path, request.ident, request.body) == (
+    assert (request.msgid, request.request_class, request.path, request.request_id, request.body) == (
         9,
         "amend",
         "/api/7f?q=1",
--- a/tests/planning/test_links.py
+++ b/tests/planning/test_links.py
@@ -11,7 +11,7 @@
 import pytest
 from loopback import play, until
 
-from testbed.fleet.harness import Rig
+from testbed.fleet.harness import FleetHarness
 from topazbank import plan as command
 from topazbank.core.net import Address
 from topazbank.operator_config import operator_config_from
@@ -130,11 +130,11 @@
 
 def test_an_invalid_message_closes_its_connection_and_no_other() -> None:
     async def scenario() -> None:
-        rig = Rig(planners=1, sidecars=1, nodes=4)
+        rig = FleetHarness(planners=1, sidecars=1, backends=4)
         await rig.start()
         server = rig.planners[0]
         assert server is not None
-        await until(lambda: min(rig.trusts()) > 0.05)
+        await until(lambda: min(rig.plan_trusts()) > 0.05)
         for junk in (
             b"\xc1",
             msgpack.packb([1, 2]),
@@ -161,7 +161,7 @@
 
 def test_connections_are_bounded_and_idle_ones_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        rig = Rig(planners=1, sidecars=1, nodes=4)
+        rig = FleetHarness(planners=1, sidecars=1, backends=4)
         await rig.start()
         server = rig.planners[0]
         assert server is not None
@@ -173,7 +173,7 @@
         assert await other[0].read() == b""
         monkeypatch.setattr(serving, "IDLE_TIMEOUT_S", 0.3)
         assert await one[0].read() == b""
-        await until(lambda: min(rig.trusts()) > 0.05)  # a forwarder is never idle for so long
+        await until(lambda: min(rig.plan_trusts()) > 0.05)  # a forwarder is never idle for so long
         for _, writer in (one, other):
             writer.close()
         await rig.stop()
@@ -185,9 +185,9 @@
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     async def scenario() -> None:
-        rig = Rig(planners=1, sidecars=1, nodes=4)
+        rig = FleetHarness(planners=1, sidecars=1, backends=4)
         await rig.start()
-        await until(lambda: min(rig.trusts()) > 0.2)
+        await until(lambda: min(rig.plan_trusts()) > 0.2)
         process, server = rig.processes[0], rig.planners[0]
         assert process is not None and server is not None
         addresses = {"show": process.sidecar.listener.address, "status": server.address}
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -25,7 +25,7 @@
     world,
 )
 
-from testbed.wire import reset
+from testbed.wire import reset_connection
 from topazbank.balancing.actions import Action
 from topazbank.balancing.events import AttemptEnded, Event, Outcome, ServerState
 from topazbank.core.attempts import AttemptDeadlines
@@ -407,7 +407,7 @@
         await reader.readuntil(b"\r\n\r\n")
         await reader.readexactly(len(body))
         await until(lambda: connection.written)
-        reset(writer)
+        reset_connection(writer)
         assert await asyncio.wait_for(ended, PATIENCE_S) is None
         assert classify_outcome(None, connection.written, connection.malformed) is Outcome.CONNECTION_LOST
         listener.close()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -21,7 +21,8 @@
     world,
 )
 
-from testbed.wire import HTTP, reset
+from testbed import wire
+from testbed.wire import HTTP
 from topazbank.balancing.events import ServerState
 from topazbank.core.call import BUFFERED_BODY_BYTES_MAX
 from topazbank.msgpackrpc import server as rpc_server
@@ -36,7 +37,7 @@
 
 
 def reset_connection(one: Client) -> None:
-    reset(one.writer)
+    wire.reset_connection(one.writer)
 
 
 @pytest.fixture(params=[close, reset_connection])
