--- a/tests/incidents/test_stopped_clients.py
+++ b/tests/incidents/test_stopped_clients.py
@@ -352,7 +352,9 @@
 
 
 @pytest.mark.parametrize(
-    ("half", "method"), [(POST[:30], "_time_out"), (_MESSAGE[:20], "_settle")], ids=[HTTP, MSGPACK_RPC]
+    ("half", "method"),
+    [(POST[:30], "_request_timed_out"), (_MESSAGE[:20], "_close_if_answered")],
+    ids=[HTTP, MSGPACK_RPC],
 )
 def test_a_stopped_client_that_leaves_as_its_error_is_written_causes_no_exception(
     half: bytes, method: str
@@ -368,7 +370,7 @@
             )
             (connection,) = w.sidecar.listener.connections
             sock.close()  # before the event loop can notice it
-            if method == "_settle":
+            if method == "_close_if_answered":
                 connection._sock.send(b"x")
             getattr(connection, method)()
             await until(lambda: not w.sidecar.listener.connections)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -337,7 +337,7 @@
 
 
 def test_a_response_that_drips_without_end_is_ended_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection, "_STREAM_S", 0.3)
+    monkeypatch.setattr(connection, "_STREAM_LIMIT_S", 0.3)
 
     async def scenario() -> None:
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/topazbank/operations/drain.py
+++ b/topazbank/operations/drain.py
@@ -1,4 +1,4 @@
-"""The state machine of draining and graceful shutdown; no I/O, the time (monotonic seconds) is an argument.
+r"""The state machine of draining and graceful shutdown; no I/O, the time (monotonic seconds) is an argument.
 
     SERVING --start_drain--> DRAINING --no connections--> DRAINED --cancel_drain--> SERVING
        \\                        |                            |
