--- a/topazbank/balancing/attempt_sender.py
+++ b/topazbank/balancing/attempt_sender.py
@@ -73,7 +73,7 @@
             now,
             self._context.stall.stalled_total_us,
             self._ejection.responses,
-            self._estimator.start_check(now, objective_us, self._load.chance()),
+            self._estimator.start_check(now, objective_us, self._load.uncertainty()),
         )
         request.attempts.append(attempt)
         self._load.attempt_sent(server)
--- a/topazbank/balancing/balancer.py
+++ b/topazbank/balancing/balancer.py
@@ -29,7 +29,7 @@
 from topazbank.balancing.snapshot import BalancerSnapshot, ServerSnapshot
 from topazbank.estimation.fleet_size import FleetSize
 
-_OF_REQUESTS = (DeadlineKind.REQUEST, DeadlineKind.ATTEMPT_OVERDUE, DeadlineKind.HEALTH_CHECKS)
+_REQUEST_DEADLINES = (DeadlineKind.REQUEST, DeadlineKind.ATTEMPT_OVERDUE, DeadlineKind.HEALTH_CHECKS)
 
 
 class Balancer:
@@ -106,12 +106,12 @@
             concurrency_limit=self.limit.limit,
             in_objective=self.load.in_objective,
             mean_in_objective=self.load.mean,
-            over_level_ratio=estimator.slow_share.share,
-            hopeless_ratio=estimator.overload_share.share,
-            median_spent_ratio=estimator.median_ratio,
-            late_ratio=estimator.late_share,
-            unloaded_spent_ratio=estimator.floor_ratio,
-            cpu_ratio=estimator.cpu_utilization,
+            slow_share=estimator.slow_share.share,
+            overload_share=estimator.overload_share.share,
+            median_ratio=estimator.median_ratio,
+            late_share=estimator.late_share,
+            floor_ratio=estimator.floor_ratio,
+            cpu_utilization=estimator.cpu_utilization,
             subset_size=self.load.subset_size(),
             ready=len(self.servers.ready),
             ejected=len(self.ejection.ejected),
@@ -139,7 +139,7 @@
         self.agenda.timer_fired()
         while (deadline := self.agenda.pop_due()) is not None:
             kind, key, attempt = deadline
-            if kind in _OF_REQUESTS:
+            if kind in _REQUEST_DEADLINES:
                 self.lifecycle.deadline_passed(kind, key, attempt)
             elif kind is DeadlineKind.KEY_PAUSE:
                 self.ordering.pause_ended(key)
@@ -150,7 +150,7 @@
 
     def _is_stale(self, due: int, kind: DeadlineKind, key: int, attempt: int) -> bool:
         """Whether nothing would be done when this deadline passes."""
-        if kind in _OF_REQUESTS:
+        if kind in _REQUEST_DEADLINES:
             return not self.lifecycle.waits_for(due, kind, key, attempt)
         if kind is DeadlineKind.KEY_PAUSE:
             return not self.ordering.has_pause_until(key, due)
--- a/topazbank/balancing/concurrency_limit.py
+++ b/topazbank/balancing/concurrency_limit.py
@@ -24,6 +24,7 @@
 )
 LIMIT_MIN: Final = 0.1  # a trickle passes at any time, so that relief is seen
 LATE_RATIO_ALLOWED: Final = 0.05  # a fleet that answers all but this part in time is not overloaded
+PLAIN_OVERLOAD_LATE_RATIO: Final = 0.5  # this part late is no chance, however few responses there are
 BUSY_CPU_RATIO: Final = 0.85  # below this CPU utilisation there is room for more
 SPARE_CPU_RATIO: Final = 0.4  # below it a busy balancer believes so too: reports lag behind a surge
 SATURATED_CPU_RATIO: Final = 0.95  # above it the fleet is overloaded before late responses say so
@@ -118,7 +119,7 @@
         if is_early and not self._is_plain_overload() and not costly:
             return  # every connection is new and the rates are not full: what is late may be chance
         lapse_us = self._advance()
-        level = self._estimator.acceptable_ratio(self._load.chance())
+        level = self._estimator.acceptable_ratio(self._load.uncertainty())
         excess = self._excess(cpu_excess, costly, is_early)
         saturated = (costly and is_early) or self._is_saturated()
         if excess > 0.0 and self._estimator.late_share < LATE_RATIO_ALLOWED and not saturated:
@@ -136,7 +137,9 @@
         return -1.0 if cpu_ratio is None else (cpu_ratio - BUSY_CPU_RATIO) / (1.0 - BUSY_CPU_RATIO)
 
     def _is_plain_overload(self) -> bool:
-        return self._estimator.late_share >= 10 * LATE_RATIO_ALLOWED or self._estimator.is_overload_evident()
+        return (
+            self._estimator.late_share >= PLAIN_OVERLOAD_LATE_RATIO or self._estimator.is_overload_evident()
+        )
 
     def _is_saturated(self) -> bool:
         return (
@@ -145,7 +148,7 @@
 
     def _advance(self) -> float:
         """The time since the last sizing, microseconds, as far as one sizing may account for it."""
-        span_us = self._load.stretch() * self._context.longest_objective_us
+        span_us = self._load.averaging_factor() * self._context.longest_objective_us
         lapse_us = min(self._context.now - self._sized_at, span_us * SIZING_STEP_OBJECTIVES)
         self._sized_at = self._context.now
         return lapse_us
@@ -154,7 +157,7 @@
         """How far the fleet is beyond what it bears: 1 with nothing in time, -1 with everything."""
         excess = self._estimator.overload_excess()
         cpu_ratio = self._estimator.cpu_utilization
-        if cpu_ratio is not None and (self._load.stretch() > 1.0 or cpu_ratio < SPARE_CPU_RATIO):
+        if cpu_ratio is not None and (self._load.averaging_factor() > 1.0 or cpu_ratio < SPARE_CPU_RATIO):
             # Late responses from servers with idle CPUs tell of a few slow ones, of broken connections or of this
             # process's own lag, not of too many requests: shedding would only bring clients back.  A busy balancer
             # goes by responses, which come sooner than reports.
@@ -169,7 +172,7 @@
         now, objective_us = self._context.now, self._context.longest_objective_us
         objectives = SHRINK_OBJECTIVES if excess > 0.0 else GROW_OBJECTIVES
         change = min(math.exp(-excess * lapse_us / (objectives * objective_us)), GROWTH_MAX)
-        self._served_objectives.set_window_us(self._load.stretch() * objective_us)
+        self._served_objectives.set_window_us(self._load.averaging_factor() * objective_us)
         served = level * self._served_objectives.per_us(now)
         sustained = level * self._sustained.admissible_load(now, self._ready_capacity())
         self.limit = max(self.limit * change, min(max(served, sustained), self.limit), LIMIT_MIN)
--- a/topazbank/balancing/health_checks.py
+++ b/topazbank/balancing/health_checks.py
@@ -86,7 +86,7 @@
 
     # -- For a request ----------------------------------------------------------------------------------
 
-    def check_tied(self, request: Request, tied: list[Server]) -> None:
+    def check_first(self, request: Request, tied: list[Server]) -> None:
         """Check tied candidates; the request waits for the answers."""
         objective_us = request.request_class.latency_objective_us
         wait_us = min(WAIT_OBJECTIVE_RATIO * objective_us, WAIT_TIMES * self._usual_us)
--- a/topazbank/balancing/load.py
+++ b/topazbank/balancing/load.py
@@ -13,7 +13,9 @@
 SUBSET_IDLE_SIZE: Final = 4.0  # servers that an idle balancer selects from: a choice, yet few enough to know
 SUBSET_PER_REQUEST: Final = 1.0  # and one more for each request in flight: as many servers may be idle
 FEW_REQUESTS: Final = 8.0  # with fewer own requests in flight their number is chance for a good part
-STRETCH_MAX: Final = 4.0  # the fewer, the longer loads are averaged and the larger the steps, up to this
+AVERAGING_FACTOR_MAX: Final = (
+    4.0  # the fewer, the longer loads are averaged and the larger the steps, up to this
+)
 RATE_WINDOWS: Final = 2.0  # arrival rates are averaged over this many overload windows
 
 
@@ -29,22 +31,22 @@
         self._followed_at = 0
         self.arrivals = DecayingRate(RATE_WINDOWS * context.settings.rules.overload_window_us)
 
-    def follow(self, window: float) -> None:
-        """Bring the mean up to now.  `window`: the concurrency limit; a mean far beyond it would delay relief."""
+    def follow(self, concurrency_limit: float) -> None:
+        """Bring the mean up to now.  A mean far beyond the limit would delay relief."""
         lapse = self._context.now - self._followed_at
         if lapse > 0:
             self._followed_at = self._context.now
-            span_us = self.stretch() * self._context.longest_objective_us
-            self.mean = min(self.mean, max(self.in_objective, window, 1.0))
+            span_us = self.averaging_factor() * self._context.longest_objective_us
+            self.mean = min(self.mean, max(self.in_objective, concurrency_limit, 1.0))
             self.mean += (self.in_objective - self.mean) * (1.0 - math.exp(-lapse / span_us))
 
-    def stretch(self) -> float:
-        """How much longer than in a busy balancer it takes here to tell a change from chance: 1 to STRETCH_MAX."""
-        return max(1.0, min(FEW_REQUESTS / max(self.mean, 1e-9), STRETCH_MAX))
+    def averaging_factor(self) -> float:
+        """How much longer than in a busy balancer it takes to tell a change from chance, up to AVERAGING_FACTOR_MAX."""
+        return max(1.0, min(FEW_REQUESTS / max(self.mean, 1e-9), AVERAGING_FACTOR_MAX))
 
-    def chance(self) -> float:
+    def uncertainty(self) -> float:
         """How far the median of a few responses is chance, 0 to 1."""
-        return (self.stretch() - 1.0) / (STRETCH_MAX - 1.0)
+        return (self.averaging_factor() - 1.0) / (AVERAGING_FACTOR_MAX - 1.0)
 
     def subset_size(self) -> int:
         """How many servers this balancer selects from.
--- a/topazbank/balancing/request_lifecycle.py
+++ b/topazbank/balancing/request_lifecycle.py
@@ -177,8 +177,8 @@
     def _place(self, request: Request) -> None:
         """Send the request to the best of k, or answer it where nothing is left to try."""
         choice = self._selection.choose(request)
-        if choice.tied:
-            self._checks.check_tied(request, choice.tied)
+        if choice.to_check:
+            self._checks.check_first(request, choice.to_check)
         elif choice.server is None or not self._sender.send(request, choice.server):
             self._answer_if_idle(request)
 
--- a/topazbank/balancing/response_times.py
+++ b/topazbank/balancing/response_times.py
@@ -57,7 +57,7 @@
     def follow_latency(self, server: Server, request: Request, elapsed_us: int) -> None:
         """Learn how long a server takes relative to the usual."""
         ratio = min(elapsed_us / max(self.usual_us(request), 1.0), LATENCY_RATIO_MAX)
-        server.latency_ratio += LATENCY_STEP * self._load.stretch() * (ratio - server.latency_ratio)
+        server.latency_ratio += LATENCY_STEP * self._load.averaging_factor() * (ratio - server.latency_ratio)
 
     def failed(self, server: Server, request: Request) -> None:
         """Learn from an error.  Guards against a server that looks quick because it fails quickly."""
--- a/topazbank/balancing/retry_policy.py
+++ b/topazbank/balancing/retry_policy.py
@@ -1,4 +1,6 @@
-"""The retry policy: the only place that says whether a request may be sent, and sent again.
+"""The retry policy: the only place that decides whether a request may be sent, and sent again.
+
+`core/request_rules.py` checks the same once more as the first byte is written, since time passes until then.
 
 Promises:
 
@@ -6,7 +8,8 @@
 - a request that is not idempotent is sent again only if every earlier attempt provably never ran;
 - a request with an idempotency key is sent again only to servers that still remember the key;
 - a request has no more attempts than the settings allow, and hedged requests only where they allow those;
-- retries stay within a budget of this balancer, and within the fleet's.
+- retries after failures stay within a budget of this balancer; after a rejection the server has told that nothing ran,
+  and the next attempt takes none of it.  All retries stay within the fleet's quota.
 """
 
 from __future__ import annotations
--- a/topazbank/balancing/selection.py
+++ b/topazbank/balancing/selection.py
@@ -40,7 +40,7 @@
     """The server to send a request to; None: there is none now."""
 
     server: Server | None
-    tied: list[Server]  # candidates between which health checks decide first; empty: none are needed
+    to_check: list[Server]  # candidates between which health checks decide first; empty: none are needed
 
 
 class Selection:
--- a/topazbank/balancing/sparse_admission.py
+++ b/topazbank/balancing/sparse_admission.py
@@ -11,6 +11,7 @@
 
 WINDOW_OBJECTIVES: Final = 4.0  # counts are taken over this many of the longest objective
 CAPACITY_MARGIN: Final = 1.2  # this many times what was answered in time is admitted
+SHED_SLOPE: Final = 2.0  # part that is shed at the median priority, over the excess, is half of this
 PRIOR_IN_TIME: Final = 2.0  # requests taken as answered in time beforehand: fewer are chance
 IDLE_CPU_RATIO: Final = 0.6  # below this CPU utilisation late responses come of a few slow servers
 
@@ -52,7 +53,7 @@
         # What is in flight tells of a surge before any of it is late; by itself it may be a burst and no more.
         offered = in_time + missed + min(missed, 1.0) * self._load.in_objective
         excess = 1.0 - CAPACITY_MARGIN * in_time / offered
-        if excess > 0.0 and self._context.random.random() < 2.0 * excess * (1.0 - priority_rank):
+        if excess > 0.0 and self._context.random.random() < SHED_SLOPE * excess * (1.0 - priority_rank):
             self._shed.add(now, 1.0)
             return True
         return False
--- a/topazbank/cluster/member.py
+++ b/topazbank/cluster/member.py
@@ -17,7 +17,6 @@
 
 IDENT_BYTES = 6  # of a name's hash: two of 5,000 names collide in one of 20 million clusters
 INCARNATION_MAX = 0xFFFF  # a refutation beyond it begins a new generation
-GENERATION_MAX = 0xFFFFFFFFFFFF
 ENDED_GENERATIONS_MAX = 16  # reported to the planners
 _UINT64_MASK = 0xFFFFFFFFFFFFFFFF
 
--- a/topazbank/core/body.py
+++ b/topazbank/core/body.py
@@ -13,7 +13,7 @@
 from typing import Final, Protocol
 
 CHUNK_BYTES: Final = 64 * 1024  # of a spooled chunk, and the most of a body that is held in memory
-# Of all spooled bodies, unless the operator file says otherwise.
+# Of all spooled bodies together.
 SPOOL_BYTES_MAX: Final = 2 * 1024 * 1024 * 1024
 BODY_BYTES_MAX: Final = 32 * 1024 * 1024  # of one body; set by the platform
 
--- a/topazbank/estimation/load_estimator.py
+++ b/topazbank/estimation/load_estimator.py
@@ -15,9 +15,6 @@
 from collections import deque
 
 from topazbank.estimation.latency_check import DecayingShare, LatencyCheck
-from topazbank.estimation.sustained_throughput import SustainedThroughput
-
-__all__ = ["LatencyCheck", "LoadEstimator", "SustainedThroughput"]
 
 MEMORY_OBJECTIVES = 1.0  # an estimate is outdated after this many of the longest latency objective
 PROBE_INTERVAL_OBJECTIVES = 0.25  # without a check for so long one request is admitted for its result
--- a/topazbank/planning/forwarder.py
+++ b/topazbank/planning/forwarder.py
@@ -44,7 +44,7 @@
     ) -> None:
         """Begin to send summaries.
 
-        `ejected` returns the servers that the balancer has ejected, `lives` the generations of the cluster's members,
+        `ejected` returns the servers that the balancer has ejected, `generations` those of the cluster's members,
         None where this sidecar is in no cluster.
         """
         self._ejected, self._generations = ejected, generations
