--- a/tests/balancing/test_health_checks.py
+++ b/tests/balancing/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks that settle ties between servers."""
+"""Health checks that break ties between candidate servers."""
 
 from __future__ import annotations
 
@@ -15,41 +15,43 @@
 )
 
 
-def learn(stage: Stage, loads: list[float], took: Callable[[float], float], sizes: dict[str, float]) -> None:
-    """A request at each load, a unit of size, answered after what it takes there, milliseconds."""
+def serve_at_loads(
+    stage: Stage, loads: list[float], response_ms: Callable[[float], float], capacities: dict[str, float]
+) -> None:
+    """Serve one request at each load; `loads` are requests in flight per unit of server capacity."""
     for load in loads:
         request = stage.request()
-        answer_health_checks(stage, {name: load * size for name, size in sizes.items()})
+        answer_health_checks(stage, {name: load * capacity for name, capacity in capacities.items()})
         if stage.sends(request):
-            stage.wait(int(took(load) * MS))
+            stage.wait(int(response_ms(load) * MS))
             stage.end(request)
 
 
-ALIKE = dict.fromkeys(names(4), 1.0)
+EQUAL_CAPACITIES = dict.fromkeys(names(4), 1.0)
 
 
-def test_of_tied_servers_the_least_loaded_by_its_health_check_is_chosen() -> None:
+def test_the_tied_server_with_the_lowest_reported_load_is_selected() -> None:
     stage = Stage(settings(**CHECKED))
     stage.servers(names(4))
     for idle in names(4):
         request = stage.request()
         assert stage.sends(request) == []
-        answer_health_checks(stage, {each: 0.0 if each == idle else 5.0 for each in names(4)})
+        answer_health_checks(stage, {name: 0.0 if name == idle else 5.0 for name in names(4)})
         assert stage.target(request) == idle
         stage.end(request)
 
 
-def test_own_requests_in_flight_rank_before_what_health_checks_say() -> None:
+def test_local_requests_in_flight_rank_before_health_check_reports() -> None:
     stage = Stage(settings(**CHECKED))
     stage.servers(names(2))
     first = stage.request()
     answer_health_checks(stage, {})
     second = stage.request()
-    answer_health_checks(stage, {each: 0.0 if each == stage.target(first) else 9.0 for each in names(2)})
+    answer_health_checks(stage, {name: 0.0 if name == stage.target(first) else 9.0 for name in names(2)})
     assert stage.target(second) != stage.target(first)
 
 
-def test_a_server_that_does_not_answer_its_health_check_is_passed_over() -> None:
+def test_a_server_that_does_not_answer_its_health_check_is_skipped() -> None:
     stage = Stage(settings(**CHECKED))
     stage.servers(names(4))
     for _ in range(10):
@@ -60,7 +62,7 @@
         stage.end(request)
 
 
-def test_where_no_health_check_is_answered_the_request_is_sent_all_the_same() -> None:
+def test_a_request_is_sent_even_if_no_health_check_is_answered() -> None:
     stage = Stage(settings(**CHECKED))
     stage.servers(names(4))
     request = stage.request()
@@ -68,7 +70,7 @@
     assert len(stage.sends(request)) == 1
 
 
-def test_nothing_is_checked_where_a_health_check_is_dear_or_responses_carry_the_load() -> None:
+def test_no_health_check_is_sent_if_checks_are_expensive_or_off_or_responses_report_the_load() -> None:
     for changes in (
         {"prices": {"health_check": 0.05}},
         {"report": {"source": "responses", "columns": ["inflight"]}},
@@ -80,59 +82,63 @@
         assert stage.said(CheckHealth) == []
 
 
-def test_loaded_servers_everywhere_mean_shedding_and_relief_ends_it_at_once() -> None:
+def test_requests_are_shed_while_all_servers_are_loaded_and_admitted_once_load_drops() -> None:
     stage = Stage(settings(**CHECKED))
     stage.servers(names(4))
-    learn(stage, [0.0, 10.0] * 20, lambda held: 40 + 40 * held, ALIKE)
-    refused = stage.request("amend")
+    serve_at_loads(stage, [0.0, 10.0] * 20, lambda load: 40 + 40 * load, EQUAL_CAPACITIES)
+    rejected = stage.request("amend")
     answer_health_checks(stage, dict.fromkeys(names(4), 30.0))
-    assert stage.sends(refused) == [] and stage.said(Reject)[-1].request == refused
-    eased = stage.request("amend")
+    assert stage.sends(rejected) == [] and stage.said(Reject)[-1].request == rejected
+    admitted = stage.request("amend")
     answer_health_checks(stage, dict.fromkeys(names(4), 1.0))
-    assert len(stage.sends(eased)) == 1
+    assert len(stage.sends(admitted)) == 1
 
 
-def test_idle_servers_are_sent_to_whatever_late_responses_foretell() -> None:
-    # Guards a sidecar whose first answers came late in a stall of its own: refusing nearly all that came, it took
-    # seconds to learn that its servers were idle.
+def test_idle_servers_receive_requests_even_after_late_responses() -> None:
+    # Guards against a sidecar whose first responses were late because of its own stall: it rejected nearly all
+    # requests, and took seconds to learn that its servers were idle.
     stage = Stage(settings(**CHECKED))
     stage.servers(names(4))
-    learn(stage, [0.0, 6.0] * 5, lambda _: 550, ALIKE)
-    late = len(stage.sends())
-    learn(stage, [0.0] * 20, lambda _: 20, ALIKE)
-    assert len(stage.sends()) == late + 20
+    serve_at_loads(stage, [0.0, 6.0] * 5, lambda _: 550, EQUAL_CAPACITIES)
+    sends_before = len(stage.sends())
+    serve_at_loads(stage, [0.0] * 20, lambda _: 20, EQUAL_CAPACITIES)
+    assert len(stage.sends()) == sends_before + 20
 
 
-def test_a_large_server_with_more_in_flight_is_not_taken_for_overloaded() -> None:
-    # Guards against fleets of widely different machines: what fills a small one is nothing to a large one.
-    sizes = dict(zip(names(4), (8.0, 1.0, 1.0, 1.0), strict=True))
+def test_a_large_server_with_more_requests_in_flight_is_not_considered_overloaded() -> None:
+    # In a fleet of widely different machines, a load that fills a small server leaves a large one nearly idle.
+    capacities = dict(zip(names(4), (8.0, 1.0, 1.0, 1.0), strict=True))
     stage = Stage(settings(**CHECKED))
-    stage.servers([ServerDescription(name, "east", nominal_capacity=size) for name, size in sizes.items()])
-    learn(stage, [0.0, 10.0] * 20, lambda load: 40 + 100 * load, sizes)
-    crowded = {name: 14.0 if name == names(1)[0] else 15.0 for name in names(4)}
+    stage.servers(
+        [ServerDescription(name, "east", nominal_capacity=capacity) for name, capacity in capacities.items()]
+    )
+    serve_at_loads(stage, [0.0, 10.0] * 20, lambda load: 40 + 100 * load, capacities)
+    in_flight = {name: 14.0 if name == names(1)[0] else 15.0 for name in names(4)}
     request = stage.request("amend")
-    answer_health_checks(stage, crowded)
+    answer_health_checks(stage, in_flight)
     assert stage.target(request) == names(1)[0]
-    refused = stage.request("amend")
+    rejected = stage.request("amend")
     answer_health_checks(stage, dict.fromkeys(names(4), 80.0))
-    assert stage.sends(refused) == []
+    assert stage.sends(rejected) == []
 
 
-def test_where_crossings_are_dear_the_own_zone_is_selected_first_until_it_is_loaded() -> None:
+def test_the_local_zone_is_preferred_until_it_is_loaded_if_zone_crossings_are_expensive() -> None:
     stage = Stage(settings(**CHECKED, prices={"cross_zone": 0.1}))
     stage.servers(two_zones())
-    near = set(names(3))
+    local = set(names(3))
     for _ in range(20):
-        for held in (0.0, 3.0):
+        for load in (0.0, 3.0):
             request = stage.request()
-            answer_health_checks(stage, dict.fromkeys(names(6), held))
-            answer_health_checks(stage, dict.fromkeys(names(6), held))
-            stage.wait(int((40 + 40 * held) * MS))
-            assert held or stage.target(request) in near
+            answer_health_checks(stage, dict.fromkeys(names(6), load))
+            answer_health_checks(stage, dict.fromkeys(names(6), load))
+            stage.wait(int((40 + 40 * load) * MS))
+            assert load or stage.target(request) in local
             stage.end(request)
-    before = len(stage.log)
+    actions_before = len(stage.log)
     request = stage.request()
-    assert {each.server for _, each in stage.log[before:] if isinstance(each, CheckHealth)} == near
-    answer_health_checks(stage, dict.fromkeys(near, 8.0))
-    answer_health_checks(stage, dict.fromkeys(near, 8.0))
-    assert stage.target(request) not in near
+    assert {
+        action.server for _, action in stage.log[actions_before:] if isinstance(action, CheckHealth)
+    } == local
+    answer_health_checks(stage, dict.fromkeys(local, 8.0))
+    answer_health_checks(stage, dict.fromkeys(local, 8.0))
+    assert stage.target(request) not in local
--- a/tests/balancing/test_retry_policy.py
+++ b/tests/balancing/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""The retry policy: what may be sent again, where, until when and how often."""
+"""The retry policy: which requests may be retried, where, until when and how often."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     stage.wait(10 * MS)
     stage.end(request, outcome)
     assert len(stage.sends(request)) == 1
-    assert [each.request for each in stage.said(Fail)] == [request]
+    assert [failure.request for failure in stage.said(Fail)] == [request]
     assert stage.said(Reject) == []
 
 
@@ -49,30 +49,30 @@
     request = stage.request("pay")
     stage.wait(10 * MS)
     stage.end(request, outcome)
-    targets = [each.server for _, each in stage.sends(request)]
+    targets = [attempt.server for _, attempt in stage.sends(request)]
     assert len(targets) == 2 and targets[0] != targets[1]
 
 
-def cells() -> list[ServerDescription]:
+def servers_in_two_cells() -> list[ServerDescription]:
     return [ServerDescription(name, zone="east", cell=index % 2) for index, name in enumerate(names(8))]
 
 
 def test_a_request_with_an_idempotency_key_that_may_have_run_stays_in_its_cell() -> None:
     for seed in range(20):
         stage = Stage(seed=seed)
-        stage.servers(cells())
-        cell_of = {each.name: each.cell for each in cells()}
+        stage.servers(servers_in_two_cells())
+        cell_of = {server.name: server.cell for server in servers_in_two_cells()}
         request = stage.request("amend")
         for _ in range(3):
             stage.wait(10 * MS)
             stage.end(request, Outcome.CONNECTION_LOST)
-        targets = [each.server for _, each in stage.sends(request)]
+        targets = [attempt.server for _, attempt in stage.sends(request)]
         assert len(targets) > 1
-        assert len({cell_of[each] for each in targets}) == 1
+        assert len({cell_of[target] for target in targets}) == 1
 
 
-def test_the_cell_of_a_request_with_an_idempotency_key_is_that_of_its_first_server_as_it_was_sent() -> None:
-    # Guards against a new process of the same name in another cell: what may have run, ran in the former one.
+def test_a_request_with_an_idempotency_key_stays_in_the_cell_its_first_server_had_at_sending_time() -> None:
+    # Guards against a server that restarts in another cell: the first attempt may have run in the former cell.
     stage = Stage()
     stage.servers([ServerDescription("a", zone="east", cell=0)])
     request = stage.request("amend")
@@ -86,12 +86,12 @@
     )
     stage.wait(10 * MS)
     stage.end(request, Outcome.CONNECTION_LOST)
-    assert [each.server for _, each in stage.sends(request)] == ["a", "c"]
+    assert [attempt.server for _, attempt in stage.sends(request)] == ["a", "c"]
 
 
-def test_a_retry_with_an_idempotency_key_says_by_when_it_has_to_be_written() -> None:
+def test_a_retry_with_an_idempotency_key_has_a_write_deadline() -> None:
     stage = Stage()
-    stage.servers(cells())
+    stage.servers(servers_in_two_cells())
     request = stage.request("amend", remaining_us=4 * S)
     stage.wait(100 * MS)
     stage.end(request, Outcome.CONNECTION_LOST)
@@ -102,15 +102,15 @@
 
 def test_a_request_with_an_idempotency_key_is_not_retried_once_servers_forget_the_key() -> None:
     stage = Stage()
-    stage.servers(cells())
+    stage.servers(servers_in_two_cells())
     request = stage.request("amend", remaining_us=4 * S)
     stage.wait(2 * S)
     stage.end(request, Outcome.CONNECTION_LOST)
     assert len(stage.sends(request)) == 1
-    assert [each.request for each in stage.said(Fail)] == [request]
+    assert [failure.request for failure in stage.said(Fail)] == [request]
 
 
-def test_a_hedged_request_is_not_sent_where_hedging_is_off() -> None:
+def test_a_request_at_a_silent_server_is_cancelled_and_then_retried_where_hedging_is_off() -> None:
     stage = Stage(settings(limits={"hedging": False}))
     stage.servers(names(6))
     stage.serve(100)
@@ -121,48 +121,48 @@
         other = stage.request("look")
         if stage.target(other) != hung:
             stage.end(other)
-    assert [each.request for each in stage.said(CancelAttempt)][:1] == [request]
+    assert [cancellation.request for cancellation in stage.said(CancelAttempt)][:1] == [request]
     assert len(stage.sends(request)) == 1
     stage.end(request, Outcome.CANCELLED, answered=False)
     assert len(stage.sends(request)) == 2
 
 
-def test_no_hedged_request_leaves_where_hedging_is_off() -> None:
+def test_the_sender_sends_a_hedged_request_only_if_hedging_is_on() -> None:
     for allowed in (False, True):
         stage = Stage(settings(limits={"hedging": allowed}))
         stage.servers(names(3))
         request = stage.balancer.lifecycle.requests[stage.request()]
         server = next(
-            each for each in stage.balancer.servers.by_name.values() if each is not request.attempts[0].server
+            server
+            for server in stage.balancer.servers.by_name.values()
+            if server is not request.attempts[0].server
         )
         assert stage.balancer.sender.send(request, server) is allowed
 
 
-def test_where_a_rejection_proves_nothing_a_non_idempotent_request_fails_after_it() -> None:
+def test_a_non_idempotent_request_fails_after_a_rejection_where_rejected_requests_may_have_run() -> None:
     stage = Stage(settings(rules={"rejects_after_start": True}))
     stage.servers(names(5))
     request = stage.request("pay")
     stage.wait(10 * MS)
     stage.end(request, Outcome.REJECTED)
     assert len(stage.sends(request)) == 1
-    assert [each.request for each in stage.said(Fail)] == [request]
+    assert [failure.request for failure in stage.said(Fail)] == [request]
     assert stage.said(Reject) == []
 
 
-def test_where_a_rejection_proves_nothing_a_request_with_an_idempotency_key_stays_in_its_cell_and_window() -> (
-    None
-):
+def test_a_keyed_request_stays_in_its_cell_and_window_where_rejected_requests_may_have_run() -> None:
     for seed in range(20):
         stage = Stage(settings(rules={"rejects_after_start": True}), seed=seed)
-        stage.servers(cells())
-        cell_of = {each.name: each.cell for each in cells()}
+        stage.servers(servers_in_two_cells())
+        cell_of = {server.name: server.cell for server in servers_in_two_cells()}
         request = stage.request("amend", remaining_us=4 * S)
         for _ in range(2):
             stage.wait(10 * MS)
             stage.end(request, Outcome.REJECTED)
-        targets = [each.server for _, each in stage.sends(request)]
-        assert len(targets) == 3 and len({cell_of[each] for each in targets}) == 1
+        targets = [attempt.server for _, attempt in stage.sends(request)]
+        assert len(targets) == 3 and len({cell_of[target] for target in targets}) == 1
         stage.wait(2 * S)
         stage.end(request, Outcome.REJECTED)
         assert len(stage.sends(request)) == 3
-        assert [each.request for each in stage.said(Fail)] == [request]
+        assert [failure.request for failure in stage.said(Fail)] == [request]
--- a/topazbank/balancing/attempt_outcomes.py
+++ b/topazbank/balancing/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""What is learnt from the end of an attempt, and from attempts that take too long."""
+"""What the balancer learns from attempts that have ended, and from overdue attempts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from topazbank.balancing.key_ordering import KeyOrdering
 from topazbank.balancing.load import OwnLoad
 from topazbank.balancing.outlier_ejection import (
-    EJECTION_OBJECTIVES,
+    EJECTION_OBJECTIVES_BASE,
     EJECTION_OBJECTIVES_MAX,
     OutlierEjection,
 )
@@ -25,17 +25,16 @@
 from topazbank.balancing.sparse_admission import SparseAdmission
 from topazbank.estimation.load_estimator import LoadEstimator
 
-CPU_RATIO_REPORTED_MAX: Final = 2.0  # a report of more than noise can make of a ratio is junk
-ABANDONED_RATIO: Final = (
-    1.0  # an abandoned attempt counts as in flight for as long again as it was waited for
-)
-SILENCE_RATIO: Final = 2.0  # overdue again by this factor, a server without a response is silent
-SILENCE_OBJECTIVE_RATIO: Final = 0.5  # but never before this part of the objective
+CPU_RATIO_REPORTED_MAX: Final = 2.0  # noise cannot explain a higher ratio, so the report is invalid
+# After it is abandoned, an attempt counts as in flight for this multiple of its elapsed time.
+ABANDONED_RATIO: Final = 1.0
+SILENCE_RATIO: Final = 2.0  # a server without a response is silent after this multiple of the overdue time
+SILENCE_OBJECTIVE_RATIO: Final = 0.5  # and not before this part of the latency objective
 REJECTIONS_COUNTED_MAX: Final = 8
 
 
 class AttemptOutcomes:
-    """Hands what an attempt's end tells to whom it concerns."""
+    """Passes the outcome of each attempt to the components that learn from it."""
 
     def __init__(
         self,
@@ -68,7 +67,7 @@
     # -- The end of an attempt ----------------------------------------------------------------------------
 
     def ended(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
-        """Learn from the end of an attempt."""
+        """Record the end of an attempt in all components that learn from it."""
         outcome = event.outcome
         attempt.pending = False
         if outcome is Outcome.DELIVERED:
@@ -98,7 +97,7 @@
             self._estimator.add_cpu_report(min(max(cpu_ratio, 0.0), 1.0))
 
     def _abandoned(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
-        """An attempt was given up: it may still run."""
+        """Record an abandoned attempt, which may still be running on its server."""
         if not (attempt.counted_late or request.answered or event.answered):
             self._sparse.timed_out()
         abandoned_until = self._context.now + int(ABANDONED_RATIO * event.elapsed_us)
@@ -111,42 +110,43 @@
         objective_us = request.request_class.latency_objective_us
         self._limit.delivered(objective_us, elapsed_us)
         if self._context.stall.catching_up:
-            return  # how long it took tells of this process, not of the server
-        self._checks.learn(attempt, elapsed_us / objective_us)
+            return  # the elapsed time reflects this process's stall, not the server
+        self._checks.record_response(attempt, elapsed_us / objective_us)
         self._times.responded(attempt.server, request, elapsed_us)
         if not attempt.counted_late:
             self._limit.observe(elapsed_us / objective_us)
         attempt.server.backoffs.pop(request.flow, None)
 
     def _rejected(self, request: Request, server: Server, report: Mapping[str, float] | None) -> None:
-        """Keep the request's flow away from a server that rejected it, longer each time.
+        """Back off the request's flow from a server that rejected it, longer after each rejection.
 
-        Guards against servers that admit little of one class or tenant.  A rejection by a server with CPU to spare
-        tells of no overload.
+        Guards against servers that admit few requests of one class or tenant.  A rejection by a server with spare
+        CPU does not indicate overload.
         """
         backoff = server.backoffs.get(request.flow)
         rejections = 0 if backoff is None else backoff.rejections
-        objectives = min(EJECTION_OBJECTIVES * 2**rejections, EJECTION_OBJECTIVES_MAX)
+        objectives = min(EJECTION_OBJECTIVES_BASE * 2**rejections, EJECTION_OBJECTIVES_MAX)
         if not self._retries.may_run_again(request):
-            objectives = EJECTION_OBJECTIVES_MAX  # each further try would fail a request
-        wait_us = objectives * self._context.longest_objective_us * self._context.jitter()
-        until = self._context.now + int(wait_us)
+            objectives = EJECTION_OBJECTIVES_MAX  # each further rejection would fail a request
+        backoff_us = objectives * self._context.longest_objective_us * self._context.jitter()
+        until = self._context.now + int(backoff_us)
         server.backoffs[request.flow] = RejectionBackoff(until, min(rejections + 1, REJECTIONS_COUNTED_MAX))
         if report is None or report.get("util", 1.0) >= BUSY_CPU_RATIO:
             self._limit.observe(LOST_SPENT_RATIO)
 
-    # -- Attempts that take too long ----------------------------------------------------------------------
+    # -- Overdue attempts ---------------------------------------------------------------------------------
 
     def overdue(self, request: Request, attempt: Attempt) -> bool:
-        """An attempt takes far longer than usual; whether its server is ejected as silent, so that it may be replaced.
+        """Handle an attempt that takes far longer than usual; return whether it may be replaced.
 
-        Guards against servers that take work and answer nothing, long before timeouts would tell.
+        It may be replaced if its server is silent and ejected.  Guards against servers that accept work and never
+        respond, long before timeouts would show it.
         """
         stall = self._context.stall
         is_silent = self._ejection.is_silent(attempt)
         if stall.catching_up:
-            # Its response may be among what came meanwhile.
-            self._look_again(stall.catching_up_until + self._context.settings.tick_us, request, attempt)
+            # Its response may be among the events received during the stall.
+            self._schedule_recheck(stall.catching_up_until + self._context.settings.tick_us, request, attempt)
             return False
         stalled_us = stall.stalled_total_us - attempt.stalled_before_us
         waited_us = self._context.now - attempt.sent_at - stalled_us
@@ -155,26 +155,27 @@
         overdue_us = self._times.overdue_us(request, attempt.server)
         silence_us = max(SILENCE_RATIO * overdue_us, SILENCE_OBJECTIVE_RATIO * objective_us)
         if is_silent and waited_us < silence_us:
-            self._look_again(self._context.now + int(silence_us) - waited_us, request, attempt)
+            self._schedule_recheck(self._context.now + int(silence_us) - waited_us, request, attempt)
         elif is_silent:
-            self._ejection.silent_for_long(attempt)
+            self._ejection.eject_silent_server(attempt)
         return is_silent and attempt.server.ejected_until is not None
 
     def _compare_with_objective(
         self, request: Request, attempt: Attempt, waited_us: int, is_silent: bool
     ) -> None:
-        """Count an attempt as late once its objective has passed: its end would tell of a surge too late."""
+        """Count an attempt as late once its objective has passed: waiting for its end would show a surge too late."""
         objective_us = request.request_class.latency_objective_us
         if waited_us < objective_us:
-            self._look_again(self._context.now + objective_us - waited_us, request, attempt)
+            self._schedule_recheck(self._context.now + objective_us - waited_us, request, attempt)
             return
         self._load.objective_passed(attempt)
         if attempt.counted_late or attempt.server.ejected_until is not None:
             return
         attempt.counted_late = True
         if self._estimator.cpu_utilization is not None and is_silent:
-            self._estimator.add_cpu_report(1.0)  # no response, no report: reports alone would look too good
+            # Without a response there is no report; the reports received would understate the load.
+            self._estimator.add_cpu_report(1.0)
         self._limit.observe(LOST_SPENT_RATIO)
 
-    def _look_again(self, due: int, request: Request, attempt: Attempt) -> None:
+    def _schedule_recheck(self, due: int, request: Request, attempt: Attempt) -> None:
         self._agenda.schedule(due, DeadlineKind.ATTEMPT_OVERDUE, request.number, attempt.index)
--- a/topazbank/balancing/attempt_sender.py
+++ b/topazbank/balancing/attempt_sender.py
@@ -1,4 +1,4 @@
-"""The one way out for an attempt: whatever chose the server, these conditions hold for every attempt that leaves."""
+"""The single place where attempts are sent: its conditions hold for every attempt, however the server was chosen."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class AttemptSender:
-    """Sends attempts, as far as retry policy, key order, endpoint list, slow start and quota allow them."""
+    """Sends attempts if the retry policy, key order, endpoint list, slow start and quota allow them."""
 
     def __init__(
         self,
@@ -46,11 +46,11 @@
         self._connections = connections
 
     def send(self, request: Request, server: Server) -> bool:
-        """Send an attempt of a request to a server; whether it was allowed and has been sent."""
+        """Send an attempt of a request to a server; return whether it was allowed and sent."""
         if not self._retries.allows_attempt(request, server) or not self._ordering.has_turn(request):
             return False
         if server.state is not ServerState.READY:
-            return False  # draining or removed: at once on the news of it, without use of the grace
+            return False  # draining or removed: applies immediately, the drain grace period is not used
         if not self._slow_start.admits(server, request.cost):
             return False
         if not self._retries.fleet_allows_attempt(request):
