--- a/topazbank/estimation/__init__.py
+++ b/topazbank/estimation/__init__.py
@@ -1,1 +1,1 @@
-"""Estimates of the fleet's load from what one sidecar observes: inputs of the decision module, without I/O."""
+"""Estimates of the fleet's load from what one sidecar observes.  They are inputs of load balancing and do no I/O."""
--- a/topazbank/estimation/stall_detector.py
+++ b/topazbank/estimation/stall_detector.py
@@ -1,21 +1,21 @@
-"""Detection of pauses of this process itself (CPU starvation, a suspended machine); no I/O; times in microseconds.
+"""Detection of stalls of this process (CPU starvation, a suspended machine); no I/O; times in microseconds.
 
-Failure guarded against: after a pause, events that waited meanwhile are read late.  Without this module the sidecar
-would take its own pause for slow servers, eject them, and reject requests that they could serve.
+After a stall, the sidecar reads events late that arrived during it.  Without this module it would mistake its own
+stall for slow servers, eject those servers, and reject requests that they could serve.
 
-While attempts are in flight a heartbeat timer is due at regular intervals; one that fires more than an interval late
-shows a stall.  Observations made while `catching_up` are not to be learned from: that lasts as long as the stall did,
-plus one interval.  A process that permanently lacks CPU therefore stays in that state.
+While attempts are in flight, a heartbeat timer is due at regular intervals.  A heartbeat that is more than one interval
+late indicates a stall.  Observations made while `catching_up` is True must not update estimates.  This state lasts as
+long as the stall, plus one interval, so that a process with a permanent lack of CPU stays in it.
 """
 
 from __future__ import annotations
 
-HEARTBEAT_OBJECTIVE_RATIO = 0.1  # the heartbeat interval, as part of the shortest latency objective
-STALL_INTERVALS = 1.0  # a heartbeat later than this many intervals shows a stall
+HEARTBEAT_OBJECTIVE_RATIO = 0.1  # the heartbeat interval, as a part of the shortest latency objective
+STALL_INTERVALS = 1.0  # a heartbeat that is late by more than this many intervals indicates a stall
 
 
 class StallDetector:
-    """The stalls of one process."""
+    """Detects stalls of this process from late heartbeats."""
 
     __slots__ = (
         "_resumed_at",
@@ -28,19 +28,20 @@
     )
 
     def __init__(self, shortest_objective_us: int, tick_us: int) -> None:
-        """`tick_us`: the resolution of timers; the interval is never below it."""
+        """`tick_us`: the resolution of timers, and the minimum heartbeat interval."""
         self.heartbeat_interval_us = max(int(HEARTBEAT_OBJECTIVE_RATIO * shortest_objective_us), tick_us)
-        self.heartbeat_due_at = 0  # 0: no heartbeat is due
-        self.just_resumed = False  # whether this event has the time of the first one after a stall
-        self.catching_up = False  # whether events of now may have waited through a stall
+        self.heartbeat_due_at = 0  # 0: no heartbeat is scheduled
+        self.just_resumed = False  # whether the current time is that of the first event after a stall
+        self.catching_up = False  # whether current events may have been delayed by a stall
         self.catching_up_until = -1
-        self.stalled_total_us = 0  # the sum over all stalls so far
+        self.stalled_total_us = 0  # sum of all stalls so far
         self._resumed_at = -1
 
     def observe(self, now: int, by_timer: bool) -> None:
-        """Take the time of an event; `by_timer`: whether a timer fired.
+        """Update the state at the time of an event; `by_timer`: whether the event is a timer.
 
-        Only a timer ends a heartbeat that is in time: under load other events come on time while timers wait.
+        Only a timer completes a heartbeat that is on time.  Under load, other events can be on time while timers are
+        delayed.
         """
         late_us = now - self.heartbeat_due_at
         if self.heartbeat_due_at and late_us > STALL_INTERVALS * self.heartbeat_interval_us:
