--- a/tests/estimation/test_decaying_sum.py
+++ b/tests/estimation/test_decaying_sum.py
@@ -1,4 +1,4 @@
-"""The linear fit and the rate: what they return of steady, rare and old observations."""
+"""Tests of the decaying linear fit and rate with steady, few and old observations."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
     assert fit.predict(0.0) == fit.predict(19.0)
 
 
-def test_a_fit_of_few_observations_returns_nothing() -> None:
+def test_a_fit_of_too_few_observations_returns_none() -> None:
     fit = DecayingLinearFit()
     for _ in range(int(FIT_SAMPLES_MIN) - 1):
         fit.add(1.0, 1.0)
     assert fit.predict(1.0) is None and fit.throughput(S) is None
 
 
-def test_throughput_is_requests_in_flight_over_their_latency() -> None:
+def test_throughput_is_requests_in_flight_divided_by_latency() -> None:
     fit = DecayingLinearFit()
     for _ in range(100):
         fit.add(8.0, 0.5)
     assert fit.throughput(S) == pytest.approx(8.0 / (0.5 * S))
 
 
-def test_a_rate_follows_a_steady_amount_and_decays_e_fold_in_a_window() -> None:
+def test_a_rate_converges_to_a_steady_input_and_decays_by_a_factor_of_e_per_window() -> None:
     rate = DecayingRate(4 * S)
     for now in range(0, 100 * S, S // 10):
         rate.add(now, 1.0)
@@ -49,7 +49,7 @@
     assert rate.per_us(now + 4 * S) == pytest.approx(steady / math.e)
 
 
-def test_a_rate_stays_the_same_when_its_window_is_changed() -> None:
+def test_a_change_of_the_window_does_not_change_the_rate() -> None:
     rate = DecayingRate(4 * S)
     rate.add(S, 100.0)
     before = rate.per_us(2 * S)
--- a/tests/estimation/test_load_gossip.py
+++ b/tests/estimation/test_load_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip of requests in flight: messages that are lost, old, malformed or expensive."""
+"""Tests of the gossip of requests in flight with lost, old, malformed or expensive messages."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 PRICE = 0.01
 
 
-def _with_credit(size: int = 4) -> LoadGossip:
-    """A sidecar that has earned enough to send a message now."""
+def _gossip_with_credit(size: int = 4) -> LoadGossip:
+    """Return the gossip of a sidecar with enough credit to send a message."""
     gossip = LoadGossip(PRICE, FleetSize(size))
     for _ in range(1_000):
         gossip.note_request()
@@ -36,7 +36,7 @@
 
 def test_counts_of_all_senders_add_up_and_a_new_snapshot_replaces_the_old_one() -> None:
     gossip = LoadGossip(PRICE, FleetSize(4))
-    first, second = _with_credit(), _with_credit()
+    first, second = _gossip_with_credit(), _gossip_with_credit()
     first_message = first.build_message(S, [(7, 3), (9, 1), (11, 0)])
     second_message = second.build_message(S, [(7, 2)])
     assert first_message is not None and second_message is not None
@@ -49,7 +49,7 @@
 
 def test_the_next_message_makes_up_for_a_lost_one() -> None:
     complete, lossy = LoadGossip(PRICE, FleetSize(4)), LoadGossip(PRICE, FleetSize(4))
-    sender = _with_credit()
+    sender = _gossip_with_credit()
     for now, counts in ((1 * S, [(1, 1)]), (2 * S, [(2, 5)]), (3 * S, [(3, 2)])):
         message = sender.build_message(now, counts)
         assert message is not None
@@ -64,7 +64,7 @@
 
 
 def test_the_snapshot_of_a_dead_sidecar_expires() -> None:
-    gossip, sender = LoadGossip(PRICE, FleetSize(4)), _with_credit()
+    gossip, sender = LoadGossip(PRICE, FleetSize(4)), _gossip_with_credit()
     message = sender.build_message(S, [(7, 3)])
     assert message is not None and gossip.receive(S, 1, message)
     gossip.expire(S + SNAPSHOT_TTL_US)
@@ -74,7 +74,7 @@
 
 
 def test_an_idle_sidecar_withdraws_its_counts_once() -> None:
-    sender = _with_credit()
+    sender = _gossip_with_credit()
     assert sender.build_message(S, []) is None
     assert sender.build_message(S, [(7, 1)]) is not None
     assert sender.build_message(2 * S, []) == bytes([MESSAGE_VERSION])
@@ -86,15 +86,15 @@
     [b"", b"\x02", b"\x01\x00", b"\x01\x00\x00\x01\x00", b"GET / HTTP/1.1\r\n", bytes([1]) + bytes(3 * 100)],
 )
 def test_a_malformed_message_changes_nothing(payload: bytes) -> None:
-    gossip, sender = LoadGossip(PRICE, FleetSize(4)), _with_credit()
+    gossip, sender = LoadGossip(PRICE, FleetSize(4)), _gossip_with_credit()
     message = sender.build_message(S, [(7, 3)])
     assert message is not None and gossip.receive(S, 1, message)
     assert not gossip.receive(2 * S, 1, payload)
     assert gossip.requests_at(7) == 3
 
 
-def test_a_message_about_many_servers_stays_within_its_size_and_has_the_largest_counts() -> None:
-    sender = _with_credit()
+def test_a_message_for_many_servers_stays_within_the_size_limit_and_has_the_largest_counts() -> None:
+    sender = _gossip_with_credit()
     message = sender.build_message(S, [(tag, 1 + tag % 300) for tag in range(1_000)])
     assert message is not None and len(message) <= MESSAGE_BYTES_MAX
     gossip = LoadGossip(PRICE, FleetSize(4))
@@ -104,8 +104,8 @@
 
 
 @pytest.mark.parametrize("size", [2, 5, 40, 200])
-def test_messages_cost_no_more_than_their_limit_whatever_the_size_of_the_cluster(size: int) -> None:
-    # The platform's price: points for each 256 bytes delivered, for each first attempt.
+def test_messages_cost_no_more_than_the_limit_in_a_cluster_of_any_size(size: int) -> None:
+    # The platform's price is in points per 256 bytes delivered and per first attempt.
     gossip, delivered, attempts = LoadGossip(PRICE, FleetSize(size)), 0, 0
     generator = random.Random(size)
     now = 0
@@ -131,8 +131,8 @@
     assert 0 < sent <= 10 * S // SEND_INTERVAL_MIN_US + 1
 
 
-def test_a_cluster_too_large_for_gossip_sends_none_and_the_number_of_senders_is_bounded() -> None:
-    large = _with_credit(5_000)
+def test_no_gossip_is_sent_in_too_large_a_cluster_and_the_number_of_senders_is_bounded() -> None:
+    large = _gossip_with_credit(5_000)
     assert not large.is_due(S)
     gossip = LoadGossip(PRICE, FleetSize(200))
     message = bytes([MESSAGE_VERSION, 7, 0, 1])
@@ -145,7 +145,9 @@
         st.tuples(
             st.integers(0, 5),
             st.lists(
-                st.tuples(st.integers(0, 12), st.integers(0, 400)), max_size=20, unique_by=lambda e: e[0]
+                st.tuples(st.integers(0, 12), st.integers(0, 400)),
+                max_size=20,
+                unique_by=lambda entry: entry[0],
             ),
             st.integers(0, 600_000),
         ),
@@ -160,18 +162,18 @@
     now = S
     for sender, counts, pause in messages:
         now += pause
-        message = _with_credit().build_message(now, [*counts, (99, 1)])
+        message = _gossip_with_credit().build_message(now, [*counts, (99, 1)])
         assert message is not None
         gossip.receive(now, sender, message)
         current[sender] = (now, {tag: min(count, COUNT_MAX) for tag, count in counts})
         gossip.expire(now)
         current = {
-            peer: (received_at, sent)
-            for peer, (received_at, sent) in current.items()
+            peer: (received_at, sent_counts)
+            for peer, (received_at, sent_counts) in current.items()
             if now - received_at <= SNAPSHOT_TTL_US
         }
     for tag in range(13):
-        assert gossip.requests_at(tag) == sum(sent.get(tag, 0) for _, sent in current.values())
+        assert gossip.requests_at(tag) == sum(sent_counts.get(tag, 0) for _, sent_counts in current.values())
 
 
 def test_few_servers_share_a_tag() -> None:
--- a/tests/estimation/test_slow_start_share.py
+++ b/tests/estimation/test_slow_start_share.py
@@ -1,4 +1,4 @@
-"""The share of requests that servers in slow start get beside warm ones, when all counters of this sidecar are zero."""
+"""Tests of the share of requests that servers in slow start receive, when all counters of this sidecar are zero."""
 
 from __future__ import annotations
 
@@ -7,24 +7,27 @@
 from topazbank.balancing.events import ServerDescription
 
 
-def test_servers_halfway_through_slow_start_get_nearly_half_of_what_warm_ones_get() -> None:
-    # A zone restarts.  Its servers must not stay idle because both the order of ties and the odds disfavour them.
-    share = 0.0
+def test_servers_halfway_through_slow_start_receive_nearly_half_the_requests_of_warm_servers() -> None:
+    # A zone restarts.  Its servers must not stay idle because both the order of ties and the selection weights put
+    # them at a disadvantage.
+    mean_ratio = 0.0
     seeds = 6
     for seed in range(seeds):
         stage = Stage(settings(), seed=seed)
-        warm = [ServerDescription(name, "east") for name in names(8)]
-        stage.servers(warm)
+        warm_servers = [ServerDescription(name, "east") for name in names(8)]
+        stage.servers(warm_servers)
         stage.serve(200, every_us=20 * MS, taking_us=15 * MS)
-        cold = [ServerDescription(f"10.0.1.{each}:80", "east", started_at=stage.now) for each in range(8)]
-        stage.servers([*warm, *cold])
+        cold_servers = [
+            ServerDescription(f"10.0.1.{number}:80", "east", started_at=stage.now) for number in range(8)
+        ]
+        stage.servers([*warm_servers, *cold_servers])
         stage.wait(2 * S)
         since = stage.now
-        stage.serve(300, every_us=20 * MS, taking_us=15 * MS)  # warmth goes from 0.36 to 0.84
-        sent = [each.server for at, each in stage.sends() if at >= since]
-        to_cold = sum(each.startswith("10.0.1.") for each in sent)
-        share += to_cold / (len(sent) - to_cold) / seeds
-    assert share >= 0.45
+        stage.serve(300, every_us=20 * MS, taking_us=15 * MS)  # warmth rises from 0.36 to 0.84
+        sent = [attempt.server for sent_at, attempt in stage.sends() if sent_at >= since]
+        to_cold = sum(server.startswith("10.0.1.") for server in sent)
+        mean_ratio += to_cold / (len(sent) - to_cold) / seeds
+    assert mean_ratio >= 0.45
 
 
 def test_ties_are_ordered_by_pace_and_not_by_the_progress_of_slow_start() -> None:
@@ -34,5 +37,5 @@
     assert stage.balancer.selection._rank(cold) == stage.balancer.selection._rank(warm)
     assert stage.balancer.selection._weight(cold, 1.0) < stage.balancer.selection._weight(warm, 1.0)
     stage.wait(4 * S)
-    stage.request()  # warmth 0.52 by now: as likely as a warm one
+    stage.request()  # warmth is 0.52 by now, with the same weight as a warm server
     assert stage.balancer.selection._weight(cold, 1.0) == stage.balancer.selection._weight(warm, 1.0)
--- a/tests/estimation/test_stall_detector.py
+++ b/tests/estimation/test_stall_detector.py
@@ -1,15 +1,15 @@
-"""Pauses of the process itself, as distinct from slow servers."""
+"""Tests of the detection of this process's stalls, as distinct from slow servers."""
 
 from __future__ import annotations
 
 from topazbank.estimation.stall_detector import StallDetector
 
 MS = 1_000
-INTERVAL = 50 * MS  # a tenth of the objective
+INTERVAL = 50 * MS  # a tenth of the latency objective
 
 
 def _detector(now: int) -> StallDetector:
-    """A detector whose next heartbeat is due after one interval."""
+    """Return a detector whose next heartbeat is due after one interval."""
     detector = StallDetector(10 * INTERVAL, MS)
     assert detector.heartbeat_interval_us == INTERVAL
     detector.heartbeat_due_at = now + INTERVAL
@@ -17,7 +17,7 @@
 
 
 def test_a_heartbeat_that_is_late_by_more_than_an_interval_is_a_stall() -> None:
-    # The process gets no CPU for a second; answers that waited meanwhile are read only after it.
+    # The process gets no CPU for a second.  Responses that arrive meanwhile are read only after it.
     detector = _detector(0)
     resumed_at = 20 * INTERVAL
     detector.observe(resumed_at, by_timer=False)
@@ -31,15 +31,16 @@
     assert not detector.catching_up
 
 
-def test_a_heartbeat_that_is_late_by_an_interval_is_no_stall() -> None:
+def test_a_heartbeat_that_is_late_by_exactly_one_interval_is_no_stall() -> None:
     detector = _detector(0)
     detector.observe(2 * INTERVAL, by_timer=True)
     assert not detector.catching_up and detector.stalled_total_us == 0
     assert detector.heartbeat_due_at == 0
 
 
-def test_only_a_timer_ends_a_heartbeat_that_is_in_time() -> None:
-    # Under load timers fire after other events.  A heartbeat that another event ended would hide a stall that follows.
+def test_only_a_timer_completes_a_heartbeat_that_is_on_time() -> None:
+    # Under load, timers fire after other events.  If another event completed the heartbeat, a stall that follows would
+    # remain undetected.
     detector = _detector(0)
     detector.observe(INTERVAL + 1, by_timer=False)
     assert detector.heartbeat_due_at == INTERVAL
--- a/tests/estimation/test_startup_probes.py
+++ b/tests/estimation/test_startup_probes.py
@@ -1,4 +1,4 @@
-"""Health checks at a start: what they show of the fleet's load, and whether requests are rejected for it."""
+"""Tests of the load estimate from health checks at process start, and of the rejections that follow from it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 from topazbank.estimation.startup_probes import PROBES_MAX, StartupProbes, expected_latency_us
 
 IDLE = {"inflight": 0.0, "queue": 0.0, "latency_ms": 60.0}
-FULL = {"inflight": 20.0, "queue": 16.0, "latency_ms": 100.0}  # four in service: a wait of four service times
+# Four requests are in service, so queueing takes four service times.
+FULL = {"inflight": 20.0, "queue": 16.0, "latency_ms": 100.0}
 EXPENSIVE_CHECKS = {
     "limits": {"health_checks": True},
     "report": {"source": "health_checks", "columns": ["inflight", "queue", "latency_ms"]},
@@ -22,10 +23,10 @@
 }
 
 
-def start(reports: dict[int, dict[str, float] | None], servers: int = 60, **changes: Any) -> Stage:
-    """Start a sidecar from its cached list; the nth health check ends with the nth report, or fails (None)."""
+def start_sidecar(reports: dict[int, dict[str, float] | None], servers: int = 60, **changes: Any) -> Stage:
+    """Start a sidecar from its cached list; the nth health check returns the nth report, or fails (None)."""
     stage = Stage(settings(**{**EXPENSIVE_CHECKS, **changes}))
-    stage.servers([ServerDescription(each, "east") for each in names(servers)], UpdateKind.CACHED)
+    stage.servers([ServerDescription(name, "east") for name in names(servers)], UpdateKind.CACHED)
     for number, check in enumerate(stage.said(CheckHealth)):
         report = reports.get(number)
         stage.wait(MS)
@@ -34,37 +35,37 @@
     return stage
 
 
-def rejected(stage: Stage, count: int = 30) -> int:
-    """Send so many requests, one a millisecond; return how many were rejected."""
+def count_rejected(stage: Stage, count: int = 30) -> int:
+    """Send `count` requests, one per millisecond, and return the number of rejected requests."""
     for _ in range(count):
         stage.wait(MS)
         stage.request("look")
     return len(stage.said(Reject))
 
 
-def test_a_sidecar_that_starts_with_idle_servers_admits_everything() -> None:
-    assert rejected(start(dict.fromkeys(range(PROBES_MAX), IDLE))) == 0
+def test_a_sidecar_that_starts_with_idle_servers_admits_all_requests() -> None:
+    assert count_rejected(start_sidecar(dict.fromkeys(range(PROBES_MAX), IDLE))) == 0
 
 
-def test_a_sidecar_that_restarts_with_full_servers_rejects_before_any_answer_is_late() -> None:
-    stage = start(dict.fromkeys(range(PROBES_MAX), FULL))
-    assert rejected(stage) > 3
-    assert len(stage.sends()) > 3  # its share of what the fleet has in flight is admitted
+def test_a_sidecar_that_restarts_with_full_servers_rejects_before_any_response_is_late() -> None:
+    stage = start_sidecar(dict.fromkeys(range(PROBES_MAX), FULL))
+    assert count_rejected(stage) > 3
+    assert len(stage.sends()) > 3  # admits its share of the fleet's requests in flight
 
 
-def test_one_full_server_of_six_is_not_a_full_fleet() -> None:
-    assert rejected(start({0: FULL, 1: IDLE, 2: IDLE, 3: IDLE, 4: IDLE, 5: IDLE})) == 0
+def test_one_full_server_out_of_six_is_not_a_full_fleet() -> None:
+    assert count_rejected(start_sidecar({0: FULL, 1: IDLE, 2: IDLE, 3: IDLE, 4: IDLE, 5: IDLE})) == 0
 
 
-def test_health_checks_that_all_fail_show_no_load() -> None:
-    assert rejected(start({})) == 0
+def test_health_checks_that_all_fail_indicate_no_load() -> None:
+    assert count_rejected(start_sidecar({})) == 0
 
 
-def test_health_checks_are_sent_at_the_start_alone() -> None:
-    stage = start(dict.fromkeys(range(PROBES_MAX), IDLE))
+def test_health_checks_are_sent_only_at_process_start() -> None:
+    stage = start_sidecar(dict.fromkeys(range(PROBES_MAX), IDLE))
     for _ in range(5):
-        stage.servers([ServerDescription(each, "east") for each in names(60)])
-        rejected(stage)
+        stage.servers([ServerDescription(name, "east") for name in names(60)])
+        count_rejected(stage)
         stage.wait(2 * S)
     assert len(stage.said(CheckHealth)) == PROBES_MAX
 
@@ -78,8 +79,8 @@
         {"report": {"source": "responses", "columns": ["inflight", "queue", "latency_ms"]}},
     ],
 )
-def test_no_health_check_is_sent_where_none_could_show_load(changes: dict[str, Any]) -> None:
-    assert start({}, **changes).said(CheckHealth) == []
+def test_no_health_check_is_sent_where_health_checks_cannot_indicate_load(changes: dict[str, Any]) -> None:
+    assert start_sidecar({}, **changes).said(CheckHealth) == []
 
 
 def test_the_fair_share_counts_the_servers_that_are_up() -> None:
@@ -90,7 +91,7 @@
     assert probes.fair_share(100 * MS, 60) == pytest.approx(20.0 * 30 / 40)
 
 
-def test_the_estimate_expires_some_time_after_the_start() -> None:
+def test_the_estimate_expires_after_process_start() -> None:
     probes = StartupProbes(settings(**EXPENSIVE_CHECKS), FleetSize(settings(**EXPENSIVE_CHECKS).fleet_size))
     probes.start(0, 60)
     for _ in range(3):
@@ -104,7 +105,7 @@
         (IDLE, 60_000.0),
         (FULL, 500_000.0),
         ({"inflight": 3.0}, None),
-        # Inconsistent: more queued than in flight.
+        # An inconsistent report with more requests queued than in flight.
         ({"inflight": 3.0, "queue": 9.0, "latency_ms": 10.0}, 100_000.0),
         ({"inflight": -1.0, "queue": 0.0, "latency_ms": 10.0}, None),
     ],
@@ -113,5 +114,5 @@
     assert expected_latency_us(report) == expected
 
 
-def test_two_full_servers_of_two_are_a_full_fleet() -> None:
-    assert rejected(start({0: FULL, 1: FULL}, servers=2)) > 3
+def test_two_full_servers_out_of_two_are_a_full_fleet() -> None:
+    assert count_rejected(start_sidecar({0: FULL, 1: FULL}, servers=2)) > 3
--- a/tests/estimation/test_sustained_throughput.py
+++ b/tests/estimation/test_sustained_throughput.py
@@ -1,4 +1,4 @@
-"""The load that is admitted whatever late answers show."""
+"""Tests of the load that is admitted regardless of late responses."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def _serve(sustained: SustainedThroughput, now: int, seconds: float, interval: int) -> int:
-    """Note timely responses at an interval; return the time at the end."""
+    """Count timely responses at an interval; return the end time."""
     for _ in range(int(seconds * S / interval)):
         now += interval
         sustained.note_timely_response(now, OBJECTIVE)
@@ -21,15 +21,14 @@
 
 
 def test_sustained_load_is_admitted_while_no_response_is_timely() -> None:
-    # The estimate says overload, and requests are rejected whose answers would show that it is over.
+    # The estimate indicates overload.  Requests whose responses would indicate the end of the overload are rejected.
     sustained = SustainedThroughput(OBJECTIVE)
-    now = _serve(
-        sustained, 0, 5, 50 * MS
-    )  # twenty a second: twenty in flight if each took its whole objective
+    # At 20 per second, 20 requests are in flight if each takes its whole objective.
+    now = _serve(sustained, 0, 5, 50 * MS)
     assert sustained.admissible_load(now + 2 * S, 10.0) == pytest.approx(20 * ADMITTED_RATIO, rel=0.2)
 
 
-def test_admitted_load_falls_with_the_capacity_that_is_left() -> None:
+def test_admitted_load_is_proportional_to_the_remaining_capacity() -> None:
     sustained = SustainedThroughput(OBJECTIVE)
     now = _serve(sustained, 0, 5, 50 * MS)
     full = sustained.admissible_load(now + 1 * S, 10.0)
--- a/tests/estimation/test_traffic_mix.py
+++ b/tests/estimation/test_traffic_mix.py
@@ -1,4 +1,4 @@
-"""The rank of requests by class and tenant."""
+"""Tests of the rank of requests by class and tenant, and of the bound on flows."""
 
 from __future__ import annotations
 
@@ -8,9 +8,12 @@
 from topazbank.estimation.traffic_mix import FLOWS_MAX, TrafficMix
 
 
-def test_a_class_of_less_weight_ranks_below_the_other() -> None:
+def test_a_class_with_a_lower_weight_ranks_below_the_other() -> None:
     configured = settings()
-    mix, classes = TrafficMix(configured), {each.name: each for each in configured.classes}
+    mix, classes = (
+        TrafficMix(configured),
+        {request_class.name: request_class for request_class in configured.classes},
+    )
     for now in range(0, 1000 * MS, 10 * MS):
         look = mix.note_request(now, classes["look"], None)
         pay = mix.note_request(now, classes["pay"], None)
@@ -31,8 +34,8 @@
 
 
 def test_tenants_invented_by_clients_do_not_grow_memory_without_bound() -> None:
-    # A client names a new tenant with each request.  The table of flows is walked for each request, so that it must not
-    # grow without bound.
+    # A client sends a new tenant name with each request.  Each request iterates over the table of flows, so the table
+    # must not grow without bound.
     configured = settings()
     mix = TrafficMix(configured)
     for number in range(10 * FLOWS_MAX):
