--- a/topazbank/balancing/admission.py
+++ b/topazbank/balancing/admission.py
@@ -1,8 +1,8 @@
-"""Admission control: whether a new request is shed at once.
+"""Admission control: decides whether to shed a new request on arrival.
 
-Guards against collapse: a fleet that answers everything too late serves nobody, and clients repeat what fails late.
-As the concurrency limit fills up, the part of the requests that is admitted falls by powers, sooner for requests of a
-lower priority.
+Guards against congestive collapse: a fleet that answers every request too late serves nobody, and clients retry
+requests that fail late.  As the concurrency limit fills up, the admission probability falls exponentially, and sooner
+for requests with a lower priority.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import math
 from typing import Final
 
-from topazbank.balancing.concurrency_limit import FREE_RATIO, ConcurrencyLimit
+from topazbank.balancing.concurrency_limit import ADMIT_ALL_UTILISATION, ConcurrencyLimit
 from topazbank.balancing.context import DecisionContext
 from topazbank.balancing.requests import Request
 from topazbank.balancing.settings import RequestClass
@@ -18,12 +18,12 @@
 from topazbank.estimation.load_estimator import LoadEstimator
 from topazbank.estimation.traffic_mix import TrafficMix
 
-FULL_PRESSURE: Final = 4.0  # at a full limit: of the typical requests one in fifty is admitted
-PRIORITY_SLOPE: Final = 2.0  # the lowest priority feels this many times the pressure, the highest almost none
+FULL_PRESSURE: Final = 4.0  # at a full limit, about 1 in 50 requests of median priority is admitted
+PRIORITY_SLOPE: Final = 2.0  # factor on the pressure at the lowest priority; nearly 0 at the highest
 
 
 class Admission:
-    """Decides on each arriving request."""
+    """Decides for each arriving request whether to shed it."""
 
     def __init__(
         self,
@@ -33,17 +33,19 @@
         estimator: LoadEstimator,
         enabled: bool,
     ) -> None:
-        """`enabled`: off where health checks for each request tell how full the servers are."""
+        """`enabled`: False where each request has its own health checks, which report how full the servers are."""
         self._context = context
         self._limit = limit
         self._sparse = sparse
         self._estimator = estimator
         self._enabled = enabled
         self._traffic = TrafficMix(context.settings)
-        self._longest_remaining_us: dict[str, int] = {}  # that a request of a class ever had left, by class
+        self._longest_remaining_us: dict[
+            str, int
+        ] = {}  # longest client timeout received on arrival, by class
 
     def sheds(self, request: Request, tenant: str | None, remaining_us: int) -> bool:
-        """Whether to shed an arriving request, whose client waits for `remaining_us` more."""
+        """Whether to shed an arriving request; its client waits for another `remaining_us`."""
         overloaded = self._is_overloaded_for(request, tenant)
         return overloaded or self._is_stale(request.request_class, remaining_us)
 
@@ -56,25 +58,28 @@
         if self._sparse.is_sparse():
             return self._sparse.sheds(self._traffic.rank(now, flow))
         utilisation = self._limit.utilisation()
-        if utilisation <= FREE_RATIO:
+        if utilisation <= ADMIT_ALL_UTILISATION:
             return False
-        pressure = FULL_PRESSURE * (utilisation - FREE_RATIO) / (1.0 - FREE_RATIO)
-        admitted = math.exp(-PRIORITY_SLOPE * pressure * (1.0 - self._traffic.rank(now, flow)))
-        if utilisation < 1.0 and self._context.random.random() < admitted:
+        pressure = FULL_PRESSURE * (utilisation - ADMIT_ALL_UTILISATION) / (1.0 - ADMIT_ALL_UTILISATION)
+        admit_probability = math.exp(-PRIORITY_SLOPE * pressure * (1.0 - self._traffic.rank(now, flow)))
+        if utilisation < 1.0 and self._context.random.random() < admit_probability:
             return False
         self._limit.has_shed = True
-        # Guards against a balancer that sheds everything and so never learns that the overload is over.
+        # Guards against a balancer that sheds every request and thus never detects that the overload has ended.
         return not self._estimator.claim_probe_admission(now)
 
     def _is_stale(self, request_class: RequestClass, remaining_us: int) -> bool:
-        """Whether a request spent its objective waiting for this process, and a late answer is worth nothing.
+        """Whether a request waited for this process for its whole objective, and a late answer has no value.
 
-        All clients give a request the same time, more or less: what is missing of it was spent waiting.
+        Clients use about the same timeout for all requests of a class.  The difference between the longest remaining
+        time and this request's is therefore the time that the request has waited.
         """
         longest_us = max(self._longest_remaining_us.get(request_class.name, 0), remaining_us)
         self._longest_remaining_us[request_class.name] = longest_us
         waited_us = longest_us - remaining_us
-        worthless = request_class.late_value_ratio <= 0.0
+        has_no_late_value = request_class.late_value_ratio <= 0.0
         return (
-            self._context.stall.just_resumed and worthless and waited_us >= request_class.latency_objective_us
+            self._context.stall.just_resumed
+            and has_no_late_value
+            and waited_us >= request_class.latency_objective_us
         )
--- a/topazbank/balancing/endpoint_updates.py
+++ b/topazbank/balancing/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Takes updates of the endpoint list: servers that come, change, drain, restart or are removed."""
+"""Applies endpoint list updates: servers are added, changed, drained, restarted or removed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class EndpointUpdates:
-    """Brings the table of servers up to date."""
+    """Applies endpoint list updates to the server table."""
 
     def __init__(
         self,
@@ -31,50 +31,52 @@
         self._checks = checks
 
     def update(self, event: EndpointsUpdated) -> None:
-        """Take an update; a failed poll changes no server."""
+        """Apply an update; a failed poll changes no server."""
         if event.kind is UpdateKind.FAILED:
             self._polling.failed()
             return
         if event.kind is not UpdateKind.CACHED:
             self._polling.answered()
-        touched = self._servers.removed + [self._describe(each) for each in event.servers]
+        changed = self._servers.removed + [
+            self._apply_description(description) for description in event.servers
+        ]
         if event.kind is not UpdateKind.DELTA:
-            for name in self._servers.missing_from(each.name for each in event.servers):
-                touched.append(self._describe(ServerDescription(name, state=ServerState.REMOVED)))
+            for name in self._servers.missing_from(description.name for description in event.servers):
+                changed.append(self._apply_description(ServerDescription(name, state=ServerState.REMOVED)))
         self._checks.check_at_start()
-        self._settle(touched)
+        self._finish_update(changed)
 
-    def _describe(self, description: ServerDescription) -> Server:
-        """Take one entry of the list, at a cost that hardly grows with the list."""
+    def _apply_description(self, description: ServerDescription) -> Server:
+        """Apply one entry of the list, at a cost almost independent of the length of the list."""
         server = self._servers.get_or_add(description.name)
         if server.state is ServerState.READY:
             self._servers.remove_ready(server)
         state_before, server.state = server.state, description.state
         if description.state is ServerState.REMOVED:
-            return server  # its zone is kept: what is in flight there still counts by it
+            return server  # keeps its zone, which attempts still in flight there are counted by
         server.zone, server.cell = description.zone, description.cell
-        is_back = state_before is ServerState.REMOVED
-        if is_back or description.nominal_capacity != server.nominal_capacity:
-            server.latency_ratio = 0.0  # to be set by its capacity
+        was_removed = state_before is ServerState.REMOVED
+        if was_removed or description.nominal_capacity != server.nominal_capacity:
+            server.latency_ratio = 0.0  # unset; `_finish_update` derives it from the capacity
         server.nominal_capacity = max(description.nominal_capacity, 0.0)
         if description.state is ServerState.READY:
             self._servers.add_ready(server)
         if description.started_at is not None and description.started_at != server.started_at:
-            self._restarted(server, description.started_at)
+            self._apply_restart(server, description.started_at)
         return server
 
-    def _restarted(self, server: Server, started_at: int) -> None:
-        """A new process has the server's name: its slow start begins, and what the old one did does not count."""
+    def _apply_restart(self, server: Server, started_at: int) -> None:
+        """Begin the slow start of a restarted server, and end an ejection caused by its previous process."""
         server.started_at = started_at
         self._slow_start.begin(server, started_at)
         if server.ejected_until is not None and server.state is ServerState.READY:
             self._ejection.readmit(server)
 
-    def _settle(self, touched: list[Server]) -> None:
-        """Drop removed servers, and give new ones the latency ratio that their capacity suggests."""
+    def _finish_update(self, changed: list[Server]) -> None:
+        """Drop removed servers, and estimate the latency ratio of new ones from their capacity."""
         mean_capacity = self._servers.mean_ready_capacity()
         self._servers.removed = []
-        for server in dict.fromkeys(touched):
+        for server in dict.fromkeys(changed):
             if server.state is ServerState.REMOVED:
                 self._ejection.server_removed(server)
                 self._servers.drop(server)
