--- a/topazbank/balancing/settings.py
+++ b/topazbank/balancing/settings.py
@@ -1,6 +1,6 @@
-"""What a balancer is configured with.  The platform's own names are translated in `platform_names.py`.
+"""Configuration of a balancer.  `platform_names.py` translates the platform's names of these settings.
 
-Times are integer microseconds.  The defaults are the cautious ends.
+Times are integer microseconds.  Defaults are conservative.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 
 @unique
 class Idempotency(Enum):
-    """Whether a request of a class may be attempted again once an attempt may have run."""
+    """Whether a request may be retried after an attempt that may have been executed."""
 
-    IDEMPOTENT = "idempotent"  # may run any number of times
-    KEYED = "keyed"  # servers drop a repeat by its idempotency key, within a scope and for a while
-    NON_IDEMPOTENT = "non_idempotent"  # must never run twice
+    IDEMPOTENT = "idempotent"  # may be executed any number of times
+    KEYED = "keyed"  # servers deduplicate by idempotency key, within a scope and a time window
+    NON_IDEMPOTENT = "non_idempotent"  # must be executed at most once
 
 
 @unique
 class IdempotencyScope(Enum):
-    """Which servers drop the repeats of a request with an idempotency key."""
+    """Servers among which requests with the same idempotency key are deduplicated."""
 
     ALL = "all"
     ZONE = "zone"
@@ -33,7 +33,7 @@
 
 @unique
 class DiscoveryMode(Enum):
-    """Whether changes of the endpoint list are pushed or have to be polled for."""
+    """Whether changes of the endpoint list are pushed or must be polled."""
 
     PUSHED = "pushed"
     ON_REQUEST = "on_request"
@@ -41,7 +41,7 @@
 
 @unique
 class ReportSource(Enum):
-    """Where servers' load reports come from."""
+    """Source of servers' load reports."""
 
     RESPONSES = "responses"
     HEALTH_CHECKS = "health_checks"
@@ -50,128 +50,130 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests."""
+    """A class of requests with the same deadline, priority and retry rules."""
 
     name: str
     deadline_us: int
     latency_objective_us: int
     priority_weight: float = 1.0
-    late_value_ratio: float = 0.0  # the part of its value that an answer after the objective keeps
+    late_value_ratio: float = 0.0  # value of an answer after the objective, relative to one in time
     idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
     idempotency_scope: IdempotencyScope = IdempotencyScope.CELL
     idempotency_window_us: int = 0  # how long servers remember an idempotency key
-    ordered_by_key: bool = False  # requests with one key run one at a time, in order of arrival
+    ordered_by_key: bool = False  # requests with the same key are executed one at a time, in order of arrival
 
     @staticmethod
-    def read(given: SettingsReader) -> RequestClass:
-        """Read a class of requests; raise `SettingsError` on a bad value."""
-        deadline_us = given.integer("deadline_us", None, low=1)
-        objective_us = given.integer("latency_objective_us", deadline_us, low=1)
+    def read(section: SettingsReader) -> RequestClass:
+        """Read a class of requests; raise `SettingsError` on an invalid value."""
+        deadline_us = section.integer("deadline_us", None, low=1)
+        objective_us = section.integer("latency_objective_us", deadline_us, low=1)
         return RequestClass(
-            name=given.text("name"),
+            name=section.text("name"),
             deadline_us=deadline_us,
             latency_objective_us=min(objective_us, deadline_us),
-            priority_weight=given.number("priority_weight", 1.0),
-            late_value_ratio=given.number("late_value_ratio", 0.0),
-            idempotency=given.choice("idempotency", Idempotency, Idempotency.NON_IDEMPOTENT),
-            idempotency_scope=given.choice("idempotency_scope", IdempotencyScope, IdempotencyScope.CELL),
-            idempotency_window_us=given.integer("idempotency_window_us", 0),
-            ordered_by_key=given.flag("ordered_by_key", False),
+            priority_weight=section.number("priority_weight", 1.0),
+            late_value_ratio=section.number("late_value_ratio", 0.0),
+            idempotency=section.choice("idempotency", Idempotency, Idempotency.NON_IDEMPOTENT),
+            idempotency_scope=section.choice("idempotency_scope", IdempotencyScope, IdempotencyScope.CELL),
+            idempotency_window_us=section.integer("idempotency_window_us", 0),
+            ordered_by_key=section.flag("ordered_by_key", False),
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant and its share of the entire fleet."""
+    """A tenant and its share of the whole fleet."""
 
     name: str
     share: float = 1.0
 
     @staticmethod
-    def read(given: SettingsReader) -> Tenant:
-        """Read a tenant; raise `SettingsError` on a bad value."""
-        return Tenant(given.text("name"), given.number("share", 1.0))
+    def read(section: SettingsReader) -> Tenant:
+        """Read a tenant; raise `SettingsError` on an invalid value."""
+        return Tenant(section.text("name"), section.number("share", 1.0))
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment permits."""
+    """Optional features that the deployment permits, and limits on connections and attempts."""
 
     max_attempts: int = 1
-    hedging: bool = False  # a second attempt may be in flight beside the first
+    hedging: bool = False  # a second attempt may be sent while the first is in flight
     cancellation: bool = False  # an attempt in flight may be cancelled
     health_checks: bool = False
-    gossip: bool = False  # sidecars may send one another messages
-    retry_after: bool = False  # a rejection may tell when to come back
+    gossip: bool = False  # sidecars may send messages to one another
+    retry_after: bool = False  # a rejection may indicate when to retry
     max_retry_after_us: int = 0
     connect_timeout_us: int = 250_000
     idle_timeout_us: int = 15_000_000
     streams_per_connection: int = 1
 
     @staticmethod
-    def read(given: SettingsReader) -> Limits:
-        """Read the limits; raise `SettingsError` on a bad value."""
+    def read(section: SettingsReader) -> Limits:
+        """Read the limits; raise `SettingsError` on an invalid value."""
         return Limits(
-            max_attempts=given.integer("max_attempts", 1),
-            hedging=given.flag("hedging", False),
-            cancellation=given.flag("cancellation", False),
-            health_checks=given.flag("health_checks", False),
-            gossip=given.flag("gossip", False),
-            retry_after=given.flag("retry_after", False),
-            max_retry_after_us=given.integer("max_retry_after_us", 0),
-            connect_timeout_us=given.integer("connect_timeout_us", 250_000),
-            idle_timeout_us=given.integer("idle_timeout_us", 15_000_000),
-            streams_per_connection=given.integer("streams_per_connection", 1, low=1),
+            max_attempts=section.integer("max_attempts", 1),
+            hedging=section.flag("hedging", False),
+            cancellation=section.flag("cancellation", False),
+            health_checks=section.flag("health_checks", False),
+            gossip=section.flag("gossip", False),
+            retry_after=section.flag("retry_after", False),
+            max_retry_after_us=section.integer("max_retry_after_us", 0),
+            connect_timeout_us=section.integer("connect_timeout_us", 250_000),
+            idle_timeout_us=section.integer("idle_timeout_us", 15_000_000),
+            streams_per_connection=section.integer("streams_per_connection", 1, low=1),
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the rules that hold whatever else happens."""
+    """Parameters of the platform's guarantees about servers, draining and the endpoint list."""
 
-    poll_within_us: int = 10_000_000  # the endpoint list is polled at least this often
+    poll_within_us: int = 10_000_000  # longest time between two polls of the endpoint list
     drain_grace_us: int = 0
-    warmup_start_ratio: float = 0.1  # the part of its capacity that a server has as it starts
-    warmup_us: int = 30_000_000  # from its start until it has all of it
-    overload_multiple: float = 1.0  # of the capacity of that moment, at which a warming server collapses
-    overload_window_us: int = 2_000_000  # over which that load is counted
-    rejects_after_start: bool = False  # servers also reject requests that they had begun
-    ordering_pause_us: int = 0  # how long a key waits after an attempt that may still be running
+    warmup_start_ratio: float = 0.1  # capacity of a server at its start, relative to its full capacity
+    warmup_us: int = 30_000_000  # time from a server's start until it has its full capacity
+    overload_multiple: float = (
+        1.0  # load at which a warming server collapses, in multiples of its current capacity
+    )
+    overload_window_us: int = 2_000_000  # time over which that load is measured
+    rejects_after_start: bool = False  # servers may also reject requests after execution has started
+    ordering_pause_us: int = 0  # delay before a key's next request if an attempt may still be running
 
     @staticmethod
-    def read(given: SettingsReader) -> Rules:
-        """Read the rules' figures; raise `SettingsError` on a bad value."""
+    def read(section: SettingsReader) -> Rules:
+        """Read the rules; raise `SettingsError` on an invalid value."""
         return Rules(
-            poll_within_us=given.integer("poll_within_us", 10_000_000, low=1),
-            drain_grace_us=given.integer("drain_grace_us", 0),
-            warmup_start_ratio=given.number("warmup_start_ratio", 0.1, low=0.001, high=1.0),
-            warmup_us=given.integer("warmup_us", 30_000_000),
-            overload_multiple=given.number("overload_multiple", 1.0, low=0.001),
-            overload_window_us=given.integer("overload_window_us", 2_000_000, low=1),
-            rejects_after_start=given.flag("rejects_after_start", False),
-            ordering_pause_us=given.integer("ordering_pause_us", 0),
+            poll_within_us=section.integer("poll_within_us", 10_000_000, low=1),
+            drain_grace_us=section.integer("drain_grace_us", 0),
+            warmup_start_ratio=section.number("warmup_start_ratio", 0.1, low=0.001, high=1.0),
+            warmup_us=section.integer("warmup_us", 30_000_000),
+            overload_multiple=section.number("overload_multiple", 1.0, low=0.001),
+            overload_window_us=section.integer("overload_window_us", 2_000_000, low=1),
+            rejects_after_start=section.flag("rejects_after_start", False),
+            ordering_pause_us=section.integer("ordering_pause_us", 0),
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """What extra traffic costs, in points of service for one a request."""
+    """Cost of extra traffic, in service points for one unit per request."""
 
     cross_zone: float = 0.0
     health_check: float = 0.0
     gossip: float = 0.0
     handshake: float = 0.0
-    connection: float = 0.0  # for a hundred open connections a server
+    connection: float = 0.0  # for 100 open connections per server
 
     @staticmethod
-    def read(given: SettingsReader) -> Prices:
-        """Read the prices; raise `SettingsError` on a bad value."""
+    def read(section: SettingsReader) -> Prices:
+        """Read the prices; raise `SettingsError` on an invalid value."""
         return Prices(
-            cross_zone=given.number("cross_zone", 0.0),
-            health_check=given.number("health_check", 0.0),
-            gossip=given.number("gossip", 0.0),
-            handshake=given.number("handshake", 0.0),
-            connection=given.number("connection", 0.0),
+            cross_zone=section.number("cross_zone", 0.0),
+            health_check=section.number("health_check", 0.0),
+            gossip=section.number("gossip", 0.0),
+            handshake=section.number("handshake", 0.0),
+            connection=section.number("connection", 0.0),
         )
 
 
@@ -182,11 +184,11 @@
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
     zone: str = ""
-    instance: int = 0  # this balancer's number in its fleet
+    instance: int = 0  # index of this balancer in its fleet
     fleet_size: int = 1
     tick_us: int = 1_000  # the resolution of the clock
     discovery: DiscoveryMode = DiscoveryMode.ON_REQUEST
-    over_share_weight: float = 1.0  # the part of its weight that a request beyond its tenant's share keeps
+    over_share_weight: float = 1.0  # factor on the priority of requests beyond their tenant's share
     report_source: ReportSource = ReportSource.NONE
     report_columns: tuple[str, ...] = ()
     limits: Limits = field(default_factory=Limits)
@@ -194,24 +196,24 @@
     prices: Prices = field(default_factory=Prices)
 
     def mean_late_value_ratio(self) -> float:
-        """The part of its value that a late answer keeps, in the mean of the classes."""
-        return sum(each.late_value_ratio for each in self.classes) / len(self.classes)
+        """The relative value of a late answer, averaged over the classes."""
+        return sum(request_class.late_value_ratio for request_class in self.classes) / len(self.classes)
 
     def longest_objective_us(self) -> int:
-        """The longest latency objective of any class."""
-        return max(each.latency_objective_us for each in self.classes)
+        """The longest latency objective among the classes."""
+        return max(request_class.latency_objective_us for request_class in self.classes)
 
     @staticmethod
-    def from_mapping(given: Mapping[str, Any]) -> Settings:
+    def from_mapping(values: Mapping[str, Any]) -> Settings:
         """Read settings from nested mappings of plain values.
 
-        Raises `SettingsError`, a `ValueError` that names the key, on a value that is not allowed.
+        Raises `SettingsError`, a `ValueError` that names the key, on an invalid value.
         """
-        top = SettingsReader(given)
+        top = SettingsReader(values)
         report = top.section("report")
         return Settings(
-            classes=_classes(top),
-            tenants=_tenants(top),
+            classes=_read_classes(top),
+            tenants=_read_tenants(top),
             zone=top.text("zone", ""),
             instance=top.integer("instance", 0),
             fleet_size=top.integer("fleet_size", 1, low=1),
@@ -226,20 +228,20 @@
         )
 
 
-def _classes(top: SettingsReader) -> tuple[RequestClass, ...]:
-    classes = tuple(RequestClass.read(each) for each in top.sections("classes"))
+def _read_classes(top: SettingsReader) -> tuple[RequestClass, ...]:
+    classes = tuple(RequestClass.read(section) for section in top.sections("classes"))
     if not classes:
-        raise SettingsError("classes: at least one class of requests is needed")
-    _check_names("classes", [each.name for each in classes])
+        raise SettingsError("classes: expected at least one class")
+    _check_unique_names("classes", [request_class.name for request_class in classes])
     return classes
 
 
-def _tenants(top: SettingsReader) -> tuple[Tenant, ...]:
-    tenants = tuple(Tenant.read(each) for each in top.sections("tenants"))
-    _check_names("tenants", [each.name for each in tenants])
+def _read_tenants(top: SettingsReader) -> tuple[Tenant, ...]:
+    tenants = tuple(Tenant.read(section) for section in top.sections("tenants"))
+    _check_unique_names("tenants", [tenant.name for tenant in tenants])
     return tenants
 
 
-def _check_names(key: str, names: Sequence[str]) -> None:
+def _check_unique_names(key: str, names: Sequence[str]) -> None:
     if len(set(names)) != len(names):
-        raise SettingsError(f"{key}: a name stands twice")
+        raise SettingsError(f"{key}: expected unique names, not {names!r:.60}")
--- a/topazbank/balancing/settings_reader.py
+++ b/topazbank/balancing/settings_reader.py
@@ -1,4 +1,4 @@
-"""Reads untrusted nested mappings into typed values, with errors that name the offending field."""
+"""Reads untrusted nested mappings into typed values, with errors that name the invalid field."""
 
 from __future__ import annotations
 
@@ -7,62 +7,64 @@
 from typing import Any, TypeVar
 
 _Choice = TypeVar("_Choice", bound=Enum)
-_INTEGER_MAX = 2**53  # every integer up to here survives a double
+_INTEGER_MAX = 2**53  # a double represents every integer up to here exactly
 
 
 class SettingsError(ValueError):
-    """A setting is missing or has a value that is not allowed; the message begins with the path of its key."""
+    """A setting is missing or invalid; the message begins with the path of its key."""
 
 
 class SettingsReader:
-    """Reads the values of one mapping.  A null value counts as absent.
+    """Reads the values of one mapping.  A null value is treated as absent.
 
-    Every method raises `SettingsError`, which names the path of the key, for a value of another type or range.
+    Every method raises `SettingsError`, which names the path of the key, for a value of the wrong type or out of range.
     """
 
-    def __init__(self, given: object, path: str = "") -> None:
-        """`path`: where the mapping stands among all settings; empty at the top."""
-        if not isinstance(given, Mapping):
-            raise SettingsError(f"{path or 'settings'}: a mapping is needed")
-        self._given = given
+    def __init__(self, values: object, path: str = "") -> None:
+        """`path`: path of the mapping within the settings; empty for the top level."""
+        if not isinstance(values, Mapping):
+            raise SettingsError(f"{path or 'settings'}: expected a mapping, not {values!r:.60}")
+        self._values = values
         self._prefix = f"{path}." if path else ""
 
     def section(self, key: str) -> SettingsReader:
-        """The mapping under a key; an absent one reads as empty."""
+        """The mapping under a key; empty if absent."""
         value = self._value(key)
         return SettingsReader({} if value is None else value, self._prefix + key)
 
     def sections(self, key: str) -> list[SettingsReader]:
-        """The list of mappings under a key; an absent one reads as empty."""
+        """The list of mappings under a key; empty if absent."""
         value = self._value(key)
         if value is None:
             return []
         if not isinstance(value, Sequence) or isinstance(value, (str, bytes)):
             raise self._error(key, "a list")
-        return [SettingsReader(each, f"{self._prefix}{key}[{index}]") for index, each in enumerate(value)]
+        return [
+            SettingsReader(section, f"{self._prefix}{key}[{index}]") for index, section in enumerate(value)
+        ]
 
     def text(self, key: str, default: str | None = None) -> str:
-        """A string; required where there is no default."""
+        """A string; required if there is no default."""
         value = self._value(key)
         if value is None and default is not None:
             return default
         if not isinstance(value, str):
-            raise self._error(key, "a text")
+            raise self._error(key, "a string")
         return value
 
     def texts(self, key: str) -> tuple[str, ...]:
-        """A list of strings; an absent one reads as empty."""
+        """A list of strings; empty if absent."""
         value = self._value(key)
         if value is None:
             return ()
         if not isinstance(value, Sequence) or isinstance(value, str):
-            raise self._error(key, "a list of texts")
-        if not all(isinstance(each, str) for each in value):
-            raise self._error(key, "a list of texts")
+            raise self._error(key, "a list of strings")
+        if not all(isinstance(item, str) for item in value):
+            raise self._error(key, "a list of strings")
         return tuple(value)
 
     def flag(self, key: str, default: bool) -> bool:
-        """True or false."""
+        """A Boolean."""
         value = self._value(key)
         if value is None:
             return default
@@ -71,7 +73,7 @@
         return value
 
     def number(self, key: str, default: float, low: float = 0.0, high: float = _INTEGER_MAX) -> float:
-        """A number from `low` to `high`, both included."""
+        """A number from `low` to `high`, inclusive."""
         value = self._value(key)
         if value is None:
             return default
@@ -80,29 +82,29 @@
         return float(value)
 
     def integer(self, key: str, default: int | None, low: int = 0) -> int:
-        """An integer of at least `low`; required where the default is None."""
+        """An integer from `low` to `_INTEGER_MAX`; required if the default is None."""
         value = self._value(key)
         if value is None and default is not None:
             return default
         is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
         if not is_number or not low <= value <= _INTEGER_MAX:
-            raise self._error(key, f"a whole number from {low}")
+            raise self._error(key, f"an integer from {low} to {_INTEGER_MAX}")
         if value != int(value):
-            raise self._error(key, "a whole number")
+            raise self._error(key, "an integer")
         return int(value)
 
-    def choice(self, key: str, kind: type[_Choice], default: _Choice) -> _Choice:
-        """The member of an enumeration that has this value."""
+    def choice(self, key: str, enumeration: type[_Choice], default: _Choice) -> _Choice:
+        """The enumeration member with this value."""
         value = self._value(key)
         if value is None:
             return default
-        for member in kind:
+        for member in enumeration:
             if value == member.value:
                 return member
-        raise self._error(key, "one of " + ", ".join(str(member.value) for member in kind))
+        raise self._error(key, "one of " + ", ".join(str(member.value) for member in enumeration))
 
     def _value(self, key: str) -> Any:
-        return self._given.get(key)
+        return self._values.get(key)
 
-    def _error(self, key: str, needed: str) -> SettingsError:
-        return SettingsError(f"{self._prefix}{key}: {needed} is needed, not {self._value(key)!r:.60}")
+    def _error(self, key: str, expected: str) -> SettingsError:
+        return SettingsError(f"{self._prefix}{key}: expected {expected}, not {self._value(key)!r:.60}")
--- a/topazbank/platform_names.py
+++ b/topazbank/platform_names.py
@@ -1,4 +1,4 @@
-"""Translates the platform's own names of settings, on the simulator's wire and in a sidecar's configuration."""
+"""Translates the platform's names of settings, as in simulator messages and a sidecar's configuration."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from topazbank.balancing.settings import Settings
 from topazbank.balancing.settings_reader import SettingsError
 
-# Name on the wire -> name in `balancing/settings.py`; a field without an entry is ignored.
+# Wire names mapped to names in `balancing/settings.py`; a field without an entry is ignored.
 _TOP = {
     "lanes": "classes",
     "realms": "tenants",
@@ -67,7 +67,7 @@
         "connection": "connection",
     },
 }
-# Words of the wire that stand for values, by the name of their setting.
+# Wire values mapped to values of `balancing/settings.py`, by the name of their setting.
 _VALUES = {
     "idempotency": {
         "read_like": "idempotent",
@@ -78,24 +78,30 @@
 }
 
 
-def settings_from_wire(given: object) -> Settings:
-    """Translate the settings object of the wire; raise `SettingsError`, which names the field, on a bad value."""
-    if not isinstance(given, Mapping):
-        raise SettingsError("settings: an object is needed")
-    named = _renamed(given, _TOP)
+def settings_from_wire(wire_settings: object) -> Settings:
+    """Translate a wire settings object; raise `SettingsError`, which names the field, on an invalid value."""
+    if not isinstance(wire_settings, Mapping):
+        raise SettingsError(f"settings: expected an object, not {wire_settings!r:.60}")
+    translated = _translate_names(wire_settings, _TOP)
     for key, names in _NESTED.items():
-        part = named.get(key)
-        if isinstance(part, list):
-            named[key] = [_renamed(each, names) if isinstance(each, Mapping) else each for each in part]
-        elif isinstance(part, Mapping):
-            named[key] = _renamed(part, names)
-    return Settings.from_mapping(named)
+        section = translated.get(key)
+        if isinstance(section, list):
+            translated[key] = [
+                _translate_names(item, names) if isinstance(item, Mapping) else item for item in section
+            ]
+        elif isinstance(section, Mapping):
+            translated[key] = _translate_names(section, names)
+    return Settings.from_mapping(translated)
 
 
-def _renamed(given: Mapping[str, Any], names: Mapping[str, str]) -> dict[str, Any]:
-    """The fields that have a name here, under that name; all others are left out."""
-    return {name: _value(name, given[wire]) for wire, name in names.items() if wire in given}
+def _translate_names(wire_fields: Mapping[str, Any], names: Mapping[str, str]) -> dict[str, Any]:
+    """Return the fields listed in `names` under their new names; other fields are omitted."""
+    return {
+        name: _translate_value(name, wire_fields[wire_name])
+        for wire_name, name in names.items()
+        if wire_name in wire_fields
+    }
 
 
-def _value(name: str, value: Any) -> Any:
+def _translate_value(name: str, value: Any) -> Any:
     return _VALUES.get(name, {}).get(value, value) if isinstance(value, str) else value
