--- a/topazbank/balancing/admission.py
+++ b/topazbank/balancing/admission.py
@@ -40,9 +40,7 @@
         self._estimator = estimator
         self._enabled = enabled
         self._traffic = TrafficMix(context.settings)
-        self._longest_remaining_us: dict[
-            str, int
-        ] = {}  # longest client timeout received on arrival, by class
+        self._longest_remaining_us: dict[str, int] = {}  # longest time remaining on arrival, by class
 
     def sheds(self, request: Request, tenant: str | None, remaining_us: int) -> bool:
         """Whether to shed an arriving request; its client waits for another `remaining_us`."""
--- a/topazbank/balancing/concurrency_limit.py
+++ b/topazbank/balancing/concurrency_limit.py
@@ -20,25 +20,20 @@
 from topazbank.estimation.load_estimator import LoadEstimator
 from topazbank.estimation.sustained_throughput import SustainedThroughput
 
-FIRST_SIZING_OBJECTIVES: Final = (
-    2.0  # delay from the start to the first sizing, in multiples of the longest objective
-)
+FIRST_SIZING_OBJECTIVES: Final = 2.0  # delay of the first sizing, in longest objectives
 LIMIT_MIN: Final = 0.1  # a few requests always pass, so that a recovery is detected
 LATE_RATIO_ALLOWED: Final = 0.05  # a fleet with a lower ratio of late responses is not overloaded
 EVIDENT_OVERLOAD_LATE_RATIO: Final = 0.5  # a ratio of late responses too high for noise, even among a few
 BUSY_CPU_RATIO: Final = 0.85  # below this CPU utilisation, the fleet has capacity for more requests
 SPARE_CPU_RATIO: Final = 0.4  # the same for a busy balancer, lower since reports lag behind a surge
 SATURATED_CPU_RATIO: Final = 0.95  # above this, the fleet is overloaded before any response is late
-SHRINK_OBJECTIVES: Final = (
-    0.5  # time to shrink by a factor of e with no response in time, in longest objectives
-)
-GROW_OBJECTIVES: Final = 0.2  # time to grow by a factor of e with all responses in time, likewise
+SHRINK_OBJECTIVES: Final = 0.5  # longest objectives to shrink by a factor of e with no response in time
+GROW_OBJECTIVES: Final = 0.2  # longest objectives to grow by a factor of e with all responses in time
 GROWTH_MAX: Final = 1.5  # factor at one sizing, since a single estimate may be noise
 ADMIT_ALL_UTILISATION: Final = 0.5  # up to this, nothing is shed and the limit does not grow
-LOST_SPENT_RATIO: Final = (
-    2.0  # latency counted for a rejected or lost attempt, in objectives: it would have been very late
-)
-SIZING_STEP_OBJECTIVES: Final = 0.25  # longest time that one sizing accounts for
+# Latency counted for a rejected or lost attempt, in objectives: its response would have been very late.
+LOST_SPENT_RATIO: Final = 2.0
+SIZING_STEP_OBJECTIVES: Final = 0.25  # longest time that one sizing accounts for, in longest objectives
 
 
 class ConcurrencyLimit:
@@ -64,15 +59,14 @@
         self._enabled = enabled
         self._handshakes_cost = context.settings.prices.handshake > 0.0
         self._sustained = SustainedThroughput(context.longest_objective_us)
-        self._served_objectives = DecayingRate(
-            context.longest_objective_us
-        )  # sum of the objectives of responses, per microsecond
+        # Sum of the objectives of responses, per microsecond.
+        self._served_objectives = DecayingRate(context.longest_objective_us)
         self.limit = math.inf
         self._capacity = 0.0
         self._capacity_due = 0  # time of the next update of `_capacity`
         self.has_shed = False  # whether the limit has shed a request since the last sizing
         self._sized_at = 0
-        self._size_from = 0  # time from which enough responses are counted to size the limit
+        self._size_from = 0  # time from which response rates are reliable enough to size the limit
 
     def utilisation(self) -> float:
         """The part of the limit that is in use; may exceed 1.
--- a/topazbank/balancing/endpoint_polling.py
+++ b/topazbank/balancing/endpoint_polling.py
@@ -22,9 +22,8 @@
         self._agenda = agenda
         self._poll_within_us = context.settings.rules.poll_within_us
         self._is_polled = context.settings.discovery is DiscoveryMode.ON_REQUEST
-        self._jitter = random.Random(
-            str(seed)
-        )  # separate generator, so that polls do not affect the selection of servers
+        # A separate generator, so that polls do not affect the selection of servers.
+        self._jitter = random.Random(str(seed))
         self._failed_polls = 0  # polls failed since the last answer
         self._started_polls = 0  # polls started since the last answer
         self.due: int | None = None  # clock time of the next poll; None while the list is watched
--- a/topazbank/balancing/settings.py
+++ b/topazbank/balancing/settings.py
@@ -244,4 +244,6 @@
 
 def _check_unique_names(key: str, names: Sequence[str]) -> None:
     if len(set(names)) != len(names):
-        raise SettingsError(f"{key}: expected unique names, not {names!r:.60}")
+        raise SettingsError(
+            f"{key}: duplicate name {next(name for name in names if names.count(name) > 1)!r:.60}"
+        )
