--- a/tests/balancing/test_endpoint_polling.py
+++ b/tests/balancing/test_endpoint_polling.py
@@ -1,4 +1,4 @@
-"""When the endpoint list is polled."""
+"""Schedule of endpoint list polls."""
 
 from __future__ import annotations
 
@@ -21,32 +21,32 @@
     assert stage.said(WatchEndpoints) == [WatchEndpoints(True)]
 
 
-def test_nothing_is_polled_where_changes_are_pushed() -> None:
+def test_the_endpoint_list_is_not_polled_if_changes_are_pushed() -> None:
     stage = Stage(settings(discovery="pushed"))
     stage.servers(names(2), UpdateKind.CACHED)
     stage.wait(60 * S)
     assert stage.said(WatchEndpoints) == []
 
 
-def test_failed_polls_are_repeated_with_backoff_and_never_given_up() -> None:
+def test_failed_polls_are_retried_with_backoff_indefinitely() -> None:
     stage = Stage()
-    asked = []
+    polled_at = []
     stage.servers(names(2), UpdateKind.CACHED)
     for _ in range(12):
-        asked.append(stage.now)
-        count = len(stage.said(WatchEndpoints))
+        polled_at.append(stage.now)
+        poll_count = len(stage.said(WatchEndpoints))
         stage.play(EndpointsUpdated(UpdateKind.FAILED))
-        while len(stage.said(WatchEndpoints)) == count:
+        while len(stage.said(WatchEndpoints)) == poll_count:
             stage.wait(5 * MS)
-    waits = [later - earlier for earlier, later in itertools.pairwise(asked)]
-    assert max(waits) < 10 * S / 2
-    assert waits[-1] > 2 * waits[0]
+    intervals = [later - earlier for earlier, later in itertools.pairwise(polled_at)]
+    assert max(intervals) < 10 * S / 2
+    assert intervals[-1] > 2 * intervals[0]
 
 
-def test_a_poll_that_is_never_answered_is_repeated_in_time() -> None:
+def test_an_unanswered_poll_is_retried_within_the_required_interval() -> None:
     stage = Stage()
     stage.servers(names(2), UpdateKind.CACHED)
     stage.wait(10 * S)
-    times = [at for at, each in stage.log if isinstance(each, WatchEndpoints)]
+    times = [at for at, action in stage.log if isinstance(action, WatchEndpoints)]
     assert len(times) > 1
     assert all(later - earlier < 10 * S for earlier, later in itertools.pairwise(times))
--- a/tests/balancing/test_endpoint_updates.py
+++ b/tests/balancing/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Updates of the endpoint list: draining and removed servers get nothing."""
+"""Endpoint list updates: draining and removed servers receive no requests."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 )
 
 
-def test_a_draining_or_removed_server_gets_nothing_from_the_moment_of_the_update() -> None:
+def test_a_draining_or_removed_server_receives_no_requests_after_the_update() -> None:
     stage = Stage()
     stage.servers(names(4))
     stage.drain("10.0.0.1:80")
     stage.servers([*names(3)[1:], "10.0.0.9:80"])
     for _ in range(100):
         stage.request()
-    targets = {each.server for _, each in stage.sends()}
+    targets = {attempt.server for _, attempt in stage.sends()}
     assert targets == {"10.0.0.2:80", "10.0.0.3:80", "10.0.0.9:80"}
 
 
-def test_a_snapshot_that_brings_a_server_back_makes_it_ready_again() -> None:
+def test_an_update_that_lists_a_removed_server_again_makes_it_ready() -> None:
     stage = Stage()
     stage.servers(["10.0.0.1:80"])
     stage.drain("10.0.0.1:80", ServerState.REMOVED)
@@ -32,12 +32,14 @@
     assert len(stage.sends(stage.request())) == 1
 
 
-def test_no_attempt_leaves_for_a_draining_or_removed_server() -> None:
+def test_no_attempt_is_sent_to_a_draining_or_removed_server() -> None:
     stage = Stage()
     stage.servers(names(3))
     request = stage.balancer.lifecycle.requests[stage.request()]
     server = next(
-        each for each in stage.balancer.servers.by_name.values() if each is not request.attempts[0].server
+        candidate
+        for candidate in stage.balancer.servers.by_name.values()
+        if candidate is not request.attempts[0].server
     )
     for state in (ServerState.DRAINING, ServerState.REMOVED):
         stage.drain(server.name, state)
@@ -46,21 +48,22 @@
     assert stage.balancer.sender.send(request, stage.balancer.servers.by_name[server.name])
 
 
-def test_a_removed_server_is_forgotten_once_nothing_is_in_flight_to_it() -> None:
-    # Guards memory where servers are replaced all day, and the share of the list that may be ejected.
+def test_a_removed_server_is_dropped_once_no_attempt_to_it_is_in_flight() -> None:
+    # Guards against memory growth where servers are replaced all day, and against removed servers that count towards
+    # the share of servers that may be ejected.
     stage = Stage()
     stage.servers(names(3))
     request = stage.request("pay")
-    taken = stage.balancer.lifecycle.requests[request].attempts[0].server
-    stage.balancer.ejection._eject(taken, "test")
-    others = [each for each in names(3) if each != taken.name]
+    removed = stage.balancer.lifecycle.requests[request].attempts[0].server
+    stage.balancer.ejection._eject(removed, "test")
+    others = [name for name in names(3) if name != removed.name]
     stage.servers(others)
     assert set(stage.balancer.servers.by_name) == set(names(3)) and not stage.balancer.ejected
-    stage.play(AttemptEnded(request, 0, taken.name, Outcome.CONNECTION_LOST, 1, False))
+    stage.play(AttemptEnded(request, 0, removed.name, Outcome.CONNECTION_LOST, 1, False))
     stage.servers(others)
     assert (
         set(stage.balancer.servers.by_name)
         == set(others)
-        == {s.name for s in stage.balancer.servers.by_number.values()}
+        == {server.name for server in stage.balancer.servers.by_number.values()}
     )
     assert stage.balancer.load.in_objective == 0
--- a/tests/balancing/test_settings.py
+++ b/tests/balancing/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: what is skipped, what gets a default, and what is nonsense."""
+"""Settings: ignored keys, defaults and invalid values."""
 
 from __future__ import annotations
 
@@ -6,33 +6,33 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from topazbank import Balancer, Settings
 from topazbank.balancing.events import RequestArrived
 from topazbank.balancing.settings import DiscoveryMode, Idempotency
 
-LEAST = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
+MINIMAL_SETTINGS = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
 
 
-def test_absent_keys_get_the_cautious_default() -> None:
-    given = Settings.from_mapping(LEAST)
-    assert given.classes[0].idempotency is Idempotency.NON_IDEMPOTENT
-    assert given.classes[0].latency_objective_us == 1_000_000
-    assert given.discovery is DiscoveryMode.ON_REQUEST
-    assert not given.limits.hedging and given.limits.max_attempts == 1
-    assert given.rules.drain_grace_us == 0
+def test_absent_keys_get_a_conservative_default() -> None:
+    parsed = Settings.from_mapping(MINIMAL_SETTINGS)
+    assert parsed.classes[0].idempotency is Idempotency.NON_IDEMPOTENT
+    assert parsed.classes[0].latency_objective_us == 1_000_000
+    assert parsed.discovery is DiscoveryMode.ON_REQUEST
+    assert not parsed.limits.hedging and parsed.limits.max_attempts == 1
+    assert parsed.rules.drain_grace_us == 0
 
 
-def test_unknown_keys_are_skipped_and_null_counts_as_absent() -> None:
+def test_unknown_keys_are_ignored_and_null_is_treated_as_absent() -> None:
     assert Settings.from_mapping(
-        {**LEAST, "news": 1, "limits": {"x": 2}, "rules": None}
-    ) == Settings.from_mapping(LEAST)
+        {**MINIMAL_SETTINGS, "news": 1, "limits": {"x": 2}, "rules": None}
+    ) == Settings.from_mapping(MINIMAL_SETTINGS)
 
 
 @pytest.mark.parametrize(
-    ("given", "key"),
+    ("mapping", "key"),
     [
         ({}, "classes"),
         ({"classes": 5}, "classes"),
@@ -40,24 +40,24 @@
         ({"classes": [{"name": "a", "deadline_us": 0}]}, "classes[0].deadline_us"),
         ({"classes": [{"name": "a", "deadline_us": float("nan")}]}, "classes[0].deadline_us"),
         ({"classes": [{"name": "a", "deadline_us": 9, "idempotency": "maybe"}]}, "classes[0].idempotency"),
-        ({"classes": [*LEAST["classes"], *LEAST["classes"]]}, "classes"),
-        ({**LEAST, "limits": {"max_attempts": -1}}, "limits.max_attempts"),
-        ({**LEAST, "limits": {"hedging": 1}}, "limits.hedging"),
-        ({**LEAST, "rules": {"warmup_start_ratio": 2}}, "rules.warmup_start_ratio"),
-        ({**LEAST, "rules": {"overload_window_us": "long"}}, "rules.overload_window_us"),
-        ({**LEAST, "report": {"columns": "util"}}, "report.columns"),
-        ({**LEAST, "tenants": [3]}, "tenants[0]"),
-        ({**LEAST, "fleet_size": 0}, "fleet_size"),
-        ({**LEAST, "prices": []}, "prices"),
+        ({"classes": [*MINIMAL_SETTINGS["classes"], *MINIMAL_SETTINGS["classes"]]}, "classes"),
+        ({**MINIMAL_SETTINGS, "limits": {"max_attempts": -1}}, "limits.max_attempts"),
+        ({**MINIMAL_SETTINGS, "limits": {"hedging": 1}}, "limits.hedging"),
+        ({**MINIMAL_SETTINGS, "rules": {"warmup_start_ratio": 2}}, "rules.warmup_start_ratio"),
+        ({**MINIMAL_SETTINGS, "rules": {"overload_window_us": "long"}}, "rules.overload_window_us"),
+        ({**MINIMAL_SETTINGS, "report": {"columns": "util"}}, "report.columns"),
+        ({**MINIMAL_SETTINGS, "tenants": [3]}, "tenants[0]"),
+        ({**MINIMAL_SETTINGS, "fleet_size": 0}, "fleet_size"),
+        ({**MINIMAL_SETTINGS, "prices": []}, "prices"),
     ],
 )
-def test_nonsense_is_named(given: dict[str, Any], key: str) -> None:
-    with pytest.raises(ValueError) as complaint:
-        Settings.from_mapping(given)
-    assert str(complaint.value).startswith(key + ":")
+def test_an_invalid_value_is_reported_with_its_key(mapping: dict[str, Any], key: str) -> None:
+    with pytest.raises(ValueError) as error:
+        Settings.from_mapping(mapping)
+    assert str(error.value).startswith(key + ":")
 
 
-values = (
+scalar_values = (
     st.none()
     | st.booleans()
     | st.integers(-5, 10**9)
@@ -66,7 +66,7 @@
 )
 
 
-@how(max_examples=200, deadline=None, derandomize=True)
+@hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
 @given(
     st.dictionaries(
         st.sampled_from(
@@ -80,7 +80,7 @@
                 "streaming",
             ]
         ),
-        values,
+        scalar_values,
     ),
     st.dictionaries(
         st.sampled_from(
@@ -93,15 +93,17 @@
                 "overload_window_us",
             ]
         ),
-        values,
+        scalar_values,
     ),
 )
-def test_any_settings_give_a_working_balancer_or_a_complaint(
-    kind: dict[str, Any], rest: dict[str, Any]
+def test_any_settings_give_a_working_balancer_or_an_error(
+    class_fields: dict[str, Any], other_fields: dict[str, Any]
 ) -> None:
     try:
-        given = Settings.from_mapping({"classes": [{"name": "a", **kind}], "limits": rest, "rules": rest})
+        parsed = Settings.from_mapping(
+            {"classes": [{"name": "a", **class_fields}], "limits": other_fields, "rules": other_fields}
+        )
     except ValueError:
         return
-    balancer = Balancer(given, 1)
+    balancer = Balancer(parsed, 1)
     assert len(balancer.handle(5_000_000, RequestArrived(1, "a", None, None, 500_000))) > 0
--- a/tests/balancing/test_sparse_admission.py
+++ b/tests/balancing/test_sparse_admission.py
@@ -1,4 +1,4 @@
-"""Admission where few requests come."""
+"""Admission control at a low request rate."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 )
 
 
-def test_a_small_balancer_sheds_a_part_of_the_requests_while_every_response_is_late() -> None:
+def test_a_small_balancer_sheds_some_requests_while_every_response_is_late() -> None:
     stage = Stage()
     stage.servers(names(8))
-    for _ in range(120):  # hardly ever two in flight, so a window of two would never refuse
+    for _ in range(120):  # rarely two in flight, so a limit of two would never reject
         stage.wait(900 * MS)
         request = stage.request()
         if stage.sends(request):
             stage.wait(700 * MS)
             stage.end(request)
-    refused = len(stage.said(Reject))
-    assert 20 <= refused < 120
+    rejected = len(stage.said(Reject))
+    assert 20 <= rejected < 120
     stage.wait(10 * S)
     serve_singly(stage, 60)
-    refused = len(stage.said(Reject))
+    rejected = len(stage.said(Reject))
     serve_singly(stage, 60)
-    assert len(stage.said(Reject)) == refused
+    assert len(stage.said(Reject)) == rejected
 
 
-def test_few_late_responses_mean_shedding_and_time_alone_ends_it() -> None:
+def test_a_few_late_responses_cause_shedding_that_ends_with_time_alone() -> None:
     stage = Stage()
     stage.servers(names(4))
     for _ in range(30):
@@ -39,13 +39,13 @@
         stage.wait(600 * MS)
         if stage.sends(request):
             stage.end(request)
-    refused = len(stage.said(Reject))
-    assert refused > 3
+    rejected = len(stage.said(Reject))
+    assert rejected > 3
     stage.wait(10 * S)
     assert all(stage.sends(stage.request("look")) for _ in range(2))
 
 
-def test_few_requests_that_find_servers_unreachable_are_no_overload() -> None:
+def test_a_few_lost_connections_do_not_indicate_overload() -> None:
     stage = Stage()
     stage.servers(names(6))
     for _ in range(12):
