--- a/tests/balancing/test_idle_connections.py
+++ b/tests/balancing/test_idle_connections.py
@@ -9,16 +9,17 @@
 )
 
 
-def test_an_idle_connection_is_closed_once_holding_it_cost_as_much_as_opening_one() -> None:
+def test_an_idle_connection_is_closed_once_holding_it_costs_as_much_as_opening_one() -> None:
     stage = Stage(settings(fleet_size=100, prices={"connection": 0.08, "handshake": 0.08}))
     stage.servers(names(4))
-    stage.serve(100)  # 50 a second here: 1250 a server from all, a hundredth of the price each
+    # 50 requests/s here are 1250/s per server from all sidecars, each costing 1% of the connection price.
+    stage.serve(100)
     stage.wait(1 * S)
-    closed = {each.server for each in stage.said(CloseIdleConnections)}
-    assert closed == {each.server for _, each in stage.sends()}
+    closed = {action.server for action in stage.said(CloseIdleConnections)}
+    assert closed == {send.server for _, send in stage.sends()}
 
 
-def test_a_connection_in_use_is_not_closed_and_none_is_where_connections_cost_nothing() -> None:
+def test_a_connection_in_use_or_without_a_price_is_not_closed() -> None:
     for prices, every_us in (
         ({"connection": 0.08, "handshake": 0.08}, 2 * MS),
         ({"handshake": 0.08}, 90 * MS),
@@ -29,7 +30,7 @@
         assert stage.said(CloseIdleConnections) == []
 
 
-def test_of_equal_servers_the_one_with_an_idle_connection_is_chosen() -> None:
+def test_a_server_with_an_idle_connection_is_chosen_among_equally_loaded_servers() -> None:
     stage = Stage(settings(**CHECKED, prices={"handshake": 0.08}))
     stage.servers(names(4))
     targets = set()
--- a/tests/balancing/test_key_ordering.py
+++ b/tests/balancing/test_key_ordering.py
@@ -1,4 +1,4 @@
-"""Requests with one ordering key run one at a time."""
+"""Requests that share an ordering key run one at a time."""
 
 from __future__ import annotations
 
@@ -31,18 +31,18 @@
 
 def test_requests_with_one_key_run_one_at_a_time_in_order_of_arrival_across_classes() -> None:
     stage = ordered_stage()
-    line = [stage.request(name, key=5) for name in ("save", "mark", "save")]
-    for at, request in enumerate(line):
-        assert [len(stage.sends(each)) for each in line] == [1] * (at + 1) + [0] * (2 - at)
+    requests = [stage.request(name, key=5) for name in ("save", "mark", "save")]
+    for index, request in enumerate(requests):
+        assert [len(stage.sends(queued)) for queued in requests] == [1] * (index + 1) + [0] * (2 - index)
         stage.wait(10 * MS)
         stage.end(request)
 
 
-def test_requests_without_a_key_or_with_another_or_of_other_classes_do_not_wait() -> None:
+def test_requests_without_a_key_with_another_key_or_of_unordered_classes_do_not_wait() -> None:
     stage = ordered_stage()
     stage.request("save", key=5)
-    free = [stage.request("save"), stage.request("save", key=6), stage.request("look", key=5)]
-    assert all(len(stage.sends(each)) == 1 for each in free)
+    unordered = [stage.request("save"), stage.request("save", key=6), stage.request("look", key=5)]
+    assert all(len(stage.sends(request)) == 1 for request in unordered)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CANCELLED])
@@ -51,7 +51,7 @@
     first, second = stage.request("save", key=5), stage.request("mark", key=5)
     stage.play(RequestCancelled(first))
     stage.wait(10 * MS)
-    assert stage.sends(second) == []  # the first is over for the client, yet its attempt is still out
+    assert stage.sends(second) == []  # the first request is cancelled, but its attempt is still in flight
     stage.end(first, outcome, answered=True)
     ended = stage.now
     assert stage.sends(second) == []
@@ -63,7 +63,7 @@
     assert stage.sends(third) == []
 
 
-def test_a_request_of_an_ordered_key_may_itself_be_retried_at_once() -> None:
+def test_a_request_with_an_ordering_key_is_retried_immediately() -> None:
     stage = ordered_stage()
     first = stage.request("save", key=5)
     stage.wait(10 * MS)
@@ -71,20 +71,20 @@
     assert len(stage.sends(first)) == 2
 
 
-def test_a_queued_request_is_answered_in_time_and_one_whose_client_left_is_skipped() -> None:
+def test_a_queued_request_is_rejected_at_its_deadline_and_a_cancelled_one_is_skipped() -> None:
     stage = ordered_stage()
     first = stage.request("save", key=5)
-    held, left = (stage.request("mark", remaining_us=300 * MS, key=5) for _ in range(2))
+    expiring, cancelled = (stage.request("mark", remaining_us=300 * MS, key=5) for _ in range(2))
     last = stage.request("save", key=5)
-    stage.play(RequestCancelled(left))
+    stage.play(RequestCancelled(cancelled))
     stage.wait(300 * MS)
-    assert [each.request for each in stage.said(Reject)] == [held]
+    assert [action.request for action in stage.said(Reject)] == [expiring]
     stage.end(first)
-    assert stage.sends(held) == [] and stage.sends(left) == []
+    assert stage.sends(expiring) == [] and stage.sends(cancelled) == []
     assert len(stage.sends(last)) == 1
 
 
-def test_keys_that_are_not_in_use_cost_no_memory() -> None:
+def test_keys_that_are_not_in_use_take_no_memory() -> None:
     stage = ordered_stage()
     for key in range(50):
         request = stage.request("save", key=key)
@@ -94,7 +94,7 @@
     assert not stage.balancer.ordering.queues
 
 
-def test_no_attempt_leaves_out_of_turn() -> None:
+def test_no_attempt_is_sent_out_of_order() -> None:
     stage = ordered_stage()
     first, second = stage.request("save", key=5), stage.request("mark", key=5)
     waiting = stage.balancer.lifecycle.requests[second]
