--- a/topazbank/balancing/costs.py
+++ b/topazbank/balancing/costs.py
@@ -1,4 +1,4 @@
-"""What extra traffic costs in parts of the latency objective, and what the settings allow to be spent on it."""
+"""Costs of extra traffic, as parts of the latency objective, and the budget that the settings allow for it."""
 
 from __future__ import annotations
 
@@ -7,33 +7,34 @@
 
 from topazbank.balancing.settings import ReportSource, Settings
 
-CANDIDATES: Final = (
-    4  # k: most servers have nothing of this balancer in flight, where two candidates tell too little
-)
-COST_MARGIN: Final = 2.0  # a detour must spare this many times its price, in parts of the objective
-ZONE_COST_MIN: Final = 0.1  # below it crossings go by odds: an expected time is less exact than that
-HEALTH_CHECK_BUDGET: Final = (
-    0.01  # of a request's worth, that health checks for it may cost: they only settle ties
-)
+# Sample size k of best-of-k selection.  Most servers have no requests of this balancer in flight, so a comparison
+# of only two candidates would rarely find a difference.
+CANDIDATES: Final = 4
+# A more expensive path must save at least this multiple of its price, as a part of the latency objective.
+COST_MARGIN: Final = 2.0
+# Below this cost other zones are selected by sampling weight, because expected times are less accurate than that.
+ZONE_COST_MIN: Final = 0.1
+# Part of a request's value that its health checks may cost.  The checks only break ties.
+HEALTH_CHECK_BUDGET: Final = 0.01
 
 
 @dataclass(frozen=True, slots=True)
 class Costs:
     """The costs of one deployment."""
 
-    zone_crossing: float  # in parts of the latency objective
-    handshake: float  # likewise
-    checks_per_request: int  # health checks that one request may cause; up to 1: none do
-    own_zone_first: bool  # whether other zones are candidates only where the own one is slower
+    zone_crossing: float  # as a part of the latency objective
+    handshake: float  # as a part of the latency objective
+    checks_per_request: int  # health checks that one request may trigger; none are sent if at most 1
+    own_zone_first: bool  # whether other zones are candidates only if the local zone is slower
 
     @property
     def checks_each_request(self) -> bool:
-        """Whether health checks settle ties for each request."""
+        """Whether health checks break ties for each request."""
         return self.checks_per_request > 1
 
     @staticmethod
     def of(settings: Settings) -> Costs:
-        """The costs by these settings."""
+        """Derive the costs from the settings."""
         checks = _checks_per_request(settings)
         crossing = COST_MARGIN * settings.prices.cross_zone
         return Costs(
@@ -45,7 +46,7 @@
 
 
 def _checks_per_request(settings: Settings) -> int:
-    is_checked = settings.report_source is ReportSource.HEALTH_CHECKS and settings.limits.health_checks
-    if not is_checked or "inflight" not in settings.report_columns:
+    reports_by_check = settings.report_source is ReportSource.HEALTH_CHECKS and settings.limits.health_checks
+    if not reports_by_check or "inflight" not in settings.report_columns:
         return 0
     return int(min(HEALTH_CHECK_BUDGET / max(settings.prices.health_check, 1e-9), CANDIDATES))
--- a/topazbank/balancing/selection.py
+++ b/topazbank/balancing/selection.py
@@ -1,8 +1,8 @@
-"""Server selection: best of k, that is the least loaded of k random servers.
+"""Server selection: best of k, the least loaded of k randomly sampled servers.
 
-Candidates are narrowed step by step: servers that are due for probation or named by a routing plan, else the eligible
-ones of this balancer's subset, of which k are sampled by weight.  Of these the one with the fewest own requests in
-flight is chosen.  After each rejection of a request twice as many are sampled for it.
+A server that is due for probation or named by a routing plan is preferred.  Otherwise k of the eligible servers in
+this balancer's subset are sampled by weight, and the one with the fewest of this balancer's requests in flight is
+selected.  The sample size doubles after each rejection of a request.
 """
 
 from __future__ import annotations
@@ -25,22 +25,26 @@
 from topazbank.balancing.servers import Server, ServerTable
 from topazbank.balancing.slow_start import SlowStart
 
-ADMITTING_MIN: Final = 2  # with so many servers that admit a flow, those that rejected it are not candidates
-NEW_CONNECTION_RATIO: Final = (
-    1.5  # a server without an idle connection counts as slower by this, where that costs
-)
-OTHER_ZONE_WEIGHT_MIN: Final = 0.25  # of a server in another zone, while the own zone is as quick
-OTHER_ZONE_LAG: Final = 0.3  # the own zone this much slower than the others, all zones are sampled alike
-HEAVY_EXPONENT_MAX: Final = 3.0  # of the latency ratio, for requests of four times the mean cost or more
-PLAN_LATENCY_RATIO_MAX: Final = 2.5  # a plan is not followed to a server that is slower by the own responses
+# Servers that rejected a flow are not candidates for it while at least this many others admit it.
+ADMITTING_SERVERS_MIN: Final = 2
+# Latency factor for a server without an idle connection, where handshakes have a cost.
+NEW_CONNECTION_LATENCY_RATIO: Final = 1.5
+# Sampling weight of a server in another zone while the local zone is as fast.
+OTHER_ZONE_WEIGHT_MIN: Final = 0.25
+# All zones have equal weight once the local zone is slower than the others by this ratio.
+LOCAL_ZONE_LAG_MAX: Final = 0.3
+# Exponent of the latency ratio for requests of at least four times the mean cost.
+LATENCY_EXPONENT_MAX: Final = 3.0
+# A routing plan is not followed to a server whose latency ratio, by this sidecar's responses, is at least this.
+PLAN_LATENCY_RATIO_MAX: Final = 2.5
 
 
 @dataclass(slots=True)
 class Choice:
-    """The server to send a request to; None: there is none now."""
+    """The outcome of a selection."""
 
-    server: Server | None
-    to_check: list[Server]  # candidates between which health checks decide first; empty: none are needed
+    server: Server | None  # None: no server is available now
+    to_check: list[Server]  # candidates to health-check before the final choice; empty: no checks
 
 
 class Selection:
@@ -70,13 +74,13 @@
         self._gossip = gossip
         self._plan = plan
         self._other_zone_weight = 1.0
-        self._zones_weighed_at = -1
+        self._other_zone_weight_computed_at = -1
 
     def choose(self, request: Request) -> Choice:
         """Choose a server for the next attempt of a request."""
         preferred = self._ejection.due_for_probation(request)
         if preferred is None and self._plan is not None and not request.attempts:
-            preferred = self._planned(request, self._plan)
+            preferred = self._planned_server(request, self._plan)
         if preferred is not None:
             return Choice(preferred, [])
         candidates = self._candidates(request)
@@ -87,7 +91,7 @@
         )
         best = min(sampled, key=self._rank)
         if self._costs.checks_each_request and not self._context.stall.just_resumed:
-            # Right after a stall, others that stalled as well would get the same answers at once.
+            # No checks right after a stall: sidecars that stalled together would all get the same answers.
             return Choice(best, sorted(sampled, key=self._own_load)[: self._costs.checks_per_request])
         return Choice(best, [])
 
@@ -98,7 +102,7 @@
         if request.attempts:
             if server in request.failed_servers:
                 return False
-            if any(each.pending and each.server is server for each in request.attempts):
+            if any(attempt.pending and attempt.server is server for attempt in request.attempts):
                 return False  # a hedged request goes to another server
             if not self._retries.drops_repeats(request, server):
                 return False
@@ -106,98 +110,105 @@
 
     # -- Candidates -------------------------------------------------------------------------------------
 
-    def _planned(self, request: Request, plan: RoutingPlan) -> Server | None:
-        """The least loaded of the servers that the plan names, as far as they may be used."""
+    def _planned_server(self, request: Request, plan: RoutingPlan) -> Server | None:
+        """The least loaded eligible server that the plan names and that has planned capacity remaining."""
         names = plan.sample(self._context.now, self._context.random.random)
         named = [self._servers.by_name.get(name) for name in names]
         ready = [
-            each
-            for each in named
-            if each is not None
-            and each.state is ServerState.READY
-            and each.latency_ratio < PLAN_LATENCY_RATIO_MAX
+            server
+            for server in named
+            if server is not None
+            and server.state is ServerState.READY
+            and server.latency_ratio < PLAN_LATENCY_RATIO_MAX
         ]
-        eligible = [each for each in ready if self.is_eligible(each, request)]
-        within = [each for each in eligible if self._own_load(each) < plan.capacity(each.name)]
-        return min(within, key=self._own_load, default=None)
+        eligible = [server for server in ready if self.is_eligible(server, request)]
+        below_capacity = [
+            server for server in eligible if self._own_load(server) < plan.capacity(server.name)
+        ]
+        return min(below_capacity, key=self._own_load, default=None)
 
     def _candidates(self, request: Request) -> list[Server]:
-        """The eligible servers of this balancer's subset; first of its own zone, where the costs ask for that."""
+        """The eligible servers of this balancer's subset.
+
+        Unless the request may go to any zone, other zones are included only if the local zone has fewer than two
+        candidates.
+        """
         request.any_zone = request.any_zone or self._context.stall.just_resumed
-        listed = self._servers.ready if request.any_zone else self._servers.ready_in_zone
-        candidates = self._subset(listed, request)
+        servers_in_scope = self._servers.ready if request.any_zone else self._servers.ready_in_zone
+        candidates = self._subset(servers_in_scope, request)
         if len(candidates) < 2 and not request.any_zone:
             request.any_zone = True
             candidates = self._subset(self._servers.ready, request)
         return candidates
 
     def _subset(self, servers: list[Server], request: Request) -> list[Server]:
-        """The first eligible servers in this balancer's own order, as many as its traffic can know.
+        """The first eligible servers in this balancer's server order, up to its subset size.
 
-        Servers that lately rejected the request's flow are left out, unless too few are left without them.
+        Servers that recently rejected the request's flow are excluded, unless too few others admit it.
         """
         size = self._load.subset_size()
         admitting, backed_off = list[Server](), list[Server]()
         for server in servers:
             if self.is_eligible(server, request):
                 backoff = server.backoffs.get(request.flow)
-                is_over = backoff is None or backoff.until <= self._context.now
-                (admitting if is_over else backed_off).append(server)
+                is_admitting = backoff is None or backoff.until <= self._context.now
+                (admitting if is_admitting else backed_off).append(server)
                 if len(admitting) >= size:
                     break
-        if len(admitting) >= min(ADMITTING_MIN, size):
+        if len(admitting) >= min(ADMITTING_SERVERS_MIN, size):
             return admitting
         return admitting + backed_off[: size - len(admitting)]
 
     # -- Sampling ---------------------------------------------------------------------------------------
 
     def _weights(self, candidates: list[Server], request: Request) -> list[float]:
-        if self._zones_weighed_at != self._context.now:
-            self._zones_weighed_at = self._context.now
-            self._other_zone_weight = 1.0 if self._costs.own_zone_first else self._weigh_other_zones()
-        exponent = min(max(1.0, float(request.cost_bucket)), HEAVY_EXPONENT_MAX)
-        return [self._weight(each, exponent) for each in candidates]
+        if self._other_zone_weight_computed_at != self._context.now:
+            self._other_zone_weight_computed_at = self._context.now
+            self._other_zone_weight = 1.0 if self._costs.own_zone_first else self._compute_other_zone_weight()
+        exponent = min(max(1.0, float(request.cost_bucket)), LATENCY_EXPONENT_MAX)
+        return [self._weight(server, exponent) for server in candidates]
 
     def _weight(self, server: Server, exponent: float) -> float:
-        """Slower servers are sampled less: with few requests most have none in flight, and sampling decides.
+        """The sampling weight of a server, which is lower for slower servers.
 
-        Still less for heavy requests, which only quick servers can answer in time.
+        With few requests most servers have none in flight, so sampling decides the choice.  Heavy requests reduce
+        the weight of slow servers further, because only fast servers can answer them in time.
         """
-        is_near = server.zone == self._context.settings.zone
-        zone_weight = 1.0 if is_near else self._other_zone_weight
+        is_local = server.zone == self._context.settings.zone
+        zone_weight = 1.0 if is_local else self._other_zone_weight
         slowness = math.pow(max(server.latency_ratio, 1.0 / LATENCY_RATIO_MAX), exponent)
         return zone_weight * self._slow_start.selection_weight(server) / slowness
 
-    def _weigh_other_zones(self) -> float:
-        """The weight of servers in other zones: less while the own zone is as quick as theirs.
+    def _compute_other_zone_weight(self) -> float:
+        """The sampling weight of servers in other zones, reduced while the local zone is as fast.
 
-        Spares crossings without overloading a zone that has more traffic than servers: as the own zone falls behind,
-        or responses come late anywhere, the weights even out.
+        Avoids cross-zone traffic without overloading a zone that has more traffic than capacity.  The weights become
+        equal as the local zone slows down, or when responses are late in any zone.
         """
         zone, prices = self._context.settings.zone, self._context.settings.prices
-        crowded = self._limit.is_crowded()
-        if prices.cross_zone <= 0.0 or crowded:
-            return 1.0  # room anywhere is worth more than a crossing
-        usable = [each for each in self._servers.ready if each.ejected_until is None]
-        near = [each.latency_ratio for each in usable if each.zone == zone]
-        far = [each.latency_ratio for each in usable if each.zone != zone]
-        if not near or sum(far) <= 0.0:
+        is_crowded = self._limit.is_crowded()
+        if prices.cross_zone <= 0.0 or is_crowded:
+            return 1.0  # cross-zone traffic is free, or capacity in any zone is worth its cost
+        usable = [server for server in self._servers.ready if server.ejected_until is None]
+        local = [server.latency_ratio for server in usable if server.zone == zone]
+        remote = [server.latency_ratio for server in usable if server.zone != zone]
+        if not local or sum(remote) <= 0.0:
             return 1.0
-        lag = (sum(near) / len(near)) / (sum(far) / len(far)) - 1.0
-        return max(OTHER_ZONE_WEIGHT_MIN, min(lag / OTHER_ZONE_LAG, 1.0))
+        lag = (sum(local) / len(local)) / (sum(remote) / len(remote)) - 1.0
+        return max(OTHER_ZONE_WEIGHT_MIN, min(lag / LOCAL_ZONE_LAG_MAX, 1.0))
 
     def _sample(self, candidates: list[Server], weights: list[float], count: int) -> list[Server]:
-        """Sample distinct servers by weight, in random order, so that the first of equals is chance."""
+        """Sample distinct servers by weight.  Their order is random, so that ties are broken randomly."""
         sampled = []
-        left = list(range(len(candidates)))
+        remaining = list(range(len(candidates)))
         total = sum(weights)
         for _ in range(min(count, len(candidates))):
-            point = self._context.random.random() * total
+            threshold = self._context.random.random() * total
             position = 0
-            while position < len(left) - 1 and point >= weights[left[position]]:
-                point -= weights[left[position]]
+            while position < len(remaining) - 1 and threshold >= weights[remaining[position]]:
+                threshold -= weights[remaining[position]]
                 position += 1
-            index = left.pop(position)
+            index = remaining.pop(position)
             total -= weights[index]
             sampled.append(candidates[index])
         return sampled
@@ -208,9 +219,9 @@
         return server.load(self._context.now)
 
     def _rank(self, server: Server) -> tuple[int, float]:
-        """Own requests in flight, then those of all others as far as is known, by how slow the server is."""
-        others = self._gossip.load_of_others(server)
+        """Sort key: this balancer's load, then the known load of other balancers scaled by the server's slowness."""
+        others_load = self._gossip.load_of_others(server)
         needs_connection = self._costs.handshake > 0.0 and not server.idle_connections
-        connection_ratio = NEW_CONNECTION_RATIO if needs_connection else 1.0
+        connection_ratio = NEW_CONNECTION_LATENCY_RATIO if needs_connection else 1.0
         slowness = max(server.latency_ratio, 1.0 / LATENCY_RATIO_MAX)
-        return server.load(self._context.now), (others + 1) * slowness * connection_ratio
+        return server.load(self._context.now), (others_load + 1) * slowness * connection_ratio
--- a/topazbank/balancing/servers.py
+++ b/topazbank/balancing/servers.py
@@ -1,4 +1,4 @@
-"""What one balancer knows of each server, and the table of those on the endpoint list."""
+"""The state that one balancer keeps for each server, and the table of servers on the endpoint list."""
 
 from __future__ import annotations
 
@@ -15,37 +15,37 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectionBackoff:
-    """How long requests of one flow avoid a server that rejected one."""
+    """How long requests of one flow avoid a server that rejected one of them."""
 
     until: int  # clock time
-    rejections: int  # in a row
+    rejections: int  # consecutive
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """One server as this balancer sees it.  Clock times are microseconds."""
+    """One server as seen by this balancer.  Clock times are in microseconds."""
 
     name: str
-    number: int  # in order of first appearance
-    order: float  # random, drawn once: this balancer's own order of the servers
-    gossip_tag: int  # names it in gossip
+    number: int  # assigned in order of first appearance
+    order: float  # random sort key, drawn once: each balancer orders the servers differently
+    gossip_tag: int  # identifies the server in gossip
     zone: str = ""
     cell: int = 0
     nominal_capacity: float = 1.0
-    latency_ratio: float = 1.0  # how long it takes, relative to the usual; 0: to be set by its capacity
+    latency_ratio: float = 1.0  # response time relative to the usual; 0: not yet set from the capacity
     state: ServerState = ServerState.REMOVED
     started_at: int | None = None
     warming_since: int | None = None
-    slow_start_tokens: float = 0.0  # while it warms up: requests of mean cost that may be sent now
+    slow_start_tokens: float = 0.0  # while warming up: requests of mean cost that may be sent now
     slow_start_refilled_at: int = 0
-    in_flight: int = 0  # this balancer's own attempts
-    in_objective: int = 0  # of these, the ones whose latency objective has not passed
-    idle_connections: int = 0  # by this balancer's own reckoning
+    in_flight: int = 0  # this balancer's attempts
+    in_objective: int = 0  # attempts in flight whose latency objective has not passed
+    idle_connections: int = 0  # this balancer's estimate
     idle_since: int = 0
     close_idle_at: int = 0
-    reported_in_flight: float | None = None  # by its last health check; None: that was not answered
+    reported_in_flight: float | None = None  # from the last health check; None: it was not answered
     check_sent_at: int | None = None  # when the health check in flight was sent
-    abandoned_until: list[int] = field(default_factory=list)  # for each abandoned attempt that still counts
+    abandoned_until: list[int] = field(default_factory=list)  # when each abandoned attempt stops counting
     last_response_at: int = -1
     failures_in_row: int = 0
     connect_failures_in_row: int = 0
@@ -53,13 +53,12 @@
     ejections: int = 0
     ejected_until: int | None = None  # None: not ejected
     backoffs: dict[Flow, RejectionBackoff] = field(default_factory=dict)
-    on_probation: bool = False  # whether a single attempt that may bring it back is in flight
+    on_probation: bool = False  # whether the one attempt that may end the ejection is in flight
 
     def load(self, now: int) -> int:
-        """This balancer's attempts that may occupy the server, abandoned ones included.
+        """This balancer's attempts that may occupy the server, including abandoned ones.
 
-        Guards against a slow or hung server that looks empty because the attempts there were abandoned: they may
-        well still run.
+        Abandoned attempts may still be running.  Without them a slow or hung server would look idle.
         """
         if self.abandoned_until:
             self.abandoned_until = [until for until in self.abandoned_until if until > now]
@@ -67,60 +66,60 @@
 
 
 class ServerTable:
-    """The servers on the endpoint list, and removed ones to which attempts are still in flight."""
+    """The servers on the endpoint list, and removed servers that still have attempts in flight."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
         self._zone = context.settings.zone
-        self._numbers = 0
+        self._last_number = 0
         self.by_name: dict[str, Server] = {}
         self.by_number: dict[int, Server] = {}
-        self.ready: list[Server] = []  # in this balancer's own order
-        self.ready_in_zone: list[Server] = []  # of these, the ones in its own zone
-        self.ready_capacity = 0.0  # nominal, of all ready servers
-        self.removed: list[Server] = []  # with attempts in flight when they were last looked at
+        self.ready: list[Server] = []  # sorted by `Server.order`
+        self.ready_in_zone: list[Server] = []  # the ready servers in the local zone, in the same order
+        self.ready_capacity = 0.0  # total nominal capacity of the ready servers
+        self.removed: list[Server] = []  # had attempts or a health check in flight when last checked
 
     def get_or_add(self, name: str) -> Server:
-        """The server of this name, added if it is new."""
+        """Return the server with this name; add it if it is unknown."""
         server = self.by_name.get(name)
         if server is None:
-            self._numbers += 1
-            server = Server(name, self._numbers, self._context.random.random(), server_tag(name))
+            self._last_number += 1
+            server = Server(name, self._last_number, self._context.random.random(), server_tag(name))
             self.by_name[name] = self.by_number[server.number] = server
         return server
 
     def add_ready(self, server: Server) -> None:
-        """Put a server among the ready ones, in this balancer's own order."""
+        """Add a server to the ready servers, in this balancer's server order."""
         self.ready_capacity += server.nominal_capacity
-        for servers in self._lists_of(server):
-            servers.insert(_position(servers, server), server)
+        for servers in self._ready_lists_for(server):
+            servers.insert(_index_by_order(servers, server), server)
 
     def remove_ready(self, server: Server) -> None:
-        """Take a server out of the ready ones."""
+        """Remove a server from the ready servers."""
         self.ready_capacity -= server.nominal_capacity
-        for servers in self._lists_of(server):
-            del servers[_position(servers, server)]
+        for servers in self._ready_lists_for(server):
+            del servers[_index_by_order(servers, server)]
 
     def drop(self, server: Server) -> None:
-        """Drop a removed server once nothing is in flight to it; until then it is kept for what is."""
+        """Delete a removed server, or keep it in `removed` while an attempt or a health check is in flight."""
         if not server.load(self._context.now) and server.check_sent_at is None:
             del self.by_name[server.name], self.by_number[server.number]
         else:
             self.removed.append(server)
 
     def missing_from(self, listed: Iterable[str]) -> set[str]:
-        """Names of known servers that a snapshot of the endpoint list does not have."""
+        """Names of known servers that are absent from a snapshot of the endpoint list."""
         return self.by_name.keys() - set(listed)
 
     def mean_ready_capacity(self) -> float:
-        """Nominal capacity of the ready servers, in the mean; 0 where there is none."""
+        """Mean nominal capacity of the ready servers; 0 if there are none."""
         return self.ready_capacity / max(len(self.ready), 1)
 
-    def _lists_of(self, server: Server) -> tuple[list[Server], ...]:
+    def _ready_lists_for(self, server: Server) -> tuple[list[Server], ...]:
         return (self.ready, self.ready_in_zone) if server.zone == self._zone else (self.ready,)
 
 
-def _position(servers: list[Server], server: Server) -> int:
+def _index_by_order(servers: list[Server], server: Server) -> int:
     return bisect.bisect_left(servers, server.order, key=_order_of)
 
 
