--- a/topazbank/balancing/balancer.py
+++ b/topazbank/balancing/balancer.py
@@ -73,7 +73,7 @@
         """Take one event at clock time `now`, microseconds; return what to do, in order."""
         context = self._context
         context.begin(now)
-        self.load.follow(self.limit.limit)
+        self.load.update_mean(self.limit.limit)
         context.stall.observe(now, isinstance(event, TimerFired))
         if not context.stall.catching_up and self.estimator.expire_checks(now):
             self.limit.resize()
--- a/topazbank/balancing/load.py
+++ b/topazbank/balancing/load.py
@@ -34,7 +34,7 @@
         self._mean_updated_at = 0
         self.arrivals = DecayingRate(RATE_WINDOWS * context.settings.rules.overload_window_us)
 
-    def follow(self, concurrency_limit: float) -> None:
+    def update_mean(self, concurrency_limit: float) -> None:
         """Update the mean up to now, capped because a mean far above the limit would delay recovery."""
         elapsed_us = self._context.now - self._mean_updated_at
         if elapsed_us > 0:
