--- a/topazbank/balancing/attempt_outcomes.py
+++ b/topazbank/balancing/attempt_outcomes.py
@@ -105,7 +105,7 @@
         attempt.server.abandoned_until.append(abandoned_until)
         usual_us = self._times.usual_us(request) * attempt.server.latency_ratio
         if event.elapsed_us > usual_us and not self._context.stall.catching_up:
-            self._times.follow_latency(attempt.server, request, event.elapsed_us)
+            self._times.update_latency_ratio(attempt.server, request, event.elapsed_us)
 
     def _delivered(self, request: Request, attempt: Attempt, elapsed_us: int) -> None:
         objective_us = request.request_class.latency_objective_us
--- a/topazbank/balancing/response_times.py
+++ b/topazbank/balancing/response_times.py
@@ -56,14 +56,14 @@
         class_and_bucket = (request.request_class.name, request.cost_bucket)
         # The first response sets the usual time.
         usual_us = self._usual_us.setdefault(class_and_bucket, float(elapsed_us))
-        self.follow_latency(server, request, elapsed_us)
+        self.update_latency_ratio(server, request, elapsed_us)
         self._usual_us[class_and_bucket] = usual_us + USUAL_STEP * (elapsed_us - usual_us)
 
-    def follow_latency(self, server: Server, request: Request, elapsed_us: int) -> None:
+    def update_latency_ratio(self, server: Server, request: Request, elapsed_us: int) -> None:
         """Update a server's latency ratio from the duration of one attempt."""
         ratio = min(elapsed_us / max(self.usual_us(request), 1.0), LATENCY_RATIO_MAX)
         server.latency_ratio += LATENCY_STEP * self._load.averaging_factor() * (ratio - server.latency_ratio)
 
     def failed(self, server: Server, request: Request) -> None:
         """Count an error as a slow response, so that a server that fails quickly does not look fast."""
-        self.follow_latency(server, request, int(LATENCY_RATIO_MAX * self.usual_us(request)))
+        self.update_latency_ratio(server, request, int(LATENCY_RATIO_MAX * self.usual_us(request)))
