--- a/topazbank/balancing/actions.py
+++ b/topazbank/balancing/actions.py
@@ -1,6 +1,6 @@
-"""What a balancer decides: the outputs of `Balancer.handle`, to be carried out in order.
+"""Actions, the outputs of `Balancer.handle`, to be executed in order.
 
-Times are integer microseconds.  Actions are plain slotted dataclasses; treat them as values.
+Times are integer microseconds.  Actions must not be modified after creation.
 """
 
 from __future__ import annotations
@@ -10,17 +10,17 @@
 
 @dataclass(slots=True)
 class SendAttempt:
-    """Start an attempt; a request's attempts are numbered from 0 in the order they are sent."""
+    """Send an attempt.  The attempts of a request are numbered from 0 in the order of sending."""
 
     request: int
     server: str
-    give_up_at: int  # clock time at which the attempt is given up
-    write_by: int  # clock time from which the request must not be written any more
+    give_up_at: int  # clock time at which the attempt times out
+    write_by: int  # clock time before which the request must be written completely
 
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: rejected; trying again is harmless."""
+    """Final answer: rejected; the client can safely retry."""
 
     request: int
     retry_after_us: int = 0
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     request: int
     attempt: int
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a `TimerFired`."""
+    """Request a `TimerFired` event after `in_us`."""
 
     in_us: int
     token: str
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class SendGossip:
-    """Send a message to one balancer of the fleet, or to all (None)."""
+    """Send a gossip message to one balancer of the fleet, or to all if `receiver` is None."""
 
     receiver: int | None
     payload: bytes
@@ -73,14 +73,14 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Poll the endpoint list and watch it for changes, or end that."""
+    """Poll and watch the endpoint list; stop both if `wanted` is False."""
 
     wanted: bool = True
 
 
 @dataclass(slots=True)
 class LogMessage:
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
--- a/topazbank/balancing/balancer.py
+++ b/topazbank/balancing/balancer.py
@@ -1,7 +1,8 @@
-"""The decisions of one sidecar load balancer, by best of k with redraw: events in, actions out, no I/O.
+"""The decision logic of one sidecar load balancer: events in, actions out, no I/O.
 
-`Balancer` routes each event and each deadline to the part that owns it; it decides nothing.  `parts.py` puts the parts
-together.  Events, actions and settings are in modules of those names; the reasons for the rules: docs/design.md.
+A server is selected as the best of k random candidates; each rejection of a request doubles the number of candidates.
+`Balancer` only dispatches events and deadlines to the components that handle them; `parts.py` creates these components.
+Events, actions and settings are defined in the modules of the same names.  docs/design.md explains the rules.
 """
 
 from __future__ import annotations
@@ -33,10 +34,10 @@
 
 
 class Balancer:
-    """The decisions of one instance.  Feed it events in order; carry out the actions it returns in order."""
+    """One balancer instance.  Pass it events in order and execute the returned actions in order."""
 
     def __init__(self, settings: Settings, seed: int, plan: RoutingPlan | None = None) -> None:
-        """`seed` decides every random choice.  `plan`: a planner's advice, followed as far as it goes."""
+        """`seed` determines every random choice.  `plan` is a planner's routing plan, used where it applies."""
         parts = BalancerParts(settings, seed, plan)
         self._context = parts.context
         self._updates = parts.updates
@@ -70,7 +71,7 @@
         }
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take one event at clock time `now`, microseconds; return what to do, in order."""
+        """Handle one event at clock time `now` in microseconds; return the resulting actions in order."""
         context = self._context
         context.begin(now)
         self.load.follow(self.limit.limit)
@@ -87,20 +88,20 @@
         self.agenda.arm_timer()
         return context.actions
 
-    # -- What the program around it reads and sets ------------------------------------------------------
+    # -- State for the surrounding process --------------------------------------------------------------
 
     @property
     def fleet_size(self) -> FleetSize:
-        """How many sidecars share what this one cannot see; what is known of the cluster goes in here."""
+        """The number of sidecars in the cluster; the surrounding process updates it from the membership."""
         return self._context.fleet_size
 
     @property
     def ejected(self) -> Sequence[Server]:
-        """The servers that are ejected now."""
+        """The currently ejected servers."""
         return self.ejection.ejected
 
     def snapshot(self) -> BalancerSnapshot:
-        """What the balancer believes of the fleet now."""
+        """The balancer's current estimates of the fleet."""
         estimator = self.estimator
         return BalancerSnapshot(
             concurrency_limit=self.limit.limit,
@@ -118,17 +119,17 @@
         )
 
     def server(self, name: str) -> ServerSnapshot | None:
-        """What the balancer knows of a server; None: it is not on the endpoint list."""
+        """The balancer's state of a server; None if the server is not on the endpoint list."""
         server = self.servers.by_name.get(name)
         if server is None:
             return None
         return ServerSnapshot(self.slow_start.is_warming(server), server.load(self._context.now))
 
     def set_fleet_quota(self, quota: FleetQuota | None) -> None:
-        """Set the fleet-wide limits that this balancer keeps within; None: there are none."""
+        """Set the fleet-wide quotas that this balancer observes; None removes them."""
         self.retries.fleet_quota = quota
 
-    # -- Routing ----------------------------------------------------------------------------------------
+    # -- Dispatch ---------------------------------------------------------------------------------------
 
     def _health_check_ended(self, event: HealthCheckEnded) -> None:
         if event.server in self.servers.by_name:
@@ -149,9 +150,9 @@
                 self.polling.poll()
 
     def _is_stale(self, due: int, kind: DeadlineKind, key: int, attempt: int) -> bool:
-        """Whether nothing would be done when this deadline passes."""
+        """Whether this deadline no longer requires an action."""
         if kind in _REQUEST_DEADLINES:
-            return not self.lifecycle.waits_for(due, kind, key, attempt)
+            return not self.lifecycle.deadline_applies(due, kind, key, attempt)
         if kind is DeadlineKind.KEY_PAUSE:
             return not self.ordering.has_pause_until(key, due)
         if kind is DeadlineKind.IDLE_CONNECTIONS:
@@ -161,7 +162,7 @@
         return due != self._context.stall.heartbeat_due_at
 
     def _schedule_heartbeat(self) -> None:
-        """While attempts are pending an event comes at a known time, which tells of a stall by coming late."""
+        """Schedule a heartbeat while attempts are pending; a late heartbeat indicates a stall of this process."""
         stall = self._context.stall
         if self.load.pending and not stall.heartbeat_due_at:
             stall.heartbeat_due_at = self._context.now + stall.heartbeat_interval_us
--- a/topazbank/balancing/events.py
+++ b/topazbank/balancing/events.py
@@ -1,6 +1,6 @@
-"""What happens to a balancer: the inputs of `Balancer.handle`.
+"""Events, the inputs of `Balancer.handle`.
 
-Times are integer microseconds.  Events are plain slotted dataclasses; treat them as values.
+Times are integer microseconds.  Events must not be modified after creation.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @unique
 class ServerState(Enum):
-    """What the endpoint list says of a server."""
+    """State of a server on the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -21,12 +21,12 @@
 
 @unique
 class UpdateKind(Enum):
-    """How an update of the endpoint list is to be read."""
+    """Meaning of an update of the endpoint list."""
 
     DELTA = "changes"  # changed entries only
-    SNAPSHOT = "complete"  # a server that is missing has been removed
-    CACHED = "remembered"  # a snapshot as last held before a restart
-    FAILED = "failed"  # a poll failed or the watch broke; nothing changes
+    SNAPSHOT = "complete"  # all entries; servers missing from it are removed
+    CACHED = "remembered"  # the last snapshot from before a restart
+    FAILED = "failed"  # a poll or the watch failed; the list is unchanged
 
 
 @unique
@@ -34,7 +34,7 @@
     """How an attempt ended."""
 
     DELIVERED = "delivered"
-    ERROR = "error"  # the server answered with an error
+    ERROR = "error"  # the server responded with an error
     REJECTED = "full"  # the server shed it
     TIMED_OUT = "expired"
     CONNECT_FAILED = "dial_failed"
@@ -53,12 +53,12 @@
     cell: int = 0
     state: ServerState = ServerState.READY
     nominal_capacity: float = 1.0
-    started_at: int | None = None  # None: long ago
+    started_at: int | None = None  # clock time; None if the server started long ago
 
 
 @dataclass(slots=True)
 class EndpointsUpdated:
-    """An update of the endpoint list came, or a poll for it failed."""
+    """An update of the endpoint list was received, or a poll failed."""
 
     kind: UpdateKind
     servers: Sequence[ServerDescription] = ()
@@ -67,20 +67,20 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request; one final answer is owed from here on."""
+    """A client sent a request, which must get exactly one final answer."""
 
     request: int
     request_class: str
     tenant: str | None
     key: int | None
     remaining_us: int
-    cost_us: int | None = None  # a hint of the work, where the client gave one
+    cost_us: int | None = None  # the client's estimate of the cost, if given
     client_retry: bool = False
 
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """The streamed response of an attempt has begun; the attempt now belongs to the client."""
+    """The first part of a streamed response was received; the attempt is now bound to the client."""
 
     request: int
     attempt: int
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended.  `answered`: the client has its final answer, by this outcome or an earlier one."""
+    """An attempt ended.  `answered`: this outcome or an earlier one gave the client its final answer."""
 
     request: int
     attempt: int
@@ -103,21 +103,21 @@
 
 @dataclass(slots=True)
 class RequestCancelled:
-    """The client went away; nothing is owed any more."""
+    """The client disconnected; the request needs no answer."""
 
     request: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer set earlier is due."""
+    """A timer expired."""
 
     token: str
 
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """A health check has its result."""
+    """A health check ended."""
 
     server: str
     outcome: Outcome
@@ -127,7 +127,7 @@
 
 @dataclass(slots=True)
 class GossipReceived:
-    """A message from another balancer of the fleet."""
+    """A gossip message was received from another balancer of the fleet."""
 
     sender: int
     payload: bytes
--- a/topazbank/balancing/fleet.py
+++ b/topazbank/balancing/fleet.py
@@ -1,6 +1,6 @@
-"""What a balancer may consult about the entire fleet: a planner's routing plan, and fleet-wide quotas.
+"""Interfaces for fleet-wide information: a planner's routing plan and fleet-wide quotas.
 
-Both can only tighten what the balancer would do by itself.
+Both can only restrict what the balancer would do on its own.
 """
 
 from __future__ import annotations
@@ -8,37 +8,37 @@
 from collections.abc import Callable, Sequence
 from typing import Final, Protocol
 
-# What a fleet-wide quota may limit.
+# Resources that a fleet-wide quota can limit.
 RETRIES: Final = "retries"
 HEALTH_CHECKS: Final = "probes"
 TENANT_REQUESTS: Final = "tenant"
 
 
 class RoutingPlan(Protocol):
-    """What a planner that sees the entire fleet advises; the implementation decides how far it is followed.
+    """The routing plan of a planner with a view of the entire fleet.
 
-    Servers it names are used only where the balancer's own endpoint list, ejections, slow start and rules allow
-    it; where it names none the balancer selects by itself.
+    The implementation decides for which requests the plan applies.  The balancer uses a planned server only if its own
+    endpoint list, ejections, slow start and rules allow it.  It selects a server itself if the plan names none.
     """
 
     def sample(self, now: int, chance: Callable[[], float]) -> Sequence[str]:
-        """Names of servers sampled for one request at clock time `now`; none where no plan applies.
+        """Sample the names of servers for one request at clock time `now`; empty if the plan does not apply.
 
-        `chance` gives evenly distributed random numbers from 0 to 1.
+        `chance` returns uniformly distributed random numbers from 0 to 1.
         """
 
     def capacity(self, server: str) -> float:
-        """Own requests in flight below which one more may go to a server by this plan."""
+        """Limit of this sidecar's requests in flight to a server; the plan applies to the server below it."""
 
     def slow_start_ratio(self, server: str, now: int) -> float:
-        """The part of the balancer's own slow-start budget for a server that may be used: at most 1."""
+        """The usable part of the balancer's slow-start budget for a server, at most 1."""
 
 
 class FleetQuota(Protocol):
-    """This process's part in quotas of the entire fleet."""
+    """This process's share of fleet-wide quotas."""
 
     def acquire(self, resource: str, tenant: str | None, now: int) -> bool:
-        """Take one unit of a resource at clock time `now`; False where there is none left.
+        """Take one unit of a resource at clock time `now`; return False if the quota is exhausted.
 
         `resource`: RETRIES (an attempt after a request's first), HEALTH_CHECKS, or TENANT_REQUESTS of `tenant`.
         """
--- a/topazbank/balancing/parts.py
+++ b/topazbank/balancing/parts.py
@@ -1,4 +1,4 @@
-"""Puts the parts of one balancer together: each is made after those that it uses."""
+"""Creates the components of one balancer, in order of their dependencies."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 class BalancerParts:
-    """The parts of one balancer.  State has one owner each; parts that decide read it from there."""
+    """The components of one balancer.  Each piece of state has one owner, from which other components read it."""
 
     def __init__(self, settings: Settings, seed: int, plan: RoutingPlan | None) -> None:
-        """`seed` decides every random choice.  `plan`: a planner's advice, if there is a planner."""
+        """`seed` determines every random choice.  `plan` is a planner's routing plan; None if there is no planner."""
         self.context = context = DecisionContext(settings, seed)
         self.costs = Costs.of(settings)
         self.agenda = Agenda(context)
@@ -47,20 +47,21 @@
         self.gossip = GossipExchange(context, self.servers)
         self.ordering = KeyOrdering(context, self.agenda)
         self.polling = EndpointPolling(context, self.agenda, seed)
-        self._make_admission()
-        self._make_selection(plan)
-        self._make_lifecycle()
+        self._create_admission()
+        self._create_selection(plan)
+        self._create_lifecycle()
 
-    def _make_admission(self) -> None:
+    def _create_admission(self) -> None:
         context, load, estimator = self.context, self.load, self.estimator
-        enabled = not self.costs.checks_each_request  # otherwise health checks tell what the servers bear
+        # With health checks for each request, the reported loads replace the concurrency limit.
+        enabled = not self.costs.checks_each_request
         self.sparse = SparseAdmission(context, load, estimator)
         self.limit = ConcurrencyLimit(
             context, self.servers, load, self.slow_start, self.sparse, estimator, enabled
         )
         self.admission = Admission(context, self.limit, self.sparse, estimator, enabled)
 
-    def _make_selection(self, plan: RoutingPlan | None) -> None:
+    def _create_selection(self, plan: RoutingPlan | None) -> None:
         context, servers, load = self.context, self.servers, self.load
         self.selection = Selection(
             context,
@@ -90,7 +91,7 @@
             context, servers, self.slow_start, self.ejection, self.polling, self.checks
         )
 
-    def _make_lifecycle(self) -> None:
+    def _create_lifecycle(self) -> None:
         context, agenda, load, times = self.context, self.agenda, self.load, self.times
         self.sender = AttemptSender(
             context,
@@ -114,13 +115,13 @@
             self.selection,
             self.checks,
             self.admission,
-            self._make_outcomes(),
+            self._create_outcomes(),
             self.sender,
             self.gossip,
             self.costs.own_zone_first,
         )
 
-    def _make_outcomes(self) -> AttemptOutcomes:
+    def _create_outcomes(self) -> AttemptOutcomes:
         return AttemptOutcomes(
             self.context,
             self.agenda,
--- a/topazbank/balancing/request_lifecycle.py
+++ b/topazbank/balancing/request_lifecycle.py
@@ -1,7 +1,7 @@
-"""A request from its arrival to its final answer.
+"""The life of a request, from its arrival to its final answer.
 
-Every attempt leaves through `AttemptSender.send`, and every final answer that is not a server's through `_answer`: what
-those two demand holds whatever the code around them decides.
+Every attempt is sent by `AttemptSender.send`, and every final answer that does not come from a server by
+`_send_final_answer`.  The checks in these two methods therefore hold for all callers.
 """
 
 from __future__ import annotations
@@ -31,14 +31,12 @@
 from topazbank.balancing.selection import Selection
 from topazbank.balancing.settings import RequestClass
 
-ANSWER_TICKS_EARLY: Final = 2  # a final answer leaves this many ticks before the client's time is up
-RETRY_AFTER_OBJECTIVE_RATIO: Final = (
-    0.1  # a rejected client should come back after about this part of its objective
-)
+ANSWER_TICKS_EARLY: Final = 2  # ticks before the client's deadline at which the final answer is due
+RETRY_AFTER_OBJECTIVE_RATIO: Final = 0.1  # mean Retry-After delay, relative to the latency objective
 
 
 class RequestLifecycle:
-    """Owns the requests that are not over."""
+    """Owns all requests that are unanswered or have a pending attempt."""
 
     def __init__(
         self,
@@ -70,14 +68,14 @@
         self._gossip = gossip
         self._own_zone_first = own_zone_first
         self._limits = context.settings.limits
-        self._classes = {each.name: each for each in context.settings.classes}
-        self._any_ordered = any(each.ordered_by_key for each in context.settings.classes)
+        self._classes = {request_class.name: request_class for request_class in context.settings.classes}
+        self._any_ordered = any(request_class.ordered_by_key for request_class in context.settings.classes)
         self.requests: dict[int, Request] = {}  # by number
 
     # -- Events -------------------------------------------------------------------------------------------
 
     def arrived(self, event: RequestArrived) -> None:
-        """Take a client's request: shed it, queue it behind others of its key, or send it."""
+        """Shed a client's request, queue it behind earlier requests with its key, or send it."""
         now = self._context.now
         request_class = self._class_of(event)
         self._load.arrivals.add(now, 1.0)
@@ -91,22 +89,22 @@
         self.requests[event.request] = request
         self._agenda.schedule(answer_by, DeadlineKind.REQUEST, event.request)
         if self._admission.sheds(request, event.tenant, event.remaining_us):
-            self._answer(request)
+            self._send_final_answer(request)
         elif not self._retries.fleet_allows_tenant(event.tenant):
-            self._answer(request)
+            self._send_final_answer(request)
         elif request_class.ordered_by_key and event.key is not None:
             self._ordering.enqueue(request, event.key)
         else:
-            self._place(request)
+            self._select_and_send(request)
 
     def cancelled(self, event: RequestCancelled) -> None:
-        """The client has left: nothing is owed any more."""
+        """Drop an unanswered request whose client has disconnected."""
         request = self.requests.get(event.request)
         if request is not None and not request.answered:
-            self._close(request)
+            self._finish(request)
 
     def response_started(self, event: ResponseStarted) -> None:
-        """A streamed response has begun: its server is not silent, however long the rest takes."""
+        """Record the first part of a streamed response, so that its server no longer counts as silent."""
         request = self.requests.get(event.request)
         if request is not None and event.attempt < len(request.attempts):
             attempt = request.attempts[event.attempt]
@@ -115,7 +113,7 @@
             self._load.objective_passed(attempt)
 
     def attempt_ended(self, event: AttemptEnded) -> None:
-        """Learn from the end of an attempt; retry the request, or answer it where nothing is left to try."""
+        """Record the outcome of an attempt; retry the request, or answer it if no retry is possible."""
         request = self.requests.get(event.request)
         if request is None or event.attempt >= len(request.attempts):
             return
@@ -125,33 +123,33 @@
         self._outcomes.ended(request, attempt, event)
         if event.answered:
             if not request.answered:
-                self._close(request)
+                self._finish(request)
         elif not request.answered:
-            self._continue(request, attempt, event.outcome)
-        self._forget_if_over(request)
+            self._retry_or_answer(request, attempt, event.outcome)
+        self._remove_if_over(request)
 
     def health_checks_ended(self) -> None:
-        """Send the requests that waited for health checks which have all ended."""
+        """Send each waiting request whose health checks have all ended."""
         for request in self._checks.waiting_requests():
-            if all(each.check_sent_at is None for each in request.checked_servers):
+            if all(server.check_sent_at is None for server in request.checked_servers):
                 self._send_checked(request)
 
     # -- Deadlines ----------------------------------------------------------------------------------------
 
     def deadline_passed(self, kind: DeadlineKind, number: int, attempt: int) -> None:
-        """Act on a deadline of a request."""
+        """Handle an expired deadline of a request."""
         request = self.requests[number]
-        if any(each.response_started for each in request.attempts):
-            return  # it is being answered
+        if any(request_attempt.response_started for request_attempt in request.attempts):
+            return  # a server is already streaming the response
         if kind is DeadlineKind.REQUEST:
-            self._answer(request)
+            self._send_final_answer(request)
         elif kind is DeadlineKind.HEALTH_CHECKS:
             self._send_checked(request)
         else:
-            self._overdue(request, request.attempts[attempt])
+            self._attempt_overdue(request, request.attempts[attempt])
 
-    def waits_for(self, due: int, kind: DeadlineKind, number: int, attempt: int) -> bool:
-        """Whether this deadline still holds for its request."""
+    def deadline_applies(self, due: int, kind: DeadlineKind, number: int, attempt: int) -> bool:
+        """Whether this deadline still requires an action for its request."""
         request = self.requests.get(number)
         if request is None or request.answered:
             return False
@@ -160,9 +158,9 @@
         return kind is DeadlineKind.REQUEST or request.attempts[attempt].pending
 
     def send_next_in_turn(self) -> None:
-        """Send each request that has come to the head of its key's queue."""
+        """Send each request that has reached the head of its key's queue."""
         while (request := self._ordering.next_in_turn()) is not None:
-            self._place(request)
+            self._select_and_send(request)
 
     # -- Sending ------------------------------------------------------------------------------------------
 
@@ -170,66 +168,68 @@
         request_class = self._classes.get(event.request_class)
         if request_class is not None:
             return request_class
-        # A class that the settings do not name: the least is assumed of it.
+        # The settings do not define this class: use the most restrictive defaults.
         allowed_us = max(event.remaining_us, 1)
         return RequestClass(event.request_class, allowed_us, allowed_us, ordered_by_key=self._any_ordered)
 
-    def _place(self, request: Request) -> None:
-        """Send the request to the best of k, or answer it where nothing is left to try."""
+    def _select_and_send(self, request: Request) -> None:
+        """Select a server and send the request to it, or answer the request if no attempt is possible."""
         choice = self._selection.choose(request)
         if choice.to_check:
             self._checks.check_first(request, choice.to_check)
         elif choice.server is None or not self._sender.send(request, choice.server):
-            self._answer_if_idle(request)
+            self._answer_if_none_pending(request)
 
     def _send_checked(self, request: Request) -> None:
-        """Send a request by what its health checks came to."""
+        """Send a request to the server chosen by its health checks."""
         choice = self._checks.choose(request)
         if choice.widen:
-            self._place(request)
+            self._select_and_send(request)
         elif request.answered:
             return
         elif choice.server is None or not self._sender.send(request, choice.server):
-            self._answer_if_idle(request)
+            self._answer_if_none_pending(request)
         else:
             self._checks.note_load(request.attempts[-1])
 
-    def _overdue(self, request: Request, attempt: Attempt) -> None:
-        """An attempt takes too long: hedge or cancel it, where its server is silent and the request may run again."""
+    def _attempt_overdue(self, request: Request, attempt: Attempt) -> None:
+        """Hedge or cancel an overdue attempt if its server is silent and the request may run again."""
         is_silent = self._outcomes.overdue(request, attempt)
         if (
             not is_silent
             or not self._retries.allows_hedge(request)
             or not self._retries.may_run_again(request)
         ):
-            return  # waiting is all that is left
+            return  # keep waiting for the response
         if self._limits.hedging:
             self._retries.take_hedge()
-            self._place(request)
+            self._select_and_send(request)
         elif self._limits.cancellation:
-            self._context.actions.append(
-                CancelAttempt(request.number, attempt.index)
-            )  # its end leads to a retry
+            # The end of the cancelled attempt triggers a retry.
+            self._context.actions.append(CancelAttempt(request.number, attempt.index))
 
-    def _continue(self, request: Request, attempt: Attempt, outcome: Outcome) -> None:
-        """Go on with a request whose attempt ended without an answer."""
+    def _retry_or_answer(self, request: Request, attempt: Attempt, outcome: Outcome) -> None:
+        """Retry a request whose attempt ended without an answer, or answer it if no retry is allowed."""
         request.failed_servers.append(attempt.server)
         if outcome is Outcome.REJECTED:
             request.rejections += 1
-            self._place(request)
+            self._select_and_send(request)
         elif self._retries.take_retry(request):
-            self._place(request)
+            self._select_and_send(request)
         else:
-            self._answer_if_idle(request)
+            self._answer_if_none_pending(request)
 
     # -- Answering ----------------------------------------------------------------------------------------
 
-    def _answer_if_idle(self, request: Request) -> None:
+    def _answer_if_none_pending(self, request: Request) -> None:
         if not request.has_pending_attempt():
-            self._answer(request)
+            self._send_final_answer(request)
+
+    def _send_final_answer(self, request: Request) -> None:
+        """Answer an unanswered request: rejected if a repeat by the client is harmless, otherwise failed.
 
-    def _answer(self, request: Request) -> None:
-        """The one way out for an answer that is not a server's: rejected where that is true, else failed."""
+        Every final answer that does not come from a server is sent here.
+        """
         if request.answered:
             return
         retry_after_us = self._retry_after_us(request)
@@ -237,24 +237,27 @@
             self._context.actions.append(Reject(request.number, retry_after_us))
         else:
             self._context.actions.append(Fail(request.number))
-        self._close(request)
+        self._finish(request)
 
     def _retry_after_us(self, request: Request) -> int:
-        """When a rejected client should come back, with jitter: else all rejected at once would be back at once."""
+        """Delay before a rejected client should retry.
+
+        Jitter keeps clients that were rejected together from retrying together.
+        """
         objective_us = request.request_class.latency_objective_us
-        wait_us = RETRY_AFTER_OBJECTIVE_RATIO * objective_us * (0.5 + self._context.random.random())
-        wait_us = min(wait_us, self._limits.max_retry_after_us)
-        return int(wait_us) if self._limits.retry_after else 0
+        delay_us = RETRY_AFTER_OBJECTIVE_RATIO * objective_us * (0.5 + self._context.random.random())
+        delay_us = min(delay_us, self._limits.max_retry_after_us)
+        return int(delay_us) if self._limits.retry_after else 0
 
-    def _close(self, request: Request) -> None:
-        """Nothing is owed any more; attempts that are pending are cancelled where that is allowed."""
+    def _finish(self, request: Request) -> None:
+        """Mark the request as answered and cancel its pending attempts if the settings allow it."""
         request.answered = True
         for attempt in request.attempts:
             if attempt.pending and not attempt.response_started and self._limits.cancellation:
                 self._context.actions.append(CancelAttempt(request.number, attempt.index))
-        self._forget_if_over(request)
+        self._remove_if_over(request)
 
-    def _forget_if_over(self, request: Request) -> None:
+    def _remove_if_over(self, request: Request) -> None:
         if request.is_over():
             self.requests.pop(request.number, None)
             self._ordering.request_over(request)
--- a/topazbank/balancing/requests.py
+++ b/topazbank/balancing/requests.py
@@ -18,64 +18,64 @@
 class Attempt:
     """One attempt of a request; it is pending until it has an outcome."""
 
-    index: int  # among the request's attempts, from 0
+    index: int  # position among the request's attempts, from 0
     server: Server
-    zone: str  # the server's, as it was sent: a new process of that name may be elsewhere
-    cell: int
+    zone: str  # zone of the server at the time of sending; a restarted server may have the same name in another zone
+    cell: int  # cell of the server at the time of sending
     sent_at: int  # clock time
-    stalled_before_us: int  # how long this process had stalled by then
-    responses_before: int  # how many responses had come by then, from all servers
+    stalled_before_us: int  # total stall time of this process until sending
+    responses_before: int  # responses received from all servers until sending
     timing: LatencyCheck
-    is_probation: bool = False  # whether it may bring an ejected server back
+    is_probation: bool = False  # whether its success may reinstate an ejected server
     pending: bool = True
     in_objective: bool = True  # pending, and its latency objective has not passed
-    may_have_run: bool = True  # until an outcome proves that it did not
+    may_have_run: bool = True  # false once the outcome proves that it did not run
     response_started: bool = False
-    load_when_sent: float | None = None  # what its server held by a health check, for its size
-    counted_late: bool = False  # whether it was counted as a sign of overload
+    load_when_sent: float | None = None  # server load by its last health check, relative to its size
+    counted_late: bool = False  # whether it was already counted as a sign of overload
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request that has arrived; it is kept until it is answered and its last attempt has ended."""
+    """A received request, kept until it is answered and its last attempt has ended."""
 
     number: int
     request_class: RequestClass
-    answer_by: int  # clock time by which the final answer has to leave
-    cost: float  # relative to the mean of its class
+    answer_by: int  # clock time at which the final answer is due
+    cost: float  # relative to the mean cost of its class
     flow: Flow
     any_zone: bool  # whether servers of all zones are candidates
-    cost_bucket: int = 0  # cost by powers of two
+    cost_bucket: int = 0  # exponent of two of the cost, limited to a small range
     attempts: list[Attempt] = field(default_factory=list)
-    failed_servers: list[Server] = field(default_factory=list)  # those that rejected it included
+    failed_servers: list[Server] = field(default_factory=list)  # failed or rejected the request
     rejections: int = 0
     answered: bool = False
-    checked_servers: list[Server] = field(default_factory=list)  # tied candidates with health checks for it
-    checks_due: int = 0
-    priority_rank: float = 0.5  # the part of the traffic that has a lower priority
-    key_queue: KeyQueue | None = None  # where requests of its class run in order
+    checked_servers: list[Server] = field(default_factory=list)  # tied candidates being health-checked
+    checks_due: int = 0  # clock time until which it waits for these health checks
+    priority_rank: float = 0.5  # part of the traffic with a lower priority
+    key_queue: KeyQueue | None = None  # set if its class orders requests by key
 
     def __post_init__(self) -> None:
-        """Derive the cost's bucket."""
+        """Derive the cost bucket from the cost."""
         self.cost_bucket = max(_COST_BUCKET_MIN, min(math.frexp(self.cost)[1], _COST_BUCKET_MAX))
 
     def has_pending_attempt(self) -> bool:
-        """Whether an attempt has not ended yet."""
-        return any(each.pending for each in self.attempts)
+        """Whether any attempt is pending."""
+        return any(attempt.pending for attempt in self.attempts)
 
     def is_over(self) -> bool:
-        """Whether it is answered and no attempt of it is pending."""
+        """Whether the request is answered and has no pending attempt."""
         return self.answered and not self.has_pending_attempt()
 
     def first_that_may_have_run(self) -> Attempt | None:
-        """The first attempt that is not proved never to have run."""
-        return next((each for each in self.attempts if each.may_have_run), None)
+        """The first attempt that may have run; None if all attempts provably did not run."""
+        return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
 
 @dataclass(slots=True, eq=False)
 class KeyQueue:
-    """The requests of one ordering key, in order of arrival; kept while the key is in use or pauses."""
+    """The requests with one ordering key in order of arrival, kept while the key is in use or paused."""
 
     key: int
     requests: deque[Request] = field(default_factory=deque)
-    paused_until: int = 0  # clock time
+    paused_until: int = 0  # clock time before which no request with this key is sent
--- a/topazbank/balancing/snapshot.py
+++ b/topazbank/balancing/snapshot.py
@@ -1,4 +1,4 @@
-"""What a balancer believes at one moment, for logs and traces."""
+"""Snapshots of a balancer's state, for logs and traces."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 @dataclass(frozen=True, slots=True)
 class BalancerSnapshot:
-    """Beliefs about the fleet.  Times are in parts of the latency objective."""
-
-    concurrency_limit: float  # infinite until it is first sized
-    in_objective: int  # own attempts in flight within their objective
-    mean_in_objective: float  # the same, averaged over time
-    slow_share: float  # part of the attempts that take longer than the allowed level
-    overload_share: float  # part of the attempts that take so long that only overload explains it
-    median_ratio: float  # the median of the time that a response takes
-    late_share: float  # part of the responses that come after their objective
-    floor_ratio: float | None  # the median while the fleet is idle; None: no response came yet
-    cpu_utilization: float | None  # CPU utilisation that servers report; None: they report none
-    subset_size: int  # servers that are selected from
-    ready: int  # servers on the endpoint list that take requests
-    ejected: int  # of these, the ones that are ejected
+    """A balancer's estimates of the fleet.  Latencies are relative to the latency objective."""
+
+    concurrency_limit: float  # infinite until the first adjustment
+    in_objective: int  # this sidecar's attempts in flight within their latency objective
+    mean_in_objective: float  # time average of `in_objective`
+    slow_share: float  # ratio of attempts slower than the allowed latency
+    overload_share: float  # ratio of attempts so slow that only overload explains them
+    median_ratio: float  # median latency
+    late_share: float  # ratio of responses that miss their latency objective
+    floor_ratio: float | None  # median latency of an idle fleet; None before the first response
+    cpu_utilization: float | None  # CPU utilization reported by servers; None without reports
+    subset_size: int  # number of servers that selection considers
+    ready: int  # number of ready servers on the endpoint list
+    ejected: int  # number of ready servers that are ejected
 
 
 @dataclass(frozen=True, slots=True)
 class ServerSnapshot:
-    """One server."""
+    """A balancer's state of one server."""
 
     is_warming: bool
-    load: int  # own attempts there that may still run
+    load: int  # this sidecar's attempts that may still run on the server
