--- a/tests/balancing/test_recorded_decisions.py
+++ b/tests/balancing/test_recorded_decisions.py
@@ -1,9 +1,8 @@
-"""Decisions stay what they were, to the last digit.
+"""The balancer's decisions are identical to the recorded ones.
 
-The story: a change that should only move or rename code may reorder two sums of floating-point numbers or one draw of
-a random number, and from then on every choice is another.  No single rule breaks, so no other test sees it.  Here 88
-runs of a small fleet under faults are compared with digests of the decisions that were recorded before such a change.
-A change that is meant to alter decisions records them anew: `python tests/recorded_fleet.py`.
+Guards against a refactoring that reorders floating-point sums or draws of random numbers.  All later decisions then
+differ, but no rule is broken, so no other test fails.  88 runs of a small fleet with faults are compared with recorded
+digests.  After an intended change of decisions, record them again with `python tests/recorded_fleet.py`.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 
 
 @pytest.mark.parametrize("variant", list(VARIANTS))
-def test_decisions_are_those_on_record(variant: str) -> None:
+def test_decisions_match_the_recorded_digests(variant: str) -> None:
     recorded = json.loads(DIGESTS.read_text(encoding="utf-8"))
     for load in LOADS:
         for seed in SEEDS:
@@ -25,7 +24,7 @@
             )
 
 
-def test_the_runs_on_record_take_every_kind_of_decision() -> None:
+def test_the_recorded_runs_contain_every_kind_of_action() -> None:
     decisions: set[str] = set()
     for variant in VARIANTS:
         for load in (LOADS[0], LOADS[1]):
--- a/tests/balancing/test_request_lifecycle.py
+++ b/tests/balancing/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request from arrival to its one final answer."""
+"""A request gets exactly one final answer, in time, and no attempt follows it."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     stage.servers(names(5))
     request = stage.request("pay", remaining_us=900 * MS)
     stage.wait(899 * MS)
-    assert [each.request for each in stage.said(Fail)] == [request]
+    assert [action.request for action in stage.said(Fail)] == [request]
 
 
 def test_nothing_is_sent_or_answered_after_the_final_answer() -> None:
@@ -29,12 +29,12 @@
     stage.servers(names(5))
     request = stage.request("look", remaining_us=300 * MS)
     stage.wait(300 * MS)
-    answers = len(stage.said(Reject))
+    rejections = len(stage.said(Reject))
     stage.end(request, Outcome.CANCELLED, answered=True)
     stage.wait(5 * S)
-    assert answers == 1
+    assert rejections == 1
     assert len(stage.said(Reject)) == 1
-    assert len([1 for at, _ in stage.sends(request) if at > START + 300 * MS]) == 0
+    assert len([1 for sent_at, _ in stage.sends(request) if sent_at > START + 300 * MS]) == 0
 
 
 def test_a_request_whose_deadline_has_passed_on_arrival_is_rejected_unsent() -> None:
@@ -42,21 +42,21 @@
     stage.servers(names(3))
     request = stage.request("pay", remaining_us=0)
     assert stage.sends(request) == []
-    assert [each.request for each in stage.said(Reject)] == [request]
+    assert [action.request for action in stage.said(Reject)] == [request]
 
 
-def test_a_request_is_rejected_at_once_where_no_server_is_listed() -> None:
+def test_a_request_is_rejected_immediately_while_no_server_is_listed() -> None:
     stage = Stage()
     request = stage.request("pay")
-    assert [each.request for each in stage.said(Reject)] == [request]
+    assert [action.request for action in stage.said(Reject)] == [request]
 
 
-def test_a_request_is_rejected_where_no_attempt_is_allowed() -> None:
+def test_a_request_is_rejected_if_no_attempt_is_allowed() -> None:
     stage = Stage(settings(limits={"max_attempts": 0}))
     stage.servers(names(3))
     request = stage.request("look")
     assert stage.sends(request) == []
-    assert [each.request for each in stage.said(Reject)] == [request]
+    assert [action.request for action in stage.said(Reject)] == [request]
 
 
 def test_late_and_unknown_events_are_ignored() -> None:
@@ -64,29 +64,29 @@
     stage.servers(names(3))
     request = stage.request()
     stage.end(request)
-    before = len(stage.log)
+    actions_before = len(stage.log)
     stage.play(RequestCancelled(request))
     stage.play(RequestCancelled(99))
     stage.play(AttemptEnded(99, 0, "10.0.0.1:80", Outcome.DELIVERED, 1, True))
     stage.play(AttemptEnded(request, 7, "10.0.0.1:80", Outcome.DELIVERED, 1, True))
-    assert len(stage.log) == before
+    assert len(stage.log) == actions_before
 
 
-def test_the_attempt_of_a_client_that_left_is_cancelled_and_nothing_is_answered() -> None:
+def test_a_disconnected_client_gets_no_answer_and_its_attempt_is_cancelled() -> None:
     stage = Stage()
     stage.servers(names(3))
     request = stage.request("pay")
     stage.play(RequestCancelled(request))
     stage.wait(3 * S)
-    assert [each.request for each in stage.said(CancelAttempt)] == [request]
+    assert [action.request for action in stage.said(CancelAttempt)] == [request]
     assert stage.said(Fail) == [] and stage.said(Reject) == []
 
 
-def test_a_rejection_has_a_retry_after_where_the_settings_allow_it() -> None:
-    for limits, most in (({}, 0), ({"retry_after": True, "max_retry_after_us": 30 * MS}, 30 * MS)):
+def test_a_rejection_has_a_retry_after_if_the_settings_allow_it() -> None:
+    for limits, max_us in (({}, 0), ({"retry_after": True, "max_retry_after_us": 30 * MS}, 30 * MS)):
         stage = Stage(settings(limits=limits))
         for _ in range(20):
-            stage.request()  # there is no server
-        told = [each.retry_after_us for each in stage.said(Reject)]
-        assert len(told) == 20 and max(told) <= most
-        assert len(set(told)) > 1 if most else not any(told)  # spread out
+            stage.request()  # rejected: no server is listed
+        delays_us = [action.retry_after_us for action in stage.said(Reject)]
+        assert len(delays_us) == 20 and max(delays_us) <= max_us
+        assert len(set(delays_us)) > 1 if max_us else not any(delays_us)  # with jitter
--- a/tests/recorded_fleet.py
+++ b/tests/recorded_fleet.py
@@ -1,8 +1,8 @@
-"""A small fleet in virtual time round one balancer, whose every decision goes into one digest.
+"""Simulates one balancer with a small fleet in virtual time and computes a digest of all its decisions.
 
-The fleet is drawn from a seed: servers of different speed that drain, restart, hang, reject, fail or drop connections,
-clients that leave, polls that fail, a process that stalls.  Two programs with equal digests took the same decisions
-at the same moments on the same events.
+A seed determines the fleet and its faults: servers of different speed that drain, restart, hang, reject, fail or drop
+connections, clients that disconnect, polls that fail, and a process that stalls.  Equal digests mean that two versions
+of the balancer made the same decisions at the same times for the same events.
 """
 
 from __future__ import annotations
@@ -77,7 +77,7 @@
     "drain_grace_us": 500 * MS,
 }
 COLUMNS = ["inflight", "queue", "latency_ms", "util"]
-# What a run's settings add to the common ones, by name.
+# Settings of each variant, added to the common ones.
 VARIANTS: dict[str, dict[str, Any]] = {
     "plain": {},
     "no hedging": {
@@ -106,7 +106,7 @@
     "no idempotent class": {"only": ("pay", "amend"), "limits": {"health_checks": True}},
     "planned": {"planned": True, "limited": True, "tenants": [{"name": "a"}, {"name": "b"}]},
 }
-# How loaded and how faulty the fleet is: arrivals a second, and the part of attempts that go wrong.
+# Load and fault level of the fleet: requests per second, and ratio of attempts that fail.
 LOADS = ((8.0, 0.02), (60.0, 0.05), (220.0, 0.02), (25.0, 0.3))
 SEEDS = (1, 2)
 DIGESTS = Path(__file__).with_name("recorded_decisions.json")
@@ -114,7 +114,7 @@
 
 @dataclass(slots=True)
 class FleetServer:
-    """A server as the fleet has it, which the balancer sees by outcomes alone."""
+    """The true state of a server.  The balancer sees only its entry on the endpoint list, its outcomes and reports."""
 
     name: str
     zone: str
@@ -134,7 +134,7 @@
 
 
 class SampledPlan(RoutingPlan):
-    """Names two servers for every third request."""
+    """A plan that names two servers for every third request."""
 
     def __init__(self, names: Sequence[str]) -> None:
         self._names = names
@@ -154,7 +154,7 @@
 
 
 class RationedQuota(FleetQuota):
-    """Refuses every fourth unit."""
+    """A quota that refuses every fourth unit."""
 
     def __init__(self) -> None:
         self._calls = 0
@@ -165,22 +165,24 @@
 
 
 class RecordedFleet:
-    """Plays one run; `digest` tells of all its decisions."""
+    """One simulated run; `digest` covers all its decisions."""
 
     def __init__(self, variant: str, load: tuple[float, float], seed: int) -> None:
-        given = VARIANTS[variant]
+        variant_settings = VARIANTS[variant]
         self._random = random.Random(f"{variant} {load} {seed}")
         self._rate, self._fault_ratio = load
-        self._settings = _settings(given)
-        self._servers = {each.name: each for each in (self._server(number) for number in range(12))}
-        plan = SampledPlan(list(self._servers)) if given.get("planned") else None
+        self._settings = _settings(variant_settings)
+        self._servers = {
+            server.name: server for server in (self._create_server(number) for number in range(12))
+        }
+        plan = SampledPlan(list(self._servers)) if variant_settings.get("planned") else None
         self.balancer = Balancer(self._settings, seed, plan)
-        if given.get("limited"):
+        if variant_settings.get("limited"):
             self.balancer.set_fleet_quota(RationedQuota())
-        self._tenants = [each.name for each in self._settings.tenants]
+        self._tenants = [tenant.name for tenant in self._settings.tenants]
         self._now = START
-        self._queue: list[tuple[int, int, Callable[[], None]]] = []
-        self._order = itertools.count()
+        self._events: list[tuple[int, int, Callable[[], None]]] = []
+        self._sequence = itertools.count()
         self._requests = itertools.count(1)
         self._in_flight: dict[tuple[int, int], str] = {}
         self._sent: dict[int, int] = {}
@@ -189,75 +191,75 @@
         self.decisions: dict[str, int] = {}
 
     def digest(self) -> str:
-        """Play the run to its end; the digest of its decisions."""
-        self._handle(EndpointsUpdated(UpdateKind.CACHED, [each.describe() for each in self._listed()], 1))
-        self._at(START + 300 * MS, self._poll)
-        self._at(START, self._arrive)
-        self._at(START + 2 * S, self._change)
-        self._at(START + 9 * S, self._stall)
+        """Simulate the run to its end and return the digest of its decisions."""
+        self._handle(EndpointsUpdated(UpdateKind.CACHED, [server.describe() for server in self._listed()], 1))
+        self._schedule(START + 300 * MS, self._poll)
+        self._schedule(START, self._arrive)
+        self._schedule(START + 2 * S, self._change_server)
+        self._schedule(START + 9 * S, self._stall)
         if self._settings.limits.gossip:
-            self._at(START + 100 * MS, self._gossip)
-        while self._queue and self._queue[0][0] < START + RUN_US:
-            due, _, step = heapq.heappop(self._queue)
+            self._schedule(START + 100 * MS, self._gossip)
+        while self._events and self._events[0][0] < START + RUN_US:
+            due, _, step = heapq.heappop(self._events)
             self._now = max(self._now, due)
             step()
         return self._hash.hexdigest()
 
-    # -- What happens by itself -----------------------------------------------------------------------
+    # -- Scheduled events -----------------------------------------------------------------------------
 
     def _arrive(self) -> None:
         burst = 3.0 if 5 * S <= self._now - START < 7 * S else 1.0
-        self._at(self._now + 1 + int(self._random.expovariate(self._rate * burst) * S), self._arrive)
+        self._schedule(self._now + 1 + int(self._random.expovariate(self._rate * burst) * S), self._arrive)
         number = next(self._requests)
-        kind = self._random.choice(self._settings.classes)
+        request_class = self._random.choice(self._settings.classes)
         self._handle(
             RequestArrived(
                 number,
-                kind.name if self._random.random() < 0.98 else "unknown",
+                request_class.name if self._random.random() < 0.98 else "unknown",
                 self._random.choice(self._tenants) if self._tenants else None,
                 self._random.randrange(20) if self._random.random() < 0.5 else None,
-                int(kind.deadline_us * self._random.choice((1.0, 1.0, 0.6, 0.2))),
+                int(request_class.deadline_us * self._random.choice((1.0, 1.0, 0.6, 0.2))),
                 self._random.choice((None, 2_000, 10_000, 60_000)),
                 self._random.random() < 0.1,
             )
         )
         if self._random.random() < 0.03:
-            self._at(self._now + self._random.randrange(300 * MS), lambda: self._leave(number))
+            self._schedule(self._now + self._random.randrange(300 * MS), lambda: self._cancel(number))
 
-    def _leave(self, number: int) -> None:
+    def _cancel(self, number: int) -> None:
         if number not in self._answered:
             self._answered.add(number)
             self._handle(RequestCancelled(number))
 
-    def _change(self) -> None:
-        """One server drains, restarts, comes back, hangs or is cut off."""
-        self._at(self._now + self._random.randrange(200 * MS, 1_500 * MS), self._change)
+    def _change_server(self) -> None:
+        """Change one server: drain, restart, hang, disconnect, remove or return it; or send a snapshot of the list."""
+        self._schedule(self._now + self._random.randrange(200 * MS, 1_500 * MS), self._change_server)
         server = self._random.choice(list(self._servers.values()))
-        kind = self._random.choice(("drain", "restart", "hang", "cut", "remove", "return", "snapshot"))
-        if kind == "drain":
+        change = self._random.choice(("drain", "restart", "hang", "cut", "remove", "return", "snapshot"))
+        if change == "drain":
             server.state = ServerState.DRAINING
-        elif kind == "restart":
+        elif change == "restart":
             server.state, server.started_at = ServerState.READY, self._now
-        elif kind == "hang":
+        elif change == "hang":
             server.hangs_until = self._now + self._random.randrange(1 * S, 4 * S)
-        elif kind == "cut":
+        elif change == "cut":
             server.unreachable_until = self._now + self._random.randrange(1 * S, 5 * S)
-        elif kind == "remove":
+        elif change == "remove":
             server.state = ServerState.REMOVED
-        elif kind == "return":
+        elif change == "return":
             server.state = ServerState.READY
-        if kind == "snapshot":
+        if change == "snapshot":
             self._update(UpdateKind.SNAPSHOT, self._listed())
-        elif kind not in ("hang", "cut"):
+        elif change not in ("hang", "cut"):
             self._update(UpdateKind.DELTA, [server])
 
     def _stall(self) -> None:
-        """The process stands still: nothing is played for a while, and all that fell due comes late."""
+        """Stall the process: time passes, and all events that fall due meanwhile are late."""
         self._now += 700 * MS
-        self._at(self._now + 5 * S, self._stall)
+        self._schedule(self._now + 5 * S, self._stall)
 
     def _gossip(self) -> None:
-        self._at(self._now + 100 * MS, self._gossip)
+        self._schedule(self._now + 100 * MS, self._gossip)
         sender = self._random.randrange(6)
         tags = [self._random.randrange(1 << 16) for _ in range(self._random.randrange(5))]
         payload = b"\x01" + b"".join(struct.pack("<HB", tag, 3) for tag in tags)
@@ -269,56 +271,61 @@
         else:
             self._update(UpdateKind.SNAPSHOT, self._listed())
 
-    # -- What the balancer's actions lead to ----------------------------------------------------------
+    # -- Execution of the balancer's actions ----------------------------------------------------------
 
     def _handle(self, event: Event) -> None:
         actions = self.balancer.handle(self._now, event)
         for action in actions:
             self._record(action)
         for action in actions:
-            self._carry_out(action)
+            self._execute(action)
 
     def _record(self, action: Action) -> None:
         name = type(action).__name__
         self.decisions[name] = self.decisions.get(name, 0) + 1
         if isinstance(action, LogMessage):
-            return  # how a decision is worded is no decision
-        values = [_plain(getattr(action, each.name)) for each in fields(action)]
+            return  # texts of log lines are not part of the digest
+        values = [_json_value(getattr(action, action_field.name)) for action_field in fields(action)]
         self._hash.update(json.dumps([self._now, name, *values]).encode() + b"\n")
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         if isinstance(action, SendAttempt):
-            self._send(action)
+            self._send_attempt(action)
         elif isinstance(action, CancelAttempt):
-            self._at(
-                self._now, lambda: self._end(action.request, action.attempt, Outcome.CANCELLED, self._now)
+            self._schedule(
+                self._now,
+                lambda: self._end_attempt(action.request, action.attempt, Outcome.CANCELLED, self._now),
             )
         elif isinstance(action, Reject | Fail):
             self._answered.add(action.request)
         elif isinstance(action, SetTimer):
-            self._at(self._now + action.in_us, lambda: self._handle(TimerFired(action.token)))
+            self._schedule(self._now + action.in_us, lambda: self._handle(TimerFired(action.token)))
         elif isinstance(action, CheckHealth):
-            self._check(action.server)
+            self._check_health(action.server)
         elif isinstance(action, WatchEndpoints):
-            self._at(self._now + self._random.randrange(50 * MS, 3 * S), self._poll)
+            self._schedule(self._now + self._random.randrange(50 * MS, 3 * S), self._poll)
 
-    def _send(self, action: SendAttempt) -> None:
+    def _send_attempt(self, action: SendAttempt) -> None:
         server = self._servers[action.server]
         index = self._sent.get(action.request, 0)
         self._sent[action.request] = index + 1
         self._in_flight[action.request, index] = action.server
         server.in_flight += 1
-        begun, outcome = self._now, self._outcome(server)
-        took = int(server.service_us * (0.5 + self._random.random()) * (1.0 + 0.3 * server.in_flight))
+        sent_at, outcome = self._now, self._draw_outcome(server)
+        elapsed_us = int(server.service_us * (0.5 + self._random.random()) * (1.0 + 0.3 * server.in_flight))
         if outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.UNSENT):
-            took = self._random.randrange(1 * MS, 20 * MS)
-        if server.hangs_until > begun or begun + took >= action.give_up_at:
-            took, outcome = action.give_up_at - begun, Outcome.TIMED_OUT
+            elapsed_us = self._random.randrange(1 * MS, 20 * MS)
+        if server.hangs_until > sent_at or sent_at + elapsed_us >= action.give_up_at:
+            elapsed_us, outcome = action.give_up_at - sent_at, Outcome.TIMED_OUT
         elif outcome is Outcome.DELIVERED and self._random.random() < 0.05:
-            self._at(begun + took // 2, lambda: self._start(action.request, index, begun))
-        self._at(begun + took, lambda: self._end(action.request, index, outcome, begun))
+            self._schedule(
+                sent_at + elapsed_us // 2, lambda: self._start_response(action.request, index, sent_at)
+            )
+        self._schedule(
+            sent_at + elapsed_us, lambda: self._end_attempt(action.request, index, outcome, sent_at)
+        )
 
-    def _outcome(self, server: FleetServer) -> Outcome:
+    def _draw_outcome(self, server: FleetServer) -> Outcome:
         if server.unreachable_until > self._now:
             return Outcome.CONNECT_FAILED
         if server.in_flight > 12 * server.nominal_capacity:
@@ -329,13 +336,13 @@
             (Outcome.ERROR, Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.CONNECTION_LOST, Outcome.UNSENT)
         )
 
-    def _start(self, request: int, index: int, begun: int) -> None:
+    def _start_response(self, request: int, index: int, sent_at: int) -> None:
         server = self._in_flight.get((request, index))
         if server is not None and request not in self._answered:
             self._answered.add(request)
-            self._handle(ResponseStarted(request, index, server, self._now - begun))
+            self._handle(ResponseStarted(request, index, server, self._now - sent_at))
 
-    def _end(self, request: int, index: int, outcome: Outcome, begun: int) -> None:
+    def _end_attempt(self, request: int, index: int, outcome: Outcome, sent_at: int) -> None:
         name = self._in_flight.pop((request, index), None)
         if name is None:
             return
@@ -347,19 +354,21 @@
         if outcome in (Outcome.DELIVERED, Outcome.REJECTED) and self._random.random() < 0.7:
             report = self._report(server)
         answered = request in self._answered
-        self._handle(AttemptEnded(request, index, name, outcome, self._now - begun, answered, report))
+        self._handle(AttemptEnded(request, index, name, outcome, self._now - sent_at, answered, report))
 
-    def _check(self, name: str) -> None:
-        server, begun = self._servers[name], self._now
-        failed = server.unreachable_until > begun or self._random.random() < self._fault_ratio
+    def _check_health(self, name: str) -> None:
+        server, sent_at = self._servers[name], self._now
+        failed = server.unreachable_until > sent_at or self._random.random() < self._fault_ratio
         outcome = Outcome.CONNECT_FAILED if failed else Outcome.DELIVERED
         report = None if failed else self._report(server)
-        took = self._random.randrange(1 * MS, 30 * MS)
-        self._at(begun + took, lambda: self._handle(HealthCheckEnded(name, outcome, took, report)))
+        elapsed_us = self._random.randrange(1 * MS, 30 * MS)
+        self._schedule(
+            sent_at + elapsed_us, lambda: self._handle(HealthCheckEnded(name, outcome, elapsed_us, report))
+        )
 
-    # -- Small parts ----------------------------------------------------------------------------------
+    # -- Helpers --------------------------------------------------------------------------------------
 
-    def _server(self, number: int) -> FleetServer:
+    def _create_server(self, number: int) -> FleetServer:
         return FleetServer(
             f"10.0.0.{number + 1}:80",
             ZONES[number % 3],
@@ -370,10 +379,10 @@
         )
 
     def _listed(self) -> list[FleetServer]:
-        return [each for each in self._servers.values() if each.state is not ServerState.REMOVED]
+        return [server for server in self._servers.values() if server.state is not ServerState.REMOVED]
 
     def _update(self, kind: UpdateKind, servers: Sequence[FleetServer]) -> None:
-        self._handle(EndpointsUpdated(kind, [each.describe() for each in servers], self._now // MS))
+        self._handle(EndpointsUpdated(kind, [server.describe() for server in servers], self._now // MS))
 
     def _report(self, server: FleetServer) -> dict[str, float]:
         load = server.in_flight / (6.0 * server.nominal_capacity)
@@ -384,40 +393,49 @@
             "latency_ms": server.service_us / MS * (1.0 + load),
         }
 
-    def _at(self, due: int, step: Callable[[], None]) -> None:
-        heapq.heappush(self._queue, (due, next(self._order), step))
+    def _schedule(self, due: int, step: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (due, next(self._sequence), step))
 
 
-def _settings(given: Mapping[str, Any]) -> Settings:
-    only = given.get("only")
-    classes = [{**each, "ordered_by_key": bool(given.get("ordered"))} for each in CLASSES]
-    known = {
-        key: value for key, value in given.items() if key not in ("only", "ordered", "planned", "limited")
+def _settings(variant_settings: Mapping[str, Any]) -> Settings:
+    included = variant_settings.get("only")
+    classes = [
+        {**request_class, "ordered_by_key": bool(variant_settings.get("ordered"))}
+        for request_class in CLASSES
+    ]
+    overrides = {
+        key: value
+        for key, value in variant_settings.items()
+        if key not in ("only", "ordered", "planned", "limited")
     }
     return Settings.from_mapping(
         {
             "zone": "east",
             "tick_us": 5 * MS,
             "instance": 2,
-            **known,
-            "classes": [each for each in classes if only is None or each["name"] in only],
-            "limits": {**LIMITS, **given.get("limits", {})},
-            "rules": {**RULES, **given.get("rules", {})},
+            **overrides,
+            "classes": [
+                request_class
+                for request_class in classes
+                if included is None or request_class["name"] in included
+            ],
+            "limits": {**LIMITS, **variant_settings.get("limits", {})},
+            "rules": {**RULES, **variant_settings.get("rules", {})},
         }
     )
 
 
-def _plain(value: object) -> object:
+def _json_value(value: object) -> object:
     return value.hex() if isinstance(value, bytes) else value
 
 
 def run_name(variant: str, load: tuple[float, float], seed: int) -> str:
-    """The name of a run among the recorded digests."""
+    """The key of a run in the file of recorded digests."""
     return f"{variant}/{load[0]:g}/{load[1]:g}/{seed}"
 
 
 def main() -> None:
-    """Record the decisions of today's program."""
+    """Record the digests of the current program."""
     runs = [(variant, load, seed) for variant in VARIANTS for load in LOADS for seed in SEEDS]
     digests = {run_name(*run): RecordedFleet(*run).digest() for run in runs}
     DIGESTS.write_text(json.dumps(digests, indent=1) + "\n", encoding="utf-8")
