--- a/topazbank/balancing/attempt_outcomes.py
+++ b/topazbank/balancing/attempt_outcomes.py
@@ -72,9 +72,9 @@
         outcome = event.outcome
         attempt.pending = False
         if outcome is Outcome.DELIVERED:
-            self._estimator.complete_check(self._context.now, attempt.timing)
+            self._estimator.complete_check(self._context.now, attempt.latency_check)
         elif outcome is not Outcome.TIMED_OUT:
-            attempt.timing.pending = False
+            attempt.latency_check.pending = False
         attempt.may_have_run = self._retries.may_have_run(outcome)
         self._ordering.attempt_ended(request, outcome)
         self._load.attempt_ended(attempt)
--- a/topazbank/balancing/requests.py
+++ b/topazbank/balancing/requests.py
@@ -25,7 +25,7 @@
     sent_at: int  # clock time
     stalled_before_us: int  # total stall time of this process until sending
     responses_before: int  # responses received from all servers until sending
-    timing: LatencyCheck
+    latency_check: LatencyCheck
     is_probation: bool = False  # whether its success may reinstate an ejected server
     pending: bool = True
     in_objective: bool = True  # pending, and its latency objective has not passed
