--- a/tests/test_request_rules.py
+++ b/tests/test_request_rules.py
@@ -1,4 +1,4 @@
-"""The rules between a decision and its effect: each denies what breaks it, and counts what should not happen."""
+"""Request rules deny what breaks them and count a violation if the caller should have prevented it."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 def new_rules(rejects_after_start: bool = False) -> tuple[RequestRules, Counters]:
     counters = Counters()
-    figures = Rules(drain_grace_us=int(DRAIN_GRACE_S * 1e6), rejects_after_start=rejects_after_start)
-    return RequestRules(counters, figures), counters
+    settings_rules = Rules(drain_grace_us=int(DRAIN_GRACE_S * 1e6), rejects_after_start=rejects_after_start)
+    return RequestRules(counters, settings_rules), counters
 
 
 @pytest.mark.parametrize(
-    ("changes", "denied"),
+    ("changes", "denial"),
     [
         ({}, None),
         ({"is_over": True}, DenialReason.REQUEST_OVER),
@@ -47,16 +47,16 @@
         ({"deadline": NOW}, DenialReason.DEADLINE_PASSED),
     ],
 )
-def test_nothing_is_sent_for_a_request_that_is_over(
-    changes: dict[str, Any], denied: DenialReason | None
+def test_no_attempt_is_sent_for_a_finished_request(
+    changes: dict[str, Any], denial: DenialReason | None
 ) -> None:
     rules, counters = new_rules()
-    assert rules.check_send(new_call(**changes), NOW) is denied
-    assert rules.check_write(new_call(**changes), endpoint(), NOW, NO_DEADLINE) is denied
-    assert counters.violations(Violation.SENT_AFTER_END) == (denied is DenialReason.REQUEST_OVER)
+    assert rules.check_send(new_call(**changes), NOW) is denial
+    assert rules.check_write(new_call(**changes), endpoint(), NOW, NO_DEADLINE) is denial
+    assert counters.violations(Violation.SENT_AFTER_END) == (denial is DenialReason.REQUEST_OVER)
 
 
-def test_nothing_is_written_after_its_write_deadline() -> None:
+def test_no_attempt_is_written_after_its_write_deadline() -> None:
     rules, _ = new_rules()
     assert rules.check_write(new_call("amend"), endpoint(), NOW, NOW) is DenialReason.DEADLINE_PASSED
 
@@ -79,15 +79,15 @@
     assert counters.violations(Violation.NON_IDEMPOTENT_RESENT) == (not not_executed)
 
 
-def test_only_a_non_idempotent_request_may_not_have_two_attempts_in_flight() -> None:
+def test_only_non_idempotent_requests_are_denied_a_second_attempt_in_flight() -> None:
     rules, _ = new_rules()
-    for class_name, denied in (("pay", DenialReason.MAY_HAVE_EXECUTED), ("look", None), ("amend", None)):
+    for class_name, denial in (("pay", DenialReason.MAY_HAVE_EXECUTED), ("look", None), ("amend", None)):
         call = new_call(class_name)
         assert rules.check_write(call, endpoint(), NOW, NO_DEADLINE) is None
-        assert rules.check_write(call, endpoint(), NOW, NO_DEADLINE) is denied
+        assert rules.check_write(call, endpoint(), NOW, NO_DEADLINE) is denial
 
 
-def test_an_attempt_that_was_not_written_proves_nothing_of_those_that_were() -> None:
+def test_an_unwritten_attempt_does_not_prove_that_a_written_one_was_not_executed() -> None:
     rules, _ = new_rules()
     call = new_call()
     assert rules.check_write(call, endpoint(), NOW, NO_DEADLINE) is None
@@ -95,7 +95,7 @@
     assert rules.check_write(call, endpoint(), NOW, NO_DEADLINE) is DenialReason.MAY_HAVE_EXECUTED
 
 
-def test_nothing_begins_at_a_server_that_has_drained_for_longer_than_the_grace() -> None:
+def test_no_attempt_is_written_to_a_server_after_its_drain_grace() -> None:
     rules, counters = new_rules()
     assert (
         rules.check_write(new_call(), endpoint(draining_since=NOW - DRAIN_GRACE_S), NOW, NO_DEADLINE) is None
@@ -107,7 +107,7 @@
     assert counters.violations(Violation.SENT_TO_DRAINING) == 1
 
 
-def test_a_server_is_told_no_longer_timeout_than_the_client_s() -> None:
+def test_the_timeout_sent_to_a_server_does_not_exceed_the_client_s() -> None:
     rules, counters = new_rules()
     assert rules.remaining_s(new_call(), NOW + 0.4, NOW) == pytest.approx(0.4)
     assert rules.remaining_s(new_call(), NOW + 0.4, NOW + 2.0) == 0.0
@@ -116,7 +116,7 @@
     assert counters.violations(Violation.TIMEOUT_BEYOND_CLIENT) == 1
 
 
-def test_an_answer_after_its_deadline_is_counted() -> None:
+def test_an_answer_later_than_the_grace_is_counted() -> None:
     rules, counters = new_rules()
     rules.check_answer(new_call(), NOW + 1.0 + ANSWER_GRACE_S)
     assert counters.violations(Violation.ANSWERED_LATE) == 0
