--- a/topazbank/core/attempts.py
+++ b/topazbank/core/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt to have a request served, or one health check, from its start to its one outcome."""
+"""One attempt at a request, or one health check, from its start to its outcome."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptDeadlines:
-    """The deadlines of an attempt, seconds on the event loop's clock, and the rules for its writing."""
+    """The deadlines of an attempt in seconds on the event loop's clock, and the rules checked before writing."""
 
     give_up_at: float
-    is_final: bool = True  # whether its request is over at `give_up_at`, so that no retry follows
-    write_by: float = math.inf  # it ends unsent where its last byte has not gone to the kernel by then
-    rules: RequestRules | None = None  # None: of a health check
+    is_final: bool = True  # whether the request ends at `give_up_at`, so that no retry follows
+    write_by: float = math.inf  # an attempt not fully written to the kernel by then ends as unsent
+    rules: RequestRules | None = None  # None for a health check
 
 
 class Attempt:
-    """An attempt at a server; each protocol has a subclass."""
+    """An attempt at a server; each protocol has its own subclass."""
 
     def __init__(
         self,
@@ -37,49 +37,49 @@
         on_ended: OutcomeCallback,
         call: Call | None = None,
     ) -> None:
-        """`on_ended` is called exactly once; `call`: None for a health check."""
+        """`on_ended` is called exactly once; `call` is None for a health check."""
         self.endpoint = endpoint
         self.give_up_at = deadlines.give_up_at
         self._write_by = deadlines.write_by
         self._rules = deadlines.rules
-        self._written = False  # whether its first byte was allowed to go to the server
+        self._written = False  # whether the rules allowed the first byte to be written
         self.call = call
         self.on_ended: OutcomeCallback | None = on_ended
-        self.on_response_started: Callable[[Response], None] | None = None  # of a response that is streamed
-        self.timers: list[Timer] = []  # cancelled at its end
+        self.on_response_started: Callable[[Response], None] | None = None  # called for a streamed response
+        self.timers: list[Timer] = []  # cancelled when the attempt ends
 
     def may_write(self) -> bool:
-        """Whether its first byte may go to the server now; called once, just before that."""
+        """Whether the first byte may be written to the server now; called once, just before the write."""
         if self.call is None or self._rules is None:
             return True
         now = asyncio.get_running_loop().time()
-        denied = self._rules.check_write(self.call, self.endpoint, now, self._write_by)
-        if denied is not None:
-            log.info("request %s is not sent to %s: %s", self.call.call_id, self.endpoint.name, denied.value)
-        self._written = denied is None
+        denial = self._rules.check_write(self.call, self.endpoint, now, self._write_by)
+        if denial is not None:
+            log.info("request %s not sent to %s: %s", self.call.call_id, self.endpoint.name, denial.value)
+        self._written = denial is None
         return self._written
 
     def remaining_s(self) -> float:
-        """How long its client still waits, for its server, seconds."""
+        """The timeout to send to the server: how long the client still waits, in seconds."""
         now = asyncio.get_running_loop().time()
         if self.call is None or self._rules is None:
             return max(self.give_up_at - now, 0.0)
         return self._rules.remaining_s(self.call, self.give_up_at, now)
 
     def arm_write_deadline(self, timers: Timers) -> None:
-        """Set the timer for `write_by`, if that is the earlier deadline."""
+        """Set a timer for `write_by` if it is earlier than `give_up_at`."""
         if self._write_by < self.give_up_at:
             self.timers.append(timers.call_at(self._write_by, _cancel_unwritten, self))
 
     def response_started(self, response: Response) -> None:
-        """Pass on a streamed response: its client has it now, and the attempt's deadlines end."""
+        """Forward a streamed response to the client and cancel the attempt's deadlines."""
         for timer in self.timers:
             timer.cancel()
         if self.on_response_started is not None and self.on_ended is not None:
             self.on_response_started(response)
 
     def end(self, outcome: Outcome, response: Response | None = None) -> None:
-        """End it with its outcome; no effect where it has ended already."""
+        """End the attempt with an outcome; no effect if it has already ended."""
         on_ended, self.on_ended = self.on_ended, None
         if on_ended is None:
             return
@@ -91,14 +91,14 @@
         on_ended(outcome, response)
 
     def release(self, outcome: Outcome) -> None:
-        """Give back what it holds, before its outcome is known to others."""
+        """Release the resources of the attempt; called before its outcome is reported."""
 
     def cancel(self, final: bool) -> None:
-        """Stop waiting; `final`: its request has its answer, so no retry follows."""
+        """Cancel the attempt; `final`: the request is answered, so no retry follows."""
         self.end(Outcome.CANCELLED)
 
     def cancel_unwritten(self) -> None:
-        """End it if it is not completely written yet, so that it never will be."""
+        """End the attempt if it is not completely written, so that the rest is never written."""
         raise NotImplementedError
 
 
--- a/topazbank/core/call.py
+++ b/topazbank/core/call.py
@@ -1,7 +1,7 @@
-"""What passes between protocol servers, driver and upstream clients; none of it knows a protocol.
+"""The protocol-independent types that protocol servers, request lifecycle and upstream clients exchange.
 
-A protocol server makes a `Call` of a client's bytes and turns its one `FinalAnswer` into bytes.  An upstream client
-makes bytes of a call for a server and turns what happened into one `Outcome`, with the server's `Response` if any came.
+A protocol server parses a client's request into a `Call` and encodes its `FinalAnswer`. An upstream client encodes the
+call for a server and reports the result as one `Outcome`, with the server's `Response` if one was received.
 """
 
 from __future__ import annotations
@@ -18,28 +18,28 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# Of a body that is held in memory; MessagePack-RPC allows no larger one.
+# Limit for a body buffered in memory. MessagePack-RPC allows no larger body.
 BUFFERED_BODY_BYTES_MAX: Final = 64 * 1024
 
 
 @unique
 class Verdict(Enum):
-    """What a final answer says."""
+    """The result that a final answer reports."""
 
     SERVED = auto()  # a server's own response to this request
-    REJECTED = auto()  # it was not executed: a retry is harmless
-    FAILED = auto()  # it may have been executed
+    REJECTED = auto()  # the request was not executed, so a retry is safe
+    FAILED = auto()  # the request may have been executed
 
 
 @dataclass(slots=True)
 class FinalAnswer:
-    """The one final answer of a call."""
+    """The final answer to a call; each call has exactly one."""
 
     verdict: Verdict
     body: bytes = b""
-    content_headers: Headers | None = None  # of a server's body: content-type, content-encoding
-    retry_after_us: int = 0  # with REJECTED: when to retry; 0: no advice
-    stream: ResponseStream | None = None  # with SERVED: a large body, of which only the first bytes have come
+    content_headers: Headers | None = None  # content-type and content-encoding of a server's body
+    retry_after_us: int = 0  # with REJECTED: delay before a retry; 0 if unspecified
+    stream: ResponseStream | None = None  # with SERVED: a large body that is not yet complete
 
 
 FAILED_ANSWER = FinalAnswer(Verdict.FAILED)
@@ -51,31 +51,31 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A client's request, whatever its protocol; it is answered once."""
+    """A client's request, independent of its protocol; it is answered once."""
 
-    call_id: str  # the client's
+    call_id: str  # assigned by the client
     request_class: RequestClass
     target: bytes  # path and query, as in HTTP
     body: bytes
-    tenant: str | None  # None where the settings name no tenants
+    tenant: str | None  # None if no tenants are configured
     key: int | None
-    timeout_us: int  # how long the client waits, from when it sent the request
-    cost_us: int | None  # the client's hint of the work
+    timeout_us: int  # how long the client waits, measured from when it sent the request
+    cost_us: int | None  # the client's estimate of the work
     is_retry: bool  # as marked by the client
     idempotency_key: str | None
     answer: Callable[[FinalAnswer], None]
-    caller: str | None = None  # the tenant's name as sent
-    content_headers: Headers | None = None  # of the body: content-type, content-encoding
+    caller: str | None = None  # the tenant's name as the client sent it
+    content_headers: Headers | None = None  # content-type and content-encoding of the body
     headers: Headers | None = None  # the end-to-end headers of an HTTP client, forwarded unchanged
-    spooled_body: SpooledBody | None = None  # a body over BUFFERED_BODY_BYTES_MAX, in place of `body`
-    accepts_stream: bool = False  # whether its protocol server can answer before the body is complete
-    has_disconnected: Callable[[], bool] = _never_disconnected  # its client, by the kernel's state
-    deadline: float = math.inf  # when its client stops waiting, seconds on the event loop's clock
-    is_over: bool = False  # whether it has its answer, or its client has left
-    possibly_executed: int = 0  # attempts written to a server and not proved never to have been executed
+    spooled_body: SpooledBody | None = None  # replaces `body` if it exceeds BUFFERED_BODY_BYTES_MAX
+    accepts_stream: bool = False  # whether the protocol server can answer before the body is complete
+    has_disconnected: Callable[[], bool] = _never_disconnected  # reads the connection's state in the kernel
+    deadline: float = math.inf  # when the client stops waiting, in seconds on the event loop's clock
+    is_over: bool = False  # whether it is answered or its client has disconnected
+    possibly_executed: int = 0  # written attempts not proved to be unexecuted
 
     def release(self) -> None:
-        """Free its spooled body: no further attempt is made."""
+        """Free the spooled body; no further attempt is made."""
         spooled_body, self.spooled_body = self.spooled_body, None
         if spooled_body is not None:
             spooled_body.release()
@@ -87,20 +87,20 @@
 
     body: bytes
     content_headers: Headers | None = None
-    report: Mapping[str, float] | None = None  # its load report, of the columns that the settings name
-    stream: ResponseStream | None = None  # the body, where only its first bytes have come
+    report: Mapping[str, float] | None = None  # the load report, limited to the configured columns
+    stream: ResponseStream | None = None  # the body, if only its first bytes were received
 
 
-OutcomeCallback = Callable[[Outcome, Response | None], None]  # called exactly once for an attempt
+OutcomeCallback = Callable[[Outcome, Response | None], None]  # called exactly once per attempt
 
 
 @dataclass(slots=True)
 class RequestCallbacks:
-    """What a protocol server calls."""
+    """The callbacks of a protocol server."""
 
     on_request: Callable[[Call], None]
-    on_disconnect: Callable[[Sequence[Call]], None]  # all unanswered calls of one connection at once
-    is_in_flight: Callable[[str], bool]  # whether a request with this id is unanswered, or has a live attempt
+    on_disconnect: Callable[[Sequence[Call]], None]  # receives all unanswered calls of one connection
+    is_in_flight: Callable[[str], bool]  # whether a call id is unanswered or has an attempt in flight
     is_ready: Callable[[], bool]
-    status_page: Callable[[], bytes] | None = None  # `StatusPage.render`; None: not offered
-    spool: Spool = field(default_factory=lambda: Spool(None))  # where large bodies are stored
+    status_page: Callable[[], bytes] | None = None  # `StatusPage.render`; None if no status page is served
+    spool: Spool = field(default_factory=lambda: Spool(None))  # stores large bodies
--- a/topazbank/core/counters.py
+++ b/topazbank/core/counters.py
@@ -1,8 +1,8 @@
-"""Counters of what this process did to its clients, and of its own broken promises; no I/O.
+"""Counters of client-visible events and of violated invariants; no I/O except logging.
 
-The log names the connection and request, and is cut short under a flood; the counters are complete.  A violation is a
-defect of this program: it is counted and logged where it is detected, and nothing else depends on it.  The values of
-the enumerations are the names that operators read.
+A log line names the connection or request. The number of log lines is limited; the counters are complete. A violation
+is a defect of this program. It is counted and logged where it is detected and has no other effect. The enum values are
+the names shown to operators.
 """
 
 from __future__ import annotations
@@ -15,20 +15,19 @@
 
 log = logging.getLogger(__name__)
 
-_LOGGED_MAX: Final = 20  # log lines for each violation; later ones are only counted
+_LOG_LINES_MAX: Final = 20  # per violation; later occurrences are only counted
 
 
 @unique
 class ClientEvent(Enum):
-    """What happened to clients."""
-
-    REQUEST_REJECTED = "request_rejected"  # with an error, for a fault of its client's
-    REQUEST_TIMED_OUT = "request_timed_out"  # its client stalled in the middle of it, or was too slow
-    UNANSWERED_FAILED_FOR_PARTIAL = (
-        "held_failed_for_partial"  # a request in progress, as the one behind it was overdue
-    )
-    CONNECTION_TIMED_OUT = "connection_timed_out"  # idle, or its client does not read its answers
-    CONNECTION_EVICTED = "connection_made_room"  # closed for another connection
+    """Events that affect clients."""
+
+    REQUEST_REJECTED = "request_rejected"  # answered with an error that the client caused
+    REQUEST_TIMED_OUT = "request_timed_out"  # the client stalled while sending it, or was too slow
+    # A request in progress was failed because the partial request behind it was overdue.
+    UNANSWERED_FAILED_FOR_PARTIAL = "held_failed_for_partial"
+    CONNECTION_TIMED_OUT = "connection_timed_out"  # idle, or the client does not read its answers
+    CONNECTION_EVICTED = "connection_made_room"  # closed to make room for another connection
     CONNECTION_SHED_UNREAD = "connection_refused_unread"
     CLIENT_DISCONNECTED = "client_left"  # with a request in progress
     CLIENT_DISCONNECTED_UNREAD = "client_left_unread"  # before its request was read
@@ -36,16 +35,16 @@
 
 @unique
 class Violation(Enum):
-    """Promises of this program, broken by itself."""
+    """Invariants that this program itself has violated."""
 
-    STALLED_CLIENT_UNANSWERED = "stopped_client_unheard"  # for longer than STALL_ANSWER_S
-    CLOSED_UNANSWERED = "closed_unanswered"  # a connection with a request in progress
+    STALLED_CLIENT_UNANSWERED = "stopped_client_unheard"  # unanswered for longer than STALL_ANSWER_S
+    CLOSED_UNANSWERED = "closed_unanswered"  # a connection closed with a request in progress
     ANSWERED_LATE = "answered_late"
-    SENT_AFTER_END = "sent_for_nobody"  # an attempt whose request is over
-    NON_IDEMPOTENT_RESENT = "unsafe_resent"  # though an earlier attempt may have been executed
-    SENT_TO_DRAINING = "sent_to_draining"  # after the drain grace
-    TIMEOUT_BEYOND_CLIENT = "budget_beyond_client"  # a server gets a longer timeout than its client waits
-    LIMIT_CHECK_FAILED = "limits_not_looked_at"  # the check of a connection's limit raised an error
+    SENT_AFTER_END = "sent_for_nobody"  # an attempt sent after its request had finished
+    NON_IDEMPOTENT_RESENT = "unsafe_resent"  # although an earlier attempt may have been executed
+    SENT_TO_DRAINING = "sent_to_draining"  # an attempt sent after the drain grace
+    TIMEOUT_BEYOND_CLIENT = "budget_beyond_client"  # the timeout sent to a server exceeds the client's
+    LIMIT_CHECK_FAILED = "limits_not_looked_at"  # the check of a connection's limits raised an exception
 
 
 class Counters:
@@ -56,21 +55,21 @@
         self._violations: Counter[Violation] = Counter()
 
     def count(self, event: ClientEvent) -> None:
-        """Count an event."""
+        """Count a client event."""
         self._events[event] += 1
 
     def violation(self, violation: Violation, subject: str) -> None:
-        """Count a broken promise; `subject`: the request or connection, for the log."""
+        """Count a violation and log it; `subject` describes the request or connection."""
         self._violations[violation] += 1
-        if self._violations[violation] <= _LOGGED_MAX:
+        if self._violations[violation] <= _LOG_LINES_MAX:
             log.error("violation %s: %s", violation.value, subject)
 
     def violations(self, violation: Violation) -> int:
-        """How often a promise was broken."""
+        """The number of times an invariant was violated."""
         return self._violations[violation]
 
     def as_mapping(self) -> Mapping[str, Mapping[str, int]]:
-        """All counters by name, as operators read them."""
+        """All counters by the names shown to operators."""
         return {
             "events": {event.value: self._events[event] for event in ClientEvent},
             "violations": {violation.value: self._violations[violation] for violation in Violation},
--- a/topazbank/core/driver.py
+++ b/topazbank/core/driver.py
@@ -1,4 +1,4 @@
-"""The driver: hands events to the balancer and its actions to those who carry them out.  It decides nothing.
+"""The driver: passes events to the balancer and dispatches its actions to handlers. It makes no decisions.
 
 Nothing is awaited between a decision and its effect.
 """
@@ -24,9 +24,10 @@
 
 
 class Driver:
-    """Events in, actions out.
+    """Feeds events to the balancer and dispatches the resulting actions.
 
-    Timers, health checks and idle connections are its own; other actions are carried out by those who `register`.
+    It executes timer, health check, idle connection and log actions itself. Handlers for the others are added by
+    `register`.
     """
 
     def __init__(
@@ -36,23 +37,22 @@
         self._clock = clock
         self._endpoints = endpoints
         self._trace = trace
-        self._events: deque[Event] = deque()  # not handled yet
+        self._events: deque[Event] = deque()  # not yet handled
         self._handling = False
         self._carry_out: dict[type[Any], Callable[[Any], None]] = {}
-        self.on_defect: Callable[[int | None], None] = lambda request: (
-            None
-        )  # an event or action of it has failed
+        # Called with the request number, if any, when handling an event or action raises an exception.
+        self.on_error: Callable[[int | None], None] = lambda request: None
         self.register(SetTimer, self._set_timer)
         self.register(CheckHealth, self._check_health)
         self.register(CloseIdleConnections, lambda action: endpoints.close_idle(action.server))
         self.register(LogMessage, lambda action: log.info("%s", action.text))
 
-    def register(self, action_type: type[Any], carry_out: Callable[[Any], None]) -> None:
-        """Have actions of a type carried out by `carry_out`."""
-        self._carry_out[action_type] = carry_out
+    def register(self, action_type: type[Any], handler: Callable[[Any], None]) -> None:
+        """Register the handler for actions of a type."""
+        self._carry_out[action_type] = handler
 
     def handle(self, event: Event) -> None:
-        """Handle an event, and then those that its actions cause, in order."""
+        """Handle an event, then the events that its actions cause, in order."""
         self._events.append(event)
         if self._handling:
             return
@@ -67,8 +67,8 @@
         try:
             actions: Sequence[Action] = self._balancer.handle(self._clock.now(), event)
         except Exception:
-            log.exception("the balancer failed on %.200r", event)
-            self.on_defect(getattr(event, "request", None))
+            log.exception("balancer failed to handle event %.200r", event)
+            self.on_error(getattr(event, "request", None))
             return
         if self._trace is not None:
             self._trace.record(self._clock.now(), event, actions)
@@ -76,8 +76,8 @@
             try:
                 self._carry_out[type(action)](action)
             except Exception:
-                log.exception("could not carry out %.200r", action)
-                self.on_defect(getattr(action, "request", None))
+                log.exception("failed to execute action %.200r", action)
+                self.on_error(getattr(action, "request", None))
 
     def _set_timer(self, action: SetTimer) -> None:
         asyncio.get_running_loop().call_later(action.in_us / 1e6, self.handle, TimerFired(action.token))
--- a/topazbank/core/request_lifecycle.py
+++ b/topazbank/core/request_lifecycle.py
@@ -1,6 +1,6 @@
-"""Requests from their arrival to their one answer, and their attempts.
+"""The lifecycle of requests and their attempts, from arrival to the final answer.
 
-Promise: every request is answered exactly once, by its deadline at the latest, unless its client disconnects first.
+Invariant: every request is answered exactly once, no later than its deadline, unless its client disconnects first.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class StreamStart(NamedTuple):
-    """The attempt whose response is streamed to the client, and how long its first bytes took."""
+    """The attempt whose response is streamed to the client, and its time to the first bytes."""
 
     attempt: int
     elapsed_us: int
@@ -39,22 +39,21 @@
 
 @dataclass(slots=True, eq=False)
 class LiveRequest:
-    """A request that is not over: unanswered, or with attempts in flight."""
+    """A request that is still unanswered or still has attempts in flight."""
 
-    number: int  # as the balancer knows it
+    number: int  # identifies the request in the balancer's events and actions
     call: Call
     deadline_us: int
-    answered: bool = False  # or cancelled: nothing more is sent to its client
+    answered: bool = False  # answered or cancelled; nothing more is sent to the client
     attempts_sent: int = 0
-    attempts: dict[int, Attempt | None] = field(
-        default_factory=dict
-    )  # in flight, by number; None: being started
+    # The attempts in flight by number; None while an attempt is being started.
+    attempts: dict[int, Attempt | None] = field(default_factory=dict)
     deadline_timer: Timer | None = None
     stream_start: StreamStart | None = None
 
 
 class RequestLifecycle:
-    """All live requests of this process."""
+    """Tracks all live requests of this process."""
 
     def __init__(
         self,
@@ -70,11 +69,11 @@
         self._rules = rules
         self._observer = observer
         self._timers = Timers()
-        self._numbers = itertools.count(1)
-        self.live: dict[int, LiveRequest] = {}  # by number
+        self._request_numbers = itertools.count(1)
+        self.live: dict[int, LiveRequest] = {}  # by request number
         self._unanswered: dict[Call, LiveRequest] = {}
-        self._call_ids: set[str] = set()  # of all live requests
-        driver.on_defect = self.fail
+        self._call_ids: set[str] = set()  # the call ids of all live requests
+        driver.on_error = self.fail
         driver.register(SendAttempt, self._send)
         driver.register(Reject, self._reject)
         driver.register(Fail, self._fail)
@@ -82,27 +81,27 @@
 
     @property
     def unanswered_count(self) -> int:
-        """How many requests have no answer yet."""
+        """The number of requests without an answer."""
         return len(self._unanswered)
 
     def is_in_flight(self, call_id: str) -> bool:
-        """Whether a request with this id is unanswered, or has an attempt in flight."""
+        """Whether the request with this call id is unanswered or has an attempt in flight."""
         return call_id in self._call_ids
 
-    # -- From clients ---------------------------------------------------------------------------------
+    # -- Client events --------------------------------------------------------------------------------
 
     def on_request(self, call: Call) -> None:
-        """A client's request has come; it will be answered by `call.answer`."""
-        live = LiveRequest(next(self._numbers), call, self._clock.now() + call.timeout_us)
-        self.live[live.number] = self._unanswered[call] = live
+        """Accept a client's request; its answer is delivered by `call.answer`."""
+        request = LiveRequest(next(self._request_numbers), call, self._clock.now() + call.timeout_us)
+        self.live[request.number] = self._unanswered[call] = request
         self._call_ids.add(call.call_id)
         if self._observer is not None:
             self._observer.request_arrived(call.request_class.name)
-        call.deadline = self._clock.to_loop_time(live.deadline_us)
-        live.deadline_timer = self._timers.call_at(call.deadline, self.fail, live.number)
+        call.deadline = self._clock.to_loop_time(request.deadline_us)
+        request.deadline_timer = self._timers.call_at(call.deadline, self.fail, request.number)
         self._driver.handle(
             RequestArrived(
-                live.number,
+                request.number,
                 call.request_class.name,
                 call.tenant,
                 call.key,
@@ -113,158 +112,161 @@
         )
 
     def on_disconnect(self, calls: Sequence[Call]) -> None:
-        """Clients have disconnected.
+        """Cancel the unanswered requests of clients that have disconnected.
 
-        All their requests are marked before the balancer hears of any: cancelling one can end attempts of others.
+        All of them are marked as answered before the balancer receives the first event, because cancelling one request
+        can end attempts of others.
         """
         cancelled = [
-            live for call in calls if (live := self._unanswered.pop(call, None)) and not live.answered
+            request
+            for call in calls
+            if (request := self._unanswered.pop(call, None)) and not request.answered
         ]
-        for live in cancelled:
-            live.answered = live.call.is_over = True
-        for live in cancelled:
-            self._mark_answered(live)
-            self._driver.handle(RequestCancelled(live.number))
+        for request in cancelled:
+            request.answered = request.call.is_over = True
+        for request in cancelled:
+            self._mark_answered(request)
+            self._driver.handle(RequestCancelled(request.number))
 
     # -- Answers --------------------------------------------------------------------------------------
 
     def fail(self, number: int | None) -> None:
         """Answer a request as failed and cancel its attempts.
 
-        Guards against a defect that would leave it unanswered: it is called at its deadline, and where the handling of
-        one of its events or actions has raised an error.
+        Called at the request's deadline, and when handling one of its events or actions raises an exception. This keeps
+        a defect from leaving the request unanswered.
         """
-        live = self.live.get(number) if number is not None else None
-        if live is None:
+        request = self.live.get(number) if number is not None else None
+        if request is None:
             return
-        self._answer(live, FAILED_ANSWER)
-        for attempt in list(live.attempts.values()):
+        self._answer(request, FAILED_ANSWER)
+        for attempt in list(request.attempts.values()):
             if attempt is not None:
                 attempt.cancel(final=True)
 
     def fail_unanswered(self) -> None:
-        """Answer all requests that have no answer yet as failed."""
-        for live in list(self._unanswered.values()):
-            self._answer(live, FAILED_ANSWER)
+        """Answer all unanswered requests as failed."""
+        for request in list(self._unanswered.values()):
+            self._answer(request, FAILED_ANSWER)
 
-    def _answer(self, live: LiveRequest, answer: FinalAnswer) -> None:
-        if live.answered:
+    def _answer(self, request: LiveRequest, answer: FinalAnswer) -> None:
+        if request.answered:
             return
         if self._observer is not None:
             served = answer.verdict is Verdict.SERVED
-            self._observer.request_answered(live.call.request_class.name, served)
-        self._mark_answered(live)
-        self._rules.check_answer(live.call, asyncio.get_running_loop().time())
-        live.call.answer(answer)
-
-    def _mark_answered(self, live: LiveRequest) -> None:
-        live.answered = live.call.is_over = True
-        self._unanswered.pop(live.call, None)
-        if live.deadline_timer is not None:
-            live.deadline_timer.cancel()
-        for attempt in list(live.attempts.values()):
+            self._observer.request_answered(request.call.request_class.name, served)
+        self._mark_answered(request)
+        self._rules.check_answer(request.call, asyncio.get_running_loop().time())
+        request.call.answer(answer)
+
+    def _mark_answered(self, request: LiveRequest) -> None:
+        request.answered = request.call.is_over = True
+        self._unanswered.pop(request.call, None)
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
+        for attempt in list(request.attempts.values()):
             if attempt is not None:
-                attempt.cancel_unwritten()  # nothing is sent for a request that is over
-        self._forget_if_over(live)
+                attempt.cancel_unwritten()  # nothing is sent for a finished request
+        self._remove_if_finished(request)
 
-    def _forget_if_over(self, live: LiveRequest) -> None:
-        if live.answered and not live.attempts:
-            self.live.pop(live.number, None)
-            self._call_ids.discard(live.call.call_id)
-            live.call.release()
+    def _remove_if_finished(self, request: LiveRequest) -> None:
+        if request.answered and not request.attempts:
+            self.live.pop(request.number, None)
+            self._call_ids.discard(request.call.call_id)
+            request.call.release()
 
     def _reject(self, action: Reject) -> None:
-        live = self.live.get(action.request)
-        if live is not None:
-            self._answer(live, FinalAnswer(Verdict.REJECTED, retry_after_us=action.retry_after_us))
+        request = self.live.get(action.request)
+        if request is not None:
+            self._answer(request, FinalAnswer(Verdict.REJECTED, retry_after_us=action.retry_after_us))
 
     def _fail(self, action: Fail) -> None:
-        live = self.live.get(action.request)
-        if live is not None:
-            self._answer(live, FAILED_ANSWER)
+        request = self.live.get(action.request)
+        if request is not None:
+            self._answer(request, FAILED_ANSWER)
 
     # -- Attempts -------------------------------------------------------------------------------------
 
     def _send(self, action: SendAttempt) -> None:
-        live = self.live.get(action.request)
-        if live is None:
-            self._not_sent(action, 0)
+        request = self.live.get(action.request)
+        if request is None:
+            self._report_unsent(action, 0)
             return
-        number = live.attempts_sent
-        live.attempts_sent += 1
-        denied = self._rules.check_send(live.call, asyncio.get_running_loop().time())
-        if denied is not None:
-            if denied is DenialReason.CLIENT_DISCONNECTED:
-                self.on_disconnect([live.call])
-            self._not_sent(action, number)
+        number = request.attempts_sent
+        request.attempts_sent += 1
+        denial = self._rules.check_send(request.call, asyncio.get_running_loop().time())
+        if denial is not None:
+            if denial is DenialReason.CLIENT_DISCONNECTED:
+                self.on_disconnect([request.call])
+            self._report_unsent(action, number)
             return
-        live.attempts[number] = None
+        request.attempts[number] = None
         if self._observer is not None:
             self._observer.attempt_sent(action.server)
-        is_final = not 0 < action.give_up_at < live.deadline_us
-        give_up_at = self._clock.to_loop_time(live.deadline_us if is_final else action.give_up_at)
+        is_final = not 0 < action.give_up_at < request.deadline_us
+        give_up_at = self._clock.to_loop_time(request.deadline_us if is_final else action.give_up_at)
         write_by = self._clock.to_loop_time(action.write_by)
-        on_ended = partial(self._attempt_ended, live, number, action.server, self._clock.now())
+        on_ended = partial(self._attempt_ended, request, number, action.server, self._clock.now())
         try:
             deadlines = AttemptDeadlines(give_up_at, is_final, write_by, self._rules)
-            attempt = self._endpoints.send(action.server, live.call, deadlines, on_ended)
+            attempt = self._endpoints.send(action.server, request.call, deadlines, on_ended)
         except Exception:
-            on_ended(Outcome.CONNECTION_LOST, None)  # a defect: the request may have been executed
+            on_ended(Outcome.CONNECTION_LOST, None)  # a defect; the request may have been executed
             raise
-        if number in live.attempts:
-            live.attempts[number] = attempt
+        if number in request.attempts:
+            request.attempts[number] = attempt
             attempt.on_response_started = partial(
-                self._response_started, live, number, action.server, self._clock.now()
+                self._response_started, request, number, action.server, self._clock.now()
             )
 
-    def _not_sent(self, action: SendAttempt, number: int) -> None:
+    def _report_unsent(self, action: SendAttempt, number: int) -> None:
         self._driver.handle(AttemptEnded(action.request, number, action.server, Outcome.UNSENT, 0, True))
 
     def _response_started(
-        self, live: LiveRequest, number: int, server: str, sent_at_us: int, response: Response
+        self, request: LiveRequest, number: int, server: str, sent_at_us: int, response: Response
     ) -> None:
-        """A streamed response has begun: its time is that of its first bytes, however long the rest takes."""
-        if live.answered:  # by another attempt, or its client has disconnected
+        """Answer with a streamed response; the attempt's elapsed time is measured to its first bytes only."""
+        if request.answered:  # another attempt answered, or the client disconnected
             if response.stream is not None:
                 response.stream.abort()
             return
         elapsed_us = self._clock.now() - sent_at_us
-        live.stream_start = StreamStart(number, elapsed_us)
+        request.stream_start = StreamStart(number, elapsed_us)
         self._answer(
-            live,
+            request,
             FinalAnswer(Verdict.SERVED, response.body, response.content_headers, stream=response.stream),
         )
-        self._driver.handle(ResponseStarted(live.number, number, server, elapsed_us))
+        self._driver.handle(ResponseStarted(request.number, number, server, elapsed_us))
 
     def _attempt_ended(
         self,
-        live: LiveRequest,
+        request: LiveRequest,
         number: int,
         server: str,
         sent_at_us: int,
         outcome: Outcome,
         response: Response | None,
     ) -> None:
-        if number not in live.attempts:
+        if number not in request.attempts:
             return
-        del live.attempts[number]
+        del request.attempts[number]
         if outcome is Outcome.DELIVERED and response is not None:
-            self._answer(live, FinalAnswer(Verdict.SERVED, response.body, response.content_headers))
+            self._answer(request, FinalAnswer(Verdict.SERVED, response.body, response.content_headers))
         elapsed_us = self._clock.now() - sent_at_us
-        if live.stream_start is not None and live.stream_start.attempt == number:
-            elapsed_us = live.stream_start.elapsed_us
+        if request.stream_start is not None and request.stream_start.attempt == number:
+            elapsed_us = request.stream_start.elapsed_us
         report = response.report if response is not None else None
         if self._observer is not None:
             self._observer.attempt_ended(server, outcome is Outcome.DELIVERED, elapsed_us, report)
-        self._forget_if_over(live)
+        self._remove_if_finished(request)
         self._driver.handle(
-            AttemptEnded(live.number, number, server, outcome, elapsed_us, live.answered, report)
+            AttemptEnded(request.number, number, server, outcome, elapsed_us, request.answered, report)
         )
 
     def _cancel(self, action: CancelAttempt) -> None:
-        live = self.live.get(action.request)
-        if live is None:
+        request = self.live.get(action.request)
+        if request is None:
             return
-        attempt = live.attempts.get(action.attempt)
+        attempt = request.attempts.get(action.attempt)
         if attempt is not None:
-            attempt.cancel(final=live.answered)
+            attempt.cancel(final=request.answered)
--- a/topazbank/core/timers.py
+++ b/topazbank/core/timers.py
@@ -1,7 +1,7 @@
-"""Many timers on one timer of the event loop.
+"""A timer heap that multiplexes many timers onto one timer of the event loop.
 
-Every request needs a few, and nearly all are cancelled.  Each is a tuple on a heap here; the event loop has one timer,
-for the earliest.
+Every request needs a few timers, and nearly all of them are cancelled. Each is a tuple on a heap, and the event loop
+holds a single timer for the earliest one.
 """
 
 from __future__ import annotations
@@ -15,11 +15,12 @@
 
 log = logging.getLogger(__name__)
 
-_CANCELLED_MIN: Final = 256  # cancelled timers that may stay on the heap anyway; of more, half the heap
+# The heap is compacted once cancelled timers exceed this number and half of the heap.
+_COMPACTION_CANCELLED_MIN: Final = 256
 
 
 class Timer:
-    """One call to be made, like asyncio.TimerHandle."""
+    """A scheduled callback, like asyncio.TimerHandle."""
 
     __slots__ = ("_argument", "_callback", "_timers", "_when")
 
@@ -30,21 +31,21 @@
         self._argument = argument
 
     def when(self) -> float:
-        """When it is due, seconds on the event loop's clock."""
+        """When the timer is due, in seconds on the event loop's clock."""
         return self._when
 
     def cancelled(self) -> bool:
-        """Whether it will make no call, or has made it."""
+        """Whether the timer was cancelled or has fired."""
         return self._callback is None
 
     def cancel(self) -> None:
-        """Make no call."""
+        """Cancel the callback; no effect if the timer was cancelled or has fired."""
         if self._callback is not None:
             self._callback = self._argument = None
             self._timers.timer_cancelled()
 
     def fire(self) -> None:
-        """Make the call, unless it was cancelled or made before."""
+        """Run the callback, unless the timer was cancelled or has fired."""
         callback, argument = self._callback, self._argument
         self._callback = self._argument = None
         if callback is not None:
@@ -52,40 +53,40 @@
 
 
 class Timers:
-    """The timers of one event loop; may be made before it runs, used while it does."""
+    """The timers of one event loop; it may be created before the loop runs, but is used only while it runs."""
 
     def __init__(self) -> None:
-        # Time, order of creation, timer: the live ones, and as many cancelled ones or _CANCELLED_MIN.
+        # Entries are due time, creation number and timer. Cancelled timers stay until they are due or compacted.
         self._heap: list[tuple[float, int, Timer]] = []
-        self._created = 0
-        self._cancelled = 0  # of those on the heap
+        self._created_count = 0
+        self._cancelled_count = 0  # the cancelled timers on the heap
         self._loop_timer_at = math.inf
         self._loop_timer: asyncio.TimerHandle | None = None
 
     def __len__(self) -> int:
-        """How many are on the heap, cancelled ones too."""
+        """The number of timers on the heap, including cancelled ones."""
         return len(self._heap)
 
     def call_at(self, when: float, callback: Callable[[Any], object], argument: Any = None) -> Timer:
-        """Call `callback(argument)` at a time of the running loop's clock, seconds."""
+        """Call `callback(argument)` at `when`, in seconds on the running loop's clock."""
         timer = Timer(self, when, callback, argument)
-        self._created += 1
-        heapq.heappush(self._heap, (when, self._created, timer))
+        self._created_count += 1
+        heapq.heappush(self._heap, (when, self._created_count, timer))
         if when < self._loop_timer_at:
             self._set_loop_timer(when)
         return timer
 
     def call_after(self, seconds: float, callback: Callable[[Any], object], argument: Any = None) -> Timer:
-        """Call `callback(argument)` after a time."""
+        """Call `callback(argument)` after a delay."""
         return self.call_at(asyncio.get_running_loop().time() + seconds, callback, argument)
 
     def timer_cancelled(self) -> None:
-        """Note that a timer was cancelled (called by it); it is dropped later."""
-        self._cancelled += 1
-        if self._cancelled > _CANCELLED_MIN and 2 * self._cancelled > len(self._heap):
+        """Record that a timer was cancelled, which the timer reports; it is removed from the heap later."""
+        self._cancelled_count += 1
+        if self._cancelled_count > _COMPACTION_CANCELLED_MIN and 2 * self._cancelled_count > len(self._heap):
             self._heap = [entry for entry in self._heap if not entry[2].cancelled()]
             heapq.heapify(self._heap)
-            self._cancelled = 0
+            self._cancelled_count = 0
 
     def _set_loop_timer(self, when: float) -> None:
         if self._loop_timer is not None:
@@ -94,17 +95,17 @@
         self._loop_timer = asyncio.get_running_loop().call_at(when, self._fire)
 
     def _fire(self) -> None:
-        """Make all calls that are due; one that fails keeps no other from being made."""
+        """Run all callbacks that are due; an exception in one does not stop the others."""
         self._loop_timer, self._loop_timer_at = None, math.inf
         now = asyncio.get_running_loop().time()
         while self._heap and (self._heap[0][0] <= now or self._heap[0][2].cancelled()):
             timer = heapq.heappop(self._heap)[2]
             if timer.cancelled():
-                self._cancelled -= 1
+                self._cancelled_count -= 1
                 continue
             try:
                 timer.fire()
             except Exception:
-                log.exception("a timer's call failed")
+                log.exception("timer callback failed")
         if self._heap and self._heap[0][0] < self._loop_timer_at:
             self._set_loop_timer(self._heap[0][0])
--- a/topazbank/core/upstream_client.py
+++ b/topazbank/core/upstream_client.py
@@ -1,4 +1,4 @@
-"""What a protocol's client of servers must offer, and the bound on the connections of all of them together."""
+"""The interface of a protocol's upstream client, and the connection limit shared by all upstream clients."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class UpstreamClient(Protocol):
-    """All connections to servers of one protocol."""
+    """Manages all connections to the servers of one protocol."""
 
     def add_endpoint(self, endpoint: Endpoint) -> None:
-        """Make the connection pool of a server that was added."""
+        """Create the connection pool of a server that was added."""
 
     def endpoint_restarted(self, endpoint: Endpoint) -> None:
-        """Use no connection opened so far again: its process or address is another."""
+        """Stop reusing the open connections to a server whose process or address has changed."""
 
     def drain_endpoint(self, endpoint: Endpoint) -> None:
-        """End what is not written and close what is idle: it accepts nothing new."""
+        """End unwritten attempts and close idle connections; the server accepts no new requests."""
 
     def remove_endpoint(self, endpoint: Endpoint) -> None:
-        """Forget a server that was removed; attempts in flight hold the endpoint until they end."""
+        """Drop a server that was removed; attempts in flight keep a reference to the endpoint until they end."""
 
     def close_idle(self, endpoint: Endpoint) -> None:
         """Close the idle connections to a server."""
@@ -30,25 +30,25 @@
     def send(
         self, endpoint: Endpoint, call: Call, deadlines: AttemptDeadlines, on_ended: OutcomeCallback
     ) -> Attempt:
-        """Start an attempt; `on_ended` is called exactly once, maybe before this returns."""
+        """Start an attempt; `on_ended` is called exactly once, possibly before this returns."""
 
     def check_health(self, endpoint: Endpoint, give_up_at: float, on_ended: OutcomeCallback) -> Attempt:
-        """Start a health check that ends at `give_up_at`, seconds on the event loop's clock, at the latest."""
+        """Start a health check that ends no later than `give_up_at`, in seconds on the event loop's clock."""
 
     def max_idle_connections(self) -> int:
-        """How many idle connections the server with the most of them has."""
+        """The number of idle connections to the server that has the most of them."""
 
     def close_oldest_idle(self) -> None:
-        """Close the longest idle connection to that server."""
+        """Close the longest-idle connection to the server that has the most idle connections."""
 
     async def close(self) -> None:
-        """Close what is idle and wait for connects in progress to end."""
+        """Close the idle connections and wait for connects in progress to end."""
 
 
 class ConnectionLimit:
-    """A bound on open connections to servers and connects in progress, of all protocols together.
+    """A limit on open connections and connects in progress to servers, shared by all protocols.
 
-    Guards this process against running out of file descriptors.
+    It keeps this process from running out of file descriptors.
     """
 
     def __init__(self, max_open: int) -> None:
@@ -57,22 +57,22 @@
         self.clients: list[UpstreamClient] = []
 
     def is_full(self) -> bool:
-        """Whether no connection may be opened unless one is closed."""
+        """Whether a connection must be closed before another can be opened."""
         return self.open_count >= self.max_open
 
     def acquire(self) -> bool:
-        """Reserve one more connection, perhaps by closing an idle one elsewhere; return whether that was possible."""
+        """Reserve a connection, closing an idle one if the limit is reached; return whether this succeeded."""
         if self.is_full() and not self._close_idle():
             return False
         self.open_count += 1
         return True
 
     def release(self) -> None:
-        """Give one connection back."""
+        """Release one reserved connection."""
         self.open_count -= 1
 
     def _close_idle(self) -> bool:
-        client = max(self.clients, key=lambda each: each.max_idle_connections())
+        client = max(self.clients, key=lambda candidate: candidate.max_idle_connections())
         if not client.max_idle_connections():
             return False
         client.close_oldest_idle()
