--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -220,7 +220,7 @@
     async def scenario() -> None:
         async with world() as w:
             actions = set(get_args(Action))
-            assert len(actions) > 5 and actions <= set(w.sidecar._driver._carry_out)
+            assert len(actions) > 5 and actions <= set(w.sidecar._driver._action_handlers)
 
     play(scenario())
 
--- a/topazbank/core/driver.py
+++ b/topazbank/core/driver.py
@@ -39,7 +39,7 @@
         self._trace = trace
         self._events: deque[Event] = deque()  # not yet handled
         self._handling = False
-        self._carry_out: dict[type[Any], Callable[[Any], None]] = {}
+        self._action_handlers: dict[type[Any], Callable[[Any], None]] = {}
         # Called with the request number, if any, when handling an event or action raises an exception.
         self.on_error: Callable[[int | None], None] = lambda request: None
         self.register(SetTimer, self._set_timer)
@@ -49,7 +49,7 @@
 
     def register(self, action_type: type[Any], handler: Callable[[Any], None]) -> None:
         """Register the handler for actions of a type."""
-        self._carry_out[action_type] = handler
+        self._action_handlers[action_type] = handler
 
     def handle(self, event: Event) -> None:
         """Handle an event, then the events that its actions cause, in order."""
@@ -74,7 +74,7 @@
             self._trace.record(self._clock.now(), event, actions)
         for action in actions:
             try:
-                self._carry_out[type(action)](action)
+                self._action_handlers[type(action)](action)
             except Exception:
                 log.exception("failed to execute action %.200r", action)
                 self.on_error(getattr(action, "request", None))
