--- a/tests/test_gossip_transport.py
+++ b/tests/test_gossip_transport.py
@@ -116,7 +116,7 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as bound:
         bound.bind(("127.0.0.1", 0))
         asyncio.run(run(bound.getsockname()))
-    assert "no messages between sidecars" in caplog.text
+    assert "cannot open UDP socket" in caplog.text
 
 
 @pytest.mark.parametrize(
--- a/topazbank/core/endpoint_source.py
+++ b/topazbank/core/endpoint_source.py
@@ -1,4 +1,4 @@
-"""The endpoint list as sources give it, and what a source must offer."""
+"""The types of the endpoint list, and the interface of its sources."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 @dataclass(slots=True)
 class DiscoveredServer:
-    """An entry of the endpoint list, with the address at which this sidecar reaches the server."""
+    """An entry of the endpoint list, with the address where this sidecar reaches the server."""
 
     server: ServerDescription
     address: Address | None
-    protocol: str | None = None  # None where the entry does not say
+    protocol: str | None = None  # None: the entry does not specify one
 
 
 def as_removed(entry: DiscoveredServer) -> DiscoveredServer:
-    """The entry of the same server, removed."""
+    """Return an entry that marks the same server as removed."""
     server = entry.server
     removed = ServerDescription(
         server.name, server.zone, server.kind, server.cell, ServerState.REMOVED, server.nominal_capacity
@@ -31,53 +31,53 @@
 
 @dataclass(slots=True)
 class EndpointList:
-    """A snapshot of the endpoint list, or changes of it."""
+    """A snapshot of the endpoint list, or changes to it."""
 
     version: int
-    complete: bool  # whether it is a snapshot: a server that is missing has been removed
+    complete: bool  # whether this is a snapshot; servers missing from a snapshot have been removed
     entries: list[DiscoveredServer]
 
 
 @dataclass(frozen=True, slots=True)
 class SourceStatus:
-    """How well a source knows the endpoint list."""
+    """How current a source's knowledge of the endpoint list is."""
 
     source: str
-    is_connected: bool  # whether it is in contact with whoever has the list
+    is_connected: bool  # whether the source can reach the service that holds the list
     last_contact_at: float | None  # seconds on the event loop's clock; None: never
 
 
 class EndpointSource(Protocol):
-    """A source of the endpoint list; it passes each list, or None for a failed call, to whoever made it."""
+    """A source of the endpoint list; it passes each list, or None after a failed call, to its creator's callback."""
 
     def watch(self, wanted: bool) -> None:
-        """Begin to watch for changes, or end that; calls in progress go on."""
+        """Start or stop watching for changes; calls in progress continue."""
 
     def fetch(self) -> None:
-        """Ask once for a snapshot."""
+        """Request one snapshot."""
 
     def move(self, address: Address) -> None:
-        """Go on at another address, with a snapshot first."""
+        """Continue at another address, beginning with a snapshot."""
 
     def stop(self) -> None:
-        """End all calls."""
+        """Stop all calls."""
 
     def status(self) -> tuple[SourceStatus, ...]:
-        """The status of each source that it is made of."""
+        """Return the status of each source that this one combines."""
 
     def source_of(self, name: str) -> str:
-        """The name of the source that a server's entry is from."""
+        """Return the name of the source that provided a server's entry."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProtocolDefaults:
-    """The protocol of a server: that of its entry, else its cell's, else the default."""
+    """Determines a server's protocol: from its entry, else from its cell, else the default."""
 
     default: str = HTTP
     by_cell: Mapping[int, str] = field(default_factory=dict)
 
     def protocol_of(self, entry: DiscoveredServer) -> str:
-        """The protocol of an entry's server."""
+        """Return the protocol of an entry's server."""
         if entry.protocol is not None:
             return entry.protocol
         return self.by_cell.get(entry.server.cell, self.default)
--- a/topazbank/core/endpoint_table.py
+++ b/topazbank/core/endpoint_table.py
@@ -1,4 +1,4 @@
-"""All endpoints by name and by address, each with the upstream client of its protocol."""
+"""The table of endpoints, indexed by name and by address, with one upstream client per protocol."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 from topazbank.core.net import Address
 from topazbank.core.upstream_client import ConnectionLimit, UpstreamClient
 
-_NO_ADDRESS: Final[Address] = ("127.0.0.1", 0)  # of a server that accepts nothing new anyway
+_NO_ADDRESS: Final[Address] = ("127.0.0.1", 0)  # for an endpoint without an address; it gets no new requests
 
 
 class EndpointTable:
-    """The endpoints of the endpoint list as it stands."""
+    """The endpoints of the current endpoint list."""
 
     def __init__(self, connection_limit: ConnectionLimit, health_check_timeout_s: float) -> None:
         self.connection_limit = connection_limit
         self.endpoints: dict[str, Endpoint] = {}  # by name
         self._by_address: dict[Address, dict[str, Endpoint]] = {}
-        self._contested: set[Address] = set()  # addresses of several endpoints, not resolved yet
+        self._shared_addresses: set[Address] = set()  # addresses with several endpoints, still to be resolved
         self._clients: dict[str, UpstreamClient] = {}  # by protocol
         self._health_check_timeout_s = health_check_timeout_s
 
     def add_client(self, protocol: str, client: UpstreamClient) -> None:
-        """Use `client` for endpoints of a protocol."""
+        """Use `client` for all endpoints with this protocol."""
         self._clients[protocol] = client
         self.connection_limit.clients.append(client)
 
     def supports(self, protocol: str) -> bool:
-        """Whether there is a client for a protocol."""
+        """Return whether a protocol has an upstream client."""
         return protocol in self._clients
 
     # -- The endpoint list ----------------------------------------------------------------------------
@@ -47,11 +47,14 @@
         state: ServerState,
         protocol: str = HTTP,
     ) -> None:
-        """Apply an entry of the endpoint list; connections to a former process or address are not used again."""
+        """Apply an entry of the endpoint list.
+
+        Connections to an earlier process or address of the endpoint are not reused.
+        """
         endpoint = self.endpoints.get(name)
         removed = state is ServerState.REMOVED
         if endpoint is not None and (removed or endpoint.protocol != protocol):
-            self._remove(endpoint)  # another protocol is another process
+            self._remove(endpoint)  # a protocol change means that another process is listening
             endpoint = None
         if removed:
             return
@@ -72,7 +75,7 @@
         self._add_address(endpoint)
 
     def _note_restart(self, endpoint: Endpoint, address: Address, started_at: int | None) -> None:
-        """Begin a generation of connections where its process or address has changed."""
+        """Start a new generation of connections if the endpoint's process or address has changed."""
         if (endpoint.address, endpoint.started_at) == (address, started_at):
             return
         self._remove_address(endpoint)
@@ -95,31 +98,33 @@
     def _add_address(self, endpoint: Endpoint) -> None:
         if endpoint.address == _NO_ADDRESS:
             return
-        sharing = self._by_address.setdefault(endpoint.address, {})
-        sharing[endpoint.name] = endpoint
-        if len(sharing) > 1:
-            self._contested.add(endpoint.address)
+        same_address = self._by_address.setdefault(endpoint.address, {})
+        same_address[endpoint.name] = endpoint
+        if len(same_address) > 1:
+            self._shared_addresses.add(endpoint.address)
 
     def _remove_address(self, endpoint: Endpoint) -> None:
-        sharing = self._by_address.get(endpoint.address, {})
-        sharing.pop(endpoint.name, None)
-        if not sharing:
+        same_address = self._by_address.get(endpoint.address, {})
+        same_address.pop(endpoint.name, None)
+        if not same_address:
             self._by_address.pop(endpoint.address, None)
 
     def remove_superseded(self, is_pending: Callable[[str], bool] = lambda name: False) -> list[str]:
-        """Remove endpoints whose address is that of one that started later: its process listens there now.
+        """Remove the endpoints that share their address with an endpoint that started later, and return their names.
 
-        Returns their names.  An address is resolved once no update of an endpoint there `is_pending`: that one may be
-        about to leave it.
+        Only the process that started last listens at the address.  An address stays unresolved while `is_pending` is
+        true for one of its endpoints, because the pending update may move that endpoint to another address.
         """
         superseded: list[Endpoint] = []
-        for address in list(self._contested):
-            sharing = self._by_address.get(address, {})
-            if any(is_pending(name) for name in sharing):
+        for address in list(self._shared_addresses):
+            same_address = self._by_address.get(address, {})
+            if any(is_pending(name) for name in same_address):
                 continue
-            self._contested.discard(address)
-            latest = max((endpoint.started_at or 0 for endpoint in sharing.values()), default=0)
-            superseded += [endpoint for endpoint in sharing.values() if (endpoint.started_at or 0) < latest]
+            self._shared_addresses.discard(address)
+            latest_start = max((endpoint.started_at or 0 for endpoint in same_address.values()), default=0)
+            superseded += [
+                endpoint for endpoint in same_address.values() if (endpoint.started_at or 0) < latest_start
+            ]
         for endpoint in superseded:
             self._remove(endpoint)
         return [endpoint.name for endpoint in superseded]
@@ -127,26 +132,26 @@
     # -- Requests -------------------------------------------------------------------------------------
 
     def send(self, name: str, call: Call, deadlines: AttemptDeadlines, on_ended: OutcomeCallback) -> Attempt:
-        """Start an attempt; `on_ended` is called exactly once, maybe before this returns.
+        """Start an attempt; `on_ended` is called exactly once, possibly before this method returns.
 
-        Raises KeyError where no endpoint has this name.
+        Raises KeyError if no endpoint has this name.
         """
         endpoint = self.endpoints[name]
         return self._clients[endpoint.protocol].send(endpoint, call, deadlines, on_ended)
 
     def check_health(self, name: str, on_ended: OutcomeCallback) -> Attempt:
-        """Start a health check; `on_ended` is called exactly once.  Raises KeyError where no endpoint has this name."""
+        """Start a health check; `on_ended` is called exactly once.  Raises KeyError if no endpoint has this name."""
         endpoint = self.endpoints[name]
-        give_up_at = asyncio.get_running_loop().time() + self._health_check_timeout_s
-        return self._clients[endpoint.protocol].check_health(endpoint, give_up_at, on_ended)
+        deadline = asyncio.get_running_loop().time() + self._health_check_timeout_s
+        return self._clients[endpoint.protocol].check_health(endpoint, deadline, on_ended)
 
     def close_idle(self, name: str) -> None:
-        """Close the idle connections to an endpoint, if there is one of this name."""
+        """Close the idle connections to the endpoint with this name, if it exists."""
         endpoint = self.endpoints.get(name)
         if endpoint is not None:
             self._clients[endpoint.protocol].close_idle(endpoint)
 
     async def close(self) -> None:
-        """Close all idle connections and wait for connects in progress to end."""
+        """Close all idle connections and wait until the connection attempts in progress have ended."""
         for client in self._clients.values():
             await client.close()
--- a/topazbank/core/endpoint_watcher.py
+++ b/topazbank/core/endpoint_watcher.py
@@ -1,8 +1,8 @@
-"""Takes the endpoint list from its source and applies it in batches: to the connections, then to the decisions.
+"""Receives the endpoint list from its source and applies it in batches, first to the connections, then to the balancer.
 
-When to poll is decided elsewhere: by the balancer where the list is polled for (`estimation.poll_schedule`).  Where an
-agent on this machine has pushed lists, it is called here until it answers, at intervals well within the drain grace:
-what the agent has counts as received, whether it was read or not.
+If the list is polled, the balancer decides when (`estimation.poll_schedule`).  If an agent on this machine holds pushed
+lists, this module calls the agent until it answers.  The interval is well within the drain grace period, because a list
+that the agent holds counts as received even if the sidecar has not read it.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 
 log = logging.getLogger(__name__)
 
-AGENT_RETRY_S: Final = 0.2  # from a failed call to the agent until the next
-AGENT_TIMEOUT_S: Final = 0.4  # from an unanswered call until another beside it: the agent answers at once
+AGENT_RETRY_S: Final = 0.2  # between a failed call to the agent and the next call
+AGENT_TIMEOUT_S: Final = 0.4  # until an unanswered call is repeated; a working agent answers immediately
 
 OnUpdate = Callable[[EndpointList | None], None]
 
 
 class EndpointWatcher:
-    """The endpoint list as applied so far, and the source that it comes from."""
+    """Applies the endpoint list that a source provides to the endpoint table and to the balancer."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         endpoints: EndpointTable,
         on_updated: Callable[[EndpointsUpdated], None],
     ) -> None:
-        """`cached`: the list as last held; `pushed`: whether an agent has it; `on_updated` receives each batch."""
+        """`cached`: the last known list; `pushed`: whether an agent holds lists; `on_updated` receives each batch."""
         self.updates = PendingUpdates()
         self._cached = cached
         self._pushed = pushed
@@ -52,25 +52,25 @@
         self._on_updated = on_updated
         self._protocol_defaults = ProtocolDefaults()
         self._source: EndpointSource | None = None
-        self._source_count = 0  # sources so far
-        self._batch_scheduled = False  # for the event loop's next turn
+        self._source_count = 0  # number of sources set so far
+        self._batch_scheduled = False  # whether the event loop's next iteration applies a batch
         self._agent_call: asyncio.TimerHandle | None = None  # the next call to the agent
 
     @property
     def source(self) -> EndpointSource:
-        """The present source."""
+        """The current source."""
         assert self._source is not None
         return self._source
 
     @property
     def snapshot(self) -> EndpointList:
-        """The list as applied so far, with the newest version that is applied completely."""
+        """The list as applied so far, with the newest version that was applied completely."""
         return EndpointList(self.updates.applied_version, True, self.updates.applied())
 
     def set_source(
-        self, make: Callable[[OnUpdate], EndpointSource], protocol_defaults: ProtocolDefaults
+        self, make_source: Callable[[OnUpdate], EndpointSource], protocol_defaults: ProtocolDefaults
     ) -> None:
-        """Use the source that `make` returns from now on; what an earlier one still passes on is ignored."""
+        """Switch to the source that `make_source` returns; later updates from an earlier source are ignored."""
         if self._source is not None:
             self._source.stop()
         self._source_count += 1
@@ -81,10 +81,13 @@
                 self.receive(update)
 
         self._protocol_defaults = protocol_defaults
-        self._source = make(on_update)
+        self._source = make_source(on_update)
 
     def start(self, at_once: bool) -> None:
-        """Apply the cached list in one batch, as no request waits yet; `at_once`: poll for news now."""
+        """Apply the cached list in one batch, since no request is waiting yet.
+
+        `at_once`: poll for changes immediately.
+        """
         self.updates.receive(asyncio.get_running_loop().time(), self._cached)
         self._apply(UpdateKind.CACHED, self.updates.take_batch(len(self._cached.entries)))
         if self._pushed:
@@ -93,22 +96,22 @@
             self.source.watch(True)
 
     def source_replaced(self) -> None:
-        """Call a source that was set while running, until it answers."""
+        """Start watching a source that was set at run time; call it until it answers."""
         self.source.watch(True)
         self.receive(None)
 
     def move(self, address: Address) -> None:
-        """Go on at another address; if it is the present one, poll it anew."""
+        """Continue at another discovery address; if the address is unchanged, poll it again."""
         log.info("discovery is at %s:%d now", *address)
         self.source.move(address)
 
     def stop(self) -> None:
-        """End all calls."""
+        """Stop all calls."""
         self._cancel_agent_call()
         self.source.stop()
 
     def receive(self, update: EndpointList | None) -> None:
-        """Take a snapshot, changes, or None, a failed call, from the source."""
+        """Process a snapshot or changes from the source; None means that a call failed."""
         if update is not None:
             self._cancel_agent_call()
             self.updates.receive(asyncio.get_running_loop().time(), update)
@@ -119,13 +122,13 @@
             self._agent_call = asyncio.get_running_loop().call_later(AGENT_RETRY_S, self._call_agent)
 
     def source_status(self) -> tuple[SourceStatus, ...]:
-        """The status of the source, of each part where it has several."""
+        """Return the status of the source, or of each of its parts if it combines several."""
         return self.source.status()
 
-    # -- The agent that has pushed lists --------------------------------------------------------------
+    # -- The agent that holds pushed lists ------------------------------------------------------------
 
     def _call_agent(self) -> None:
-        """Call it, and again at short intervals until it answers."""
+        """Call the agent, and repeat the call at short intervals until it answers."""
         self.source.watch(True)
         self._agent_call = asyncio.get_running_loop().call_later(AGENT_TIMEOUT_S, self._call_agent)
 
@@ -137,7 +140,7 @@
     # -- Batches --------------------------------------------------------------------------------------
 
     def _apply_batch(self) -> None:
-        """Apply a batch now, and the rest in the event loop's next turns: requests go on in between."""
+        """Apply one batch now and the others in later event loop iterations, so that requests proceed in between."""
         self._apply(UpdateKind.DELTA, self.updates.take_batch())
         if self.updates.has_pending() and not self._batch_scheduled:
             self._batch_scheduled = True
@@ -148,7 +151,7 @@
         self._apply_batch()
 
     def _apply(self, kind: UpdateKind, entries: Sequence[DiscoveredServer]) -> None:
-        """Update the connections first: the balancer may send to a server as soon as it knows of it."""
+        """Update the connections first, since the balancer may send to a server as soon as it learns of it."""
         servers = [self._update_endpoint(entry) for entry in entries]
         for name in self._endpoints.remove_superseded(self.updates.is_pending):
             self.updates.mark_superseded(name)
@@ -156,20 +159,20 @@
         self._on_updated(EndpointsUpdated(kind, servers, self.updates.version))
 
     def _update_endpoint(self, entry: DiscoveredServer) -> ServerDescription:
-        """Update a server's connections; return it as the balancer is to see it.
+        """Update a server's connections and return the server's description for the balancer.
 
-        A defect there keeps no other entry from being applied.
+        An exception in one entry does not prevent the others from being applied.
         """
         server, protocol = entry.server, self._protocol_defaults.protocol_of(entry)
         if not self._endpoints.supports(protocol):
             log.warning(
-                "%s speaks %.40r, which is not supported: nothing new goes there", server.name, protocol
+                "server %s: unsupported protocol %.40r; it gets no new requests", server.name, protocol
             )
             server, protocol = _without_new_requests(server), HTTP
         try:
             self._endpoints.update(server.name, entry.address, server.started_at, server.state, protocol)
         except Exception:
-            log.exception("could not apply %.200r", entry)
+            log.exception("cannot apply endpoint list entry %.200r", entry)
         return server
 
 
