--- a/topazbank/core/checksum.py
+++ b/topazbank/core/checksum.py
@@ -1,4 +1,7 @@
-"""The checksum at the end of a datagram between sidecars: it is complete, and from one that has the key; no I/O."""
+"""The checksum at the end of each datagram between sidecars; no I/O.
+
+It shows that the datagram is complete and, if a key is configured, that its sender has the key.
+"""
 
 from __future__ import annotations
 
@@ -6,16 +9,16 @@
 import hmac
 from typing import Final
 
-CHECKSUM_BYTES: Final = 4  # BLAKE2b of all bytes before it, keyed where the operator gives a key
+CHECKSUM_BYTES: Final = 4  # BLAKE2b over all preceding bytes, keyed if the operator configures a key
 
 
 def with_checksum(body: bytes, key: bytes = b"") -> bytes:
-    """These bytes with their checksum."""
+    """Return `body` with its checksum appended."""
     return body + _checksum(body, key)
 
 
 def without_checksum(data: bytes, key: bytes = b"") -> bytes | None:
-    """The bytes before the checksum; None where they were cut or changed, or the key is another."""
+    """Return the bytes before the checksum, or None if they were truncated or modified, or if the key differs."""
     body, checksum = data[:-CHECKSUM_BYTES], data[-CHECKSUM_BYTES:]
     return body if hmac.compare_digest(_checksum(body, key), checksum) else None
 
--- a/topazbank/core/status.py
+++ b/topazbank/core/status.py
@@ -1,4 +1,4 @@
-"""The status page: the endpoint list as it stands, its sources and this process's counters, as JSON for operators."""
+"""The status page for operators, as JSON: the current endpoint list, its sources and this process's counters."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class StatusPage:
-    """Renders the page; the keys are the operators' and stay."""
+    """Renders the status page; its keys are an external interface that operators' tools read."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         self._membership = membership
 
     def render(self) -> bytes:
-        """The page as it is now."""
+        """Return the current page."""
         now = asyncio.get_running_loop().time()
         endpoints = sorted(self._endpoints.endpoints.values(), key=lambda endpoint: endpoint.name)
         page: dict[str, Any] = {
@@ -47,7 +47,7 @@
         return json.dumps(page).encode()
 
     def _endpoint_entry(self, endpoint: Endpoint, now: float) -> dict[str, Any]:
-        """An endpoint's state, address and protocol, which source they are from and how old."""
+        """Return an endpoint's state, address and protocol, with the source and the age of this data."""
         updated_at = self._watcher.updates.updated_at(endpoint.name, now)
         return {
             "name": endpoint.name,
