--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Updates applied in batches: what is pending, in which order, and that the balancer ends with the list as received."""
+"""Updates applied in batches: the pending entries, their order, and that the balancer ends with the received list."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
     return EndpointList(1, complete, list(entries))
 
 
-def test_a_snapshot_comes_in_batches_and_servers_that_leave_come_first() -> None:
+def test_a_snapshot_is_applied_in_batches_with_draining_and_removed_servers_first() -> None:
     updates = PendingUpdates()
-    updates.receive(0.0, changes(*(entry(f"n-{each}") for each in range(BATCH_SIZE)), complete=True))
+    updates.receive(0.0, changes(*(entry(f"n-{index}") for index in range(BATCH_SIZE)), complete=True))
     assert len(updates.take_batch()) == BATCH_SIZE and not updates.has_pending()
-    stay = [entry(f"m-{each}") for each in range(2 * BATCH_SIZE)]
-    updates.receive(1.0, changes(*stay, entry("n-0", DRAINING), complete=True))
+    staying = [entry(f"m-{index}") for index in range(2 * BATCH_SIZE)]
+    updates.receive(1.0, changes(*staying, entry("n-0", DRAINING), complete=True))
     first = updates.take_batch()
-    assert len(first) == BATCH_SIZE and {each.server.state for each in first} == {REMOVED, DRAINING}
-    assert sorted(names(first)) == sorted(f"n-{each}" for each in range(BATCH_SIZE))
-    assert first[0].server.cell == 3  # which the balancer needs of a removed server
+    assert len(first) == BATCH_SIZE and {item.server.state for item in first} == {REMOVED, DRAINING}
+    assert sorted(names(first)) == sorted(f"n-{index}" for index in range(BATCH_SIZE))
+    assert first[0].server.cell == 3  # the balancer needs a removed server's cell
     rest = [*updates.take_batch(), *updates.take_batch()]
-    assert names(rest) == names(stay) and not updates.has_pending()
+    assert names(rest) == names(staying) and not updates.has_pending()
 
 
 def test_an_unchanged_entry_is_not_applied_again() -> None:
@@ -55,7 +55,7 @@
 
 def test_a_later_entry_replaces_one_that_is_pending() -> None:
     updates = PendingUpdates()
-    updates.receive(0.0, changes(*(entry(f"n-{each:03}") for each in range(3 * BATCH_SIZE)), complete=True))
+    updates.receive(0.0, changes(*(entry(f"n-{index:03}") for index in range(3 * BATCH_SIZE)), complete=True))
     updates.take_batch()
     last = f"n-{3 * BATCH_SIZE - 1:03}"
     updates.receive(0.1, changes(entry(last, REMOVED)))
@@ -67,15 +67,15 @@
 
 def test_a_newer_snapshot_replaces_one_that_is_pending() -> None:
     updates = PendingUpdates()
-    updates.receive(0.0, changes(*(entry(f"n-{each}") for each in range(2 * BATCH_SIZE)), complete=True))
+    updates.receive(0.0, changes(*(entry(f"n-{index}") for index in range(2 * BATCH_SIZE)), complete=True))
     updates.take_batch()
     updates.receive(0.1, changes(entry("other"), complete=True))
     batch = updates.take_batch() + updates.take_batch()
-    assert sorted(names(batch)) == sorted(["other", *(f"n-{each}" for each in range(BATCH_SIZE))])
-    assert not updates.has_pending()  # those that had not been applied never are
+    assert sorted(names(batch)) == sorted(["other", *(f"n-{index}" for index in range(BATCH_SIZE))])
+    assert not updates.has_pending()  # entries still pending from the first snapshot are dropped
 
 
-def test_a_server_s_entry_is_as_old_as_the_last_update_of_it() -> None:
+def test_updated_at_is_the_time_of_the_last_update() -> None:
     updates = PendingUpdates()
     updates.receive(1.0, changes(entry("a"), entry("b"), complete=True))
     updates.receive(2.0, changes(entry("a")))
@@ -86,7 +86,7 @@
 _ENTRIES = st.lists(
     st.builds(
         entry,
-        st.sampled_from([f"n-{each}" for each in range(12)]),
+        st.sampled_from([f"n-{index}" for index in range(12)]),
         st.sampled_from([READY, READY, DRAINING, REMOVED]),
         st.sampled_from(["east", "west"]),
         st.sampled_from([0.0, 1.0, 2.5]),
@@ -96,8 +96,10 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), _ENTRIES, st.integers(0, 4)), max_size=8))
-def test_batches_end_where_snapshots_would(history: list[tuple[bool, list[DiscoveredServer], int]]) -> None:
-    """Whatever is received, and however many batches are applied in between, the balancer's list is the last one."""
+def test_batches_lead_to_the_same_list_as_snapshots(
+    history: list[tuple[bool, list[DiscoveredServer], int]],
+) -> None:
+    """The balancer ends with the last received list, whatever is received and however many batches run in between."""
     updates, balancer = PendingUpdates(), Balancer(settings(), 1)
     expected: dict[str, ServerDescription] = {}
     now = START
@@ -106,42 +108,43 @@
         servers = [entry.server for entry in updates.take_batch(3)]
         balancer.handle(now, EndpointsUpdated(UpdateKind.DELTA, servers))
 
-    for complete, entries, batches in history:
+    for complete, entries, batch_count in history:
         now += 1
         updates.receive(0.0, EndpointList(1, complete, entries))
         if complete:
             expected = {}
-        expected |= {each.server.name: each.server for each in entries}
-        expected = {name: each for name, each in expected.items() if each.state is not REMOVED}
-        for _ in range(batches):
+        expected |= {item.server.name: item.server for item in entries}
+        expected = {name: server for name, server in expected.items() if server.state is not REMOVED}
+        for _ in range(batch_count):
             apply_batch()
     while updates.has_pending():
         apply_batch()
     apply_batch()
     assert {
-        each.name: (each.state, each.zone, each.nominal_capacity)
-        for each in balancer.servers.by_name.values()
-    } == {each.name: (each.state, each.zone, each.nominal_capacity) for each in expected.values()}
+        server.name: (server.state, server.zone, server.nominal_capacity)
+        for server in balancer.servers.by_name.values()
+    } == {server.name: (server.state, server.zone, server.nominal_capacity) for server in expected.values()}
     ready = sorted(
-        (each for each in balancer.servers.by_name.values() if each.state is READY),
-        key=lambda each: each.order,
+        (server for server in balancer.servers.by_name.values() if server.state is READY),
+        key=lambda server: server.order,
     )
     assert balancer.servers.ready == ready
-    assert balancer.servers.ready_in_zone == [each for each in ready if each.zone == "east"]
-    assert balancer.servers.ready_capacity == pytest.approx(sum(each.nominal_capacity for each in ready))
-    assert all(each.latency_ratio > 0.0 for each in ready)
+    assert balancer.servers.ready_in_zone == [server for server in ready if server.zone == "east"]
+    assert balancer.servers.ready_capacity == pytest.approx(sum(server.nominal_capacity for server in ready))
+    assert all(server.latency_ratio > 0.0 for server in ready)
 
 
-def test_the_version_that_is_handed_over_is_one_that_is_applied_completely() -> None:
-    # A process that begins with a list whose version is newer than its entries would never receive the rest.
+def test_the_handed_over_version_is_one_that_is_applied_completely() -> None:
+    # Guards against a handover of a version newer than its entries: the new process would never receive the missing
+    # entries.
     updates = PendingUpdates()
-    updates.receive(0.0, EndpointList(7, True, [entry(f"n-{each}") for each in range(3 * BATCH_SIZE)]))
+    updates.receive(0.0, EndpointList(7, True, [entry(f"n-{index}") for index in range(3 * BATCH_SIZE)]))
     while updates.has_pending():
         assert updates.applied_version == 0
         updates.take_batch()
     assert updates.applied_version == updates.version == 7
     updates.receive(
-        1.0, EndpointList(8, False, [entry(f"n-{each}", DRAINING) for each in range(BATCH_SIZE + 1)])
+        1.0, EndpointList(8, False, [entry(f"n-{index}", DRAINING) for index in range(BATCH_SIZE + 1)])
     )
     updates.take_batch()
     assert (updates.applied_version, updates.version) == (7, 8)
