--- a/benchmarks/fleet_account.py
+++ b/benchmarks/fleet_account.py
@@ -20,7 +20,7 @@
 from statistics import median
 from typing import Any
 
-from topazbank.core.trace import MARK
+from topazbank.core.trace import LINE_PREFIX
 
 US_PER_S = 1_000_000
 # Outcomes, events and estimates by their names in the trace.
@@ -171,7 +171,7 @@
     """Yield the traced lines of a log, in order; a line that is cut short is left out."""
     with path.open(encoding="utf-8", errors="replace") as file:
         for line in file:
-            _, mark, text = line.partition(MARK + "[")
+            _, mark, text = line.partition(LINE_PREFIX + "[")
             if mark:
                 try:
                     yield json.loads("[" + text)
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -23,7 +23,7 @@
     ServerDescription,
     UpdateKind,
 )
-from topazbank.core.trace import FIELDS, MARK, Trace
+from topazbank.core.trace import FIELDS, LINE_PREFIX, Trace
 
 
 class RecordedTrace:
@@ -116,7 +116,7 @@
     recorded.play(RequestArrived(1, "amend", "acme", 987654321, 2 * S))
     recorded.call(2, 10 * MS)
     for line in recorded.text:
-        kind, _, *fields = json.loads(line.removeprefix(MARK))
+        kind, _, *fields = json.loads(line.removeprefix(LINE_PREFIX))
         assert len(fields) == len(FIELDS[kind])
         assert "987654321" not in line
 
--- a/topazbank/core/trace.py
+++ b/topazbank/core/trace.py
@@ -34,7 +34,7 @@
     ServerState,
 )
 
-MARK: Final = "@"  # starts each trace line; no log line starts with it
+LINE_PREFIX: Final = "@"  # starts each trace line; no log line starts with it
 VERSION: Final = 1
 # Fields by kind of line.  Kinds and field names are part of the trace format.
 FIELDS: Final = {
@@ -166,7 +166,7 @@
             dropped = self._line_count - self._lines_per_second
             self._current_second, self._line_count = second, 0
             if dropped > 0:
-                self._write(MARK + json.dumps(["dropped", now, dropped]) + "\n")
+                self._write(LINE_PREFIX + json.dumps(["dropped", now, dropped]) + "\n")
         self._line_count += 1
         if self._line_count <= self._lines_per_second:
-            self._write(MARK + json.dumps([kind, now, *fields], separators=(",", ":")) + "\n")
+            self._write(LINE_PREFIX + json.dumps([kind, now, *fields], separators=(",", ":")) + "\n")
