--- a/tests/msgpackrpc/simulated.py
+++ b/tests/msgpackrpc/simulated.py
@@ -347,7 +347,7 @@
             protocol_defaults=ProtocolDefaults(MSGPACK_RPC),
         )
         self.sidecar = Sidecar(config, wiring, Clock(lambda: int(loop.time() * 1e9)))
-        self.sidecar.endpoint_watcher.start(at_once=False)
+        self.sidecar.endpoint_watcher.start(poll_immediately=False)
         self._listener: Listener = self.sidecar.listener
 
     def check(self, holds: bool, violation: str) -> None:
--- a/topazbank/core/endpoint_watcher.py
+++ b/topazbank/core/endpoint_watcher.py
@@ -83,16 +83,16 @@
         self._protocol_defaults = protocol_defaults
         self._source = make_source(on_update)
 
-    def start(self, at_once: bool) -> None:
+    def start(self, poll_immediately: bool) -> None:
         """Apply the cached list in one batch, since no request is waiting yet.
 
-        `at_once`: poll for changes immediately.
+        `poll_immediately`: poll for changes without waiting for the balancer to ask for it.
         """
         self.updates.receive(asyncio.get_running_loop().time(), self._cached)
         self._apply(UpdateKind.CACHED, self.updates.take_batch(len(self._cached.entries)))
         if self._pushed:
             self._call_agent()
-        elif at_once:
+        elif poll_immediately:
             self.source.watch(True)
 
     def source_replaced(self) -> None:
--- a/topazbank/core/sidecar.py
+++ b/topazbank/core/sidecar.py
@@ -187,7 +187,7 @@
         )
 
     async def _start(self) -> None:
-        self.endpoint_watcher.start(at_once=self._config.inherited)
+        self.endpoint_watcher.start(poll_immediately=self._config.inherited)
         if self._gossip is not None:
             await self._gossip.start()
             if self._membership is not None:
