--- a/tests/planning/test_record.py
+++ b/tests/planning/test_record.py
@@ -1,4 +1,4 @@
-"""Recorded runs of a planner: shares and capacities, invalid lines, pictures."""
+"""Recorded runs of a planner: shares and capacities, invalid lines, plots."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 def planner_status(
     at_s: float, epoch: int | None = 1, /, **nodes: tuple[float, float, float]
 ) -> dict[str, Any]:
-    """A record; of each server its weight, its capacity and its responses a second."""
+    """A record; for each server its weight, capacity and responses per second."""
     lines = [
-        {"name": name, "odds": odds, "capacity": capacity, "answered_a_second": did}
-        for name, (odds, capacity, did) in nodes.items()
+        {"name": name, "odds": odds, "capacity": capacity, "answered_a_second": responses}
+        for name, (odds, capacity, responses) in nodes.items()
     ]
     return {"at_s": at_s, "epoch": epoch, "nodes": lines}
 
@@ -45,7 +45,7 @@
     assert samples["b"] == [record.ServerSample(0.0, 0.25, 0.75, 0.0)]
 
 
-def test_records_of_a_planner_that_did_not_lead_are_left_out() -> None:
+def test_records_of_a_planner_that_did_not_lead_are_skipped() -> None:
     records = record.read_records(
         json_lines(planner_status(0.0, None, a=(1.0, 1.0, 1.0)), planner_status(9.0, 4, b=(1.0, 1.0, 1.0)))
     )
@@ -65,26 +65,29 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "wanted"),
+    ("line", "message"),
     [
-        ("{", "line 2: a planner's record is wanted"),
-        ("[]", "an object with at_s and nodes"),
+        ("{", r"line 2: invalid planner record \("),
+        ("[]", "expected an object with at_s and nodes"),
         ('{"nodes": []}', "at_s"),
-        ('{"at_s": true, "nodes": []}', "at_s is a number"),
-        ('{"at_s": NaN, "nodes": []}', "at_s is a number"),
-        ('{"at_s": 1, "nodes": [{"name": 7}]}', "nodes.name is a text"),
-        ('{"at_s": 1, "nodes": [{"name": "a", "odds": 1, "capacity": "2"}]}', "capacity is a number"),
+        ('{"at_s": true, "nodes": []}', "at_s: expected a finite number, not True"),
+        ('{"at_s": NaN, "nodes": []}', "at_s: expected a finite number, not nan"),
+        ('{"at_s": 1, "nodes": [{"name": 7}]}', "nodes.name: expected a string, not 7"),
+        (
+            '{"at_s": 1, "nodes": [{"name": "a", "odds": 1, "capacity": "2"}]}',
+            "capacity: expected a finite number, not '2'",
+        ),
         ('{"at_s": 1, "nodes": [7]}', "line 2"),
-        (" " * record.LINE_CHARACTERS_MAX + "{}", "characters at most"),
+        (" " * record.LINE_CHARACTERS_MAX + "{}", f"line 2: exceeds {record.LINE_CHARACTERS_MAX} characters"),
     ],
 )
-def test_an_invalid_line_is_named(line: str, wanted: str) -> None:
-    with pytest.raises(record.InvalidRecord, match=wanted):
+def test_the_error_names_an_invalid_line(line: str, message: str) -> None:
+    with pytest.raises(record.InvalidRecord, match=message):
         record.read_records([*json_lines(planner_status(0.0, a=(1.0, 1.0, 1.0))), line])
 
 
-def test_of_a_large_fleet_the_servers_with_the_largest_errors_are_drawn(tmp_path: Path) -> None:
-    names = {f"n{each}": (1.0 + each, 1.0, 1.0) for each in range(plot.PANELS_MAX + 10)}
+def test_a_plot_of_a_large_fleet_shows_the_servers_with_the_largest_errors(tmp_path: Path) -> None:
+    names = {f"n{number}": (1.0 + number, 1.0, 1.0) for number in range(plot.PANELS_MAX + 10)}
     out = tmp_path / "run.png"
     plot.draw_run(
         record.samples_by_server(
@@ -108,7 +111,7 @@
     path = tmp_path / "run.jsonl"
     path.write_text("\n".join(json_lines(planner_status(0.0, None, a=(1.0, 1.0, 1.0)))), encoding="utf-8")
     assert command.main(["plot", str(path)]) == 1
-    assert "no record of a planner that led" in capsys.readouterr().err
+    assert "the run has no record of a leading planner" in capsys.readouterr().err
 
 
 def test_a_planner_is_recorded_and_its_run_is_drawn(
@@ -130,7 +133,7 @@
     assert asyncio.run(asyncio.wait_for(scenario(), 60.0)) == 0
     assert command.main(["plot", str(path), "--out", str(out)]) == 0
     output = capsys.readouterr().out
-    assert "2 records" in output and all(f"n-{each}" in output for each in range(4))
+    assert "2 records" in output and all(f"n-{number}" in output for number in range(4))
     assert out.read_bytes().startswith(b"\x89PNG")
 
 
--- a/topazbank/plan.py
+++ b/topazbank/plan.py
@@ -1,9 +1,9 @@
-"""Prints what a forwarder follows, or what a planner knows; records a planner's run and draws it.
+"""Shows a forwarder's plan or a planner's status; records and plots a planner's run.
 
-python -m topazbank.plan show HOST:PORT      a forwarder, whose operator file must have [admin] roster = true
+python -m topazbank.plan show HOST:PORT      a forwarder; its operator file must set [admin] roster = true
 python -m topazbank.plan status HOST:PORT    a planner
 python -m topazbank.plan record HOST:PORT --out run.jsonl [--seconds 60]
-python -m topazbank.plan plot run.jsonl --out run.png    each node's share against what it can do
+python -m topazbank.plan plot run.jsonl --out run.png    each server's planned share against its capacity
 """
 
 from __future__ import annotations
@@ -21,24 +21,24 @@
 from topazbank.roster import fetch_admin_report
 
 _TIMEOUT_S = 5.0
-_RECORD_PERIOD_S = 1.0  # a planner's own rates are averages over as much
+_RECORD_PERIOD_S = 1.0  # a planner's rates are averages over about this time
 _RECEIVE_BYTES = 65536
-_BAR_CHARACTERS = 40  # for a share of 1
+_BAR_CHARACTERS = 40  # length of the bar for a share of 1
 
 Status = dict[str, Any]  # JSON, as a forwarder's status page or a planner's status call returns it
 
 
 def plan_lines(plan: Status) -> list[str]:
-    """What a forwarder follows and why, a line each."""
+    """Format the plan that a forwarder follows, and the plans that it rejected, as lines of text."""
     age = "-" if plan["age_s"] is None else f"{plan['age_s']:.2f} s"
     lines = [
         f"forwarder {plan['forwarder']}: epoch {plan['epoch']} of planner {plan['planner'] or '-'}, "
         f"sequence {plan['sequence']}, age {age}, trust {plan['trust']:.2f}",
-        f"the newest plan: {plan['last']}",
+        f"newest plan: {plan['last']}",
     ]
     if plan["refused"]:
         rejected = ", ".join(f"{count} {reason.lower()}" for reason, count in plan["refused"].items())
-        lines.append(f"not followed so far: {rejected}")
+        lines.append(f"rejected plans: {rejected}")
     return [*lines, *_link_lines(plan), *_share_lines(plan)]
 
 
@@ -63,22 +63,21 @@
 
 
 def status_lines(status: Status) -> list[str]:
-    """What a planner knows and does, a line each; the bars are each server's share of the next requests."""
-    leads = "does not lead" if status["epoch"] is None else f"leads by epoch {status['epoch']}"
+    """Format a planner's status as lines of text; each bar shows a server's share of the next requests."""
+    leadership = "does not lead" if status["epoch"] is None else f"leads by epoch {status['epoch']}"
     lines = [
-        f"planner {status['planner']} {leads}; "
-        f"the highest epoch that was seen is {status['highest_epoch_seen']}",
-        f"{status['forwarders']} forwarders, a summary each {status['period_us'] / 1e6:.2f} s, "
-        f"{status['summaries_shed']} shed; {status['bytes_in']} bytes in, {status['bytes_out']} out",
+        f"planner {status['planner']} {leadership}; highest epoch seen: {status['highest_epoch_seen']}",
+        f"{status['forwarders']} forwarders, summary period {status['period_us'] / 1e6:.2f} s, "
+        f"{status['summaries_shed']} summaries shed; {status['bytes_in']} bytes in, {status['bytes_out']} out",
     ]
     if status["p50_us"] is not None:
         p50_ms, p99_ms = status["p50_us"] / 1e3, status["p99_us"] / 1e3
-        lines.append(f"answers took {p50_ms:.0f} ms at the median, {p99_ms:.0f} at the 99th")
+        lines.append(f"response time: p50 {p50_ms:.0f} ms, p99 {p99_ms:.0f} ms")
     return [*lines, *_server_lines(status)]
 
 
 def _server_lines(status: Status) -> list[str]:
-    header = f"{'node':<20}{'dealt':>8}{'nominal':>9}{'factor':>8}{'holds':>7}{'per s':>8}{'left by':>9}"
+    header = f"{'node':<20}{'dealt':>8}{'nominal':>9}{'factor':>8}{'holds':>7}{'per s':>8}{'ejected':>9}"
     lines = ["", header]
     total = sum(server["odds"] for server in status["nodes"]) or 1.0
     for server in status["nodes"]:
@@ -97,15 +96,15 @@
 
 
 def fetch_followed_plan(address: Address) -> Status:
-    """What the forwarder at this address follows; raise OSError or ValueError where there is no answer."""
+    """Fetch the plan that the forwarder at this address follows; raise OSError or ValueError on failure."""
     plan = fetch_admin_report(address).get("plan")
     if plan is None:
-        raise ValueError("it has no [planning] planners")
+        raise ValueError("[planning] planners: missing in the forwarder's operator file")
     return dict(plan)
 
 
 def fetch_planner_status(address: Address) -> Status:
-    """The status of the planner at this address; raise OSError or ValueError where there is no answer."""
+    """Fetch the status of the planner at this address; raise OSError or ValueError on failure."""
     import msgpack
 
     from topazbank.planning.wire import STATUS_METHOD
@@ -120,13 +119,13 @@
                 if error is not None:
                     raise ValueError(str(error))
                 return dict(result)
-    raise ValueError("the connection ended")
+    raise ValueError("connection closed before the response")
 
 
 def record_run(address: Address, out: Path, seconds: float) -> int:
     """Write a planner's status to a file every second; return the number of records.
 
-    While the planner does not answer there are no records, so that a run shows its failures as gaps.
+    A poll that fails adds no record, so the planner's failures show as gaps in the run.
     """
     records, started_s = 0, time.monotonic()
     with out.open("w", encoding="utf-8") as file:
@@ -134,7 +133,7 @@
             try:
                 status = fetch_planner_status(address)
             except (OSError, ValueError) as error:
-                print(f"at {at_s:.0f} s: nothing from {address[0]}:{address[1]}: {error}", file=sys.stderr)
+                print(f"at {at_s:.0f} s: no status from {address[0]}:{address[1]}: {error}", file=sys.stderr)
             else:
                 file.write(json.dumps({"at_s": round(at_s, 3), **status}) + "\n")
                 file.flush()
@@ -144,13 +143,13 @@
 
 
 def plot_run(source: Path, out: Path) -> list[str]:
-    """Draw a recorded run and return its table; raise ValueError or OSError where there is nothing to draw."""
+    """Plot a recorded run and return its accuracy table; raise OSError or ValueError on failure."""
     with source.open(encoding="utf-8") as file:
         samples = record.samples_by_server(record.read_records(file))
     from topazbank.planning.plot import draw_run
 
     draw_run(samples, out)
-    return [*record.accuracy_table(record.share_accuracy(samples)), "", f"drawn: {out}"]
+    return [*record.accuracy_table(record.share_accuracy(samples)), "", f"plot written to {out}"]
 
 
 def _run(arguments: argparse.Namespace) -> list[str]:
@@ -162,24 +161,26 @@
     if arguments.what == "status":
         return status_lines(fetch_planner_status(address))
     out = arguments.out or Path("planner.jsonl")
-    return [f"{record_run(address, out, arguments.seconds)} records in {out}"]
+    return [f"{record_run(address, out, arguments.seconds)} records written to {out}"]
 
 
 def main(argv: list[str] | None = None) -> int:
     """Run the command; return its exit code."""
     parser = argparse.ArgumentParser(prog="topazbank.plan", description=(__doc__ or "").split("\n")[0])
     parser.add_argument("what", choices=("show", "status", "record", "plot"))
-    parser.add_argument("source", metavar="HOST:PORT|FILE", help="who is asked, or the record to draw")
-    parser.add_argument("--out", type=Path, metavar="FILE", help="of record and plot")
-    parser.add_argument("--seconds", type=float, default=60.0, help="that record goes on")
+    parser.add_argument(
+        "source", metavar="HOST:PORT|FILE", help="the process to query, or the recorded run to plot"
+    )
+    parser.add_argument("--out", type=Path, metavar="FILE", help="output file of record and plot")
+    parser.add_argument("--seconds", type=float, default=60.0, help="duration of record")
     arguments = parser.parse_args(argv)
     try:
         lines = _run(arguments)
     except ImportError:
-        print("plots need the extra 'plots': pip install 'topazbank[plots]'", file=sys.stderr)
+        print("plot requires the extra 'plots': pip install 'topazbank[plots]'", file=sys.stderr)
         return 1
     except (OSError, ValueError) as error:
-        print(f"nothing from {arguments.source}: {error}", file=sys.stderr)
+        print(f"error: {arguments.source}: {error}", file=sys.stderr)
         return 1
     print("\n".join(lines))
     return 0
--- a/topazbank/planning/plot.py
+++ b/topazbank/planning/plot.py
@@ -1,6 +1,6 @@
-"""Draws a recorded run: each server's planned share of the requests against its share of the capacity.
+"""Plots a recorded run: each server's planned share of the requests against its share of the capacity.
 
-Needs the extra `plots` (matplotlib), which no other module imports.
+Requires the extra `plots` (matplotlib), which no other module imports.
 """
 
 from __future__ import annotations
@@ -11,26 +11,26 @@
 
 from topazbank.planning.record import ServerSample, share_accuracy
 
-PANELS_MAX = 30  # of a larger fleet the servers with the largest errors have one
+PANELS_MAX = 30  # of a larger fleet, only the servers with the largest errors are shown
 COLUMNS = 5
-GAP_S = 3.0  # between two records, from which on the line is broken; records come every second
+GAP_S = 3.0  # a longer gap between records breaks the line; records are one second apart
 
 _SERIES: tuple[tuple[str, str, Callable[[ServerSample], float]], ...] = (
-    ("can do", "black", lambda sample: sample.capacity),
-    ("dealt", "tab:blue", lambda sample: sample.planned),
-    ("answered", "tab:orange", lambda sample: sample.served),
+    ("capacity", "black", lambda sample: sample.capacity),
+    ("planned", "tab:blue", lambda sample: sample.planned),
+    ("served", "tab:orange", lambda sample: sample.served),
 )
 
 
 def draw_run(samples: Mapping[str, Sequence[ServerSample]], out: Path) -> None:
-    """Write a picture in the format of the file's suffix; raise ValueError where there is nothing to draw."""
+    """Write the plot, in the format of the file's suffix; raise ValueError if there are no samples."""
     import matplotlib
 
-    matplotlib.use("agg")  # needs no screen
+    matplotlib.use("agg")  # requires no display
     from matplotlib import pyplot
 
     if not samples:
-        raise ValueError("no record of a planner that led")
+        raise ValueError("the run has no record of a leading planner")
     shown = sorted(accuracy.server for accuracy in share_accuracy(samples)[:PANELS_MAX])
     columns = min(COLUMNS, len(shown))
     rows = -(-len(shown) // columns)
@@ -41,14 +41,14 @@
     for panel in panels[0]:
         panel.remove()
     _draw_means(figure.add_subplot(grid[0, :]), samples)
-    spaces = [panel for row in panels[1:] for panel in row]
-    for panel, server in zip(spaces, shown, strict=False):
+    server_panels = [panel for row in panels[1:] for panel in row]
+    for panel, server in zip(server_panels, shown, strict=False):
         _draw_server(panel, server, samples[server])
-    for panel in spaces[len(shown) :]:
+    for panel in server_panels[len(shown) :]:
         panel.remove()
-    spaces[0].legend(fontsize=6)
+    server_panels[0].legend(fontsize=6)
     figure.supxlabel("seconds", fontsize=8)
-    figure.supylabel("% of the fleet", fontsize=8)
+    figure.supylabel("% of all servers", fontsize=8)
     figure.savefig(out, dpi=110)
     pyplot.close(figure)
 
@@ -56,7 +56,7 @@
 def series(
     samples: Sequence[ServerSample], ratio: Callable[[ServerSample], float]
 ) -> tuple[list[float], list[float]]:
-    """Times in seconds and ratios in %, with a NaN where records are missing, so that the line is broken there."""
+    """Times in seconds and ratios in %; a NaN breaks the line where records are missing."""
     times: list[float] = []
     percentages: list[float] = []
     for sample in samples:
@@ -81,7 +81,7 @@
 
 
 def _draw_means(panel: object, samples: Mapping[str, Sequence[ServerSample]]) -> None:
-    """All servers' means: on the diagonal a server's planned share is its share of the capacity."""
+    """Plot all servers' means; on the diagonal, the planned share equals the share of the capacity."""
     from matplotlib.axes import Axes
 
     assert isinstance(panel, Axes)
@@ -94,6 +94,6 @@
         [100 * accuracy.planned for accuracy in accuracies],
         s=14,
     )
-    panel.set_xlabel("share of what all can do, %", fontsize=8)
-    panel.set_ylabel("share dealt, %", fontsize=8)
+    panel.set_xlabel("share of the capacity, %", fontsize=8)
+    panel.set_ylabel("planned share, %", fontsize=8)
     panel.tick_params(labelsize=7)
--- a/topazbank/planning/record.py
+++ b/topazbank/planning/record.py
@@ -1,7 +1,7 @@
-"""A recorded run of a planner: how much of the requests each server was to get, could do, and did; no I/O.
+"""A recorded run of a planner: each server's planned, possible and served share of the requests; no I/O.
 
-A record is one JSON object a line: the status of a planner (topazbank.planning.planner.Planner.status) with the time of
-the recording.  Shares are relative to all servers in the same record, so that runs of different loads can be compared.
+Each line is one record: a JSON object with a planner's status (topazbank.planning.planner.Planner.status) and its time.
+Shares are relative to all servers in the same record, so that runs with different loads can be compared.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-RECORDS_MAX = 100_000  # of one file: a day at one a second
+RECORDS_MAX = 100_000  # per file: more than a day at one record per second
 LINE_CHARACTERS_MAX = 1 << 20
 
 
 class InvalidRecord(ValueError):
-    """A line that is no record; the text names the line and what is wanted."""
+    """An invalid line; the message gives its number and the expected value."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerRecord:
-    """A planner's status at one time."""
+    """A planner's status at one point in time."""
 
     at_s: float
     epoch: int | None  # None: the planner did not lead
@@ -41,57 +41,57 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerSample:
-    """One server at one time, as parts of all servers then."""
+    """One server's shares, relative to all servers at the same time."""
 
-    at_s: float  # since the first record
-    planned: float  # of the next requests, by the plans
+    at_s: float  # time since the first record
+    planned: float  # share of the next requests, according to the plans
     capacity: float
-    served: float  # of the recent responses
+    served: float  # share of the recent responses
 
 
 @dataclass(frozen=True, slots=True)
 class ShareAccuracy:
-    """How far a server's planned share is from its share of the capacity, as means over a run."""
+    """The deviation of a server's planned share from its share of the capacity; means over a run."""
 
     server: str
     planned: float
     capacity: float
     served: float
-    error_max: float  # the largest distance of planned from capacity
+    error_max: float  # largest absolute difference of planned and capacity
 
     @property
     def error(self) -> float:
-        """Planned less capacity."""
+        """Planned share minus share of the capacity."""
         return self.planned - self.capacity
 
 
 def read_records(lines: Iterable[str]) -> list[PlannerRecord]:
-    """Read a recorded run; raise InvalidRecord naming the line where one is invalid or there are too many."""
+    """Read a recorded run; raise InvalidRecord if a line is invalid or there are too many records."""
     records: list[PlannerRecord] = []
     for number, line in enumerate(lines, 1):
         if not line.strip():
             continue
         if len(records) >= RECORDS_MAX:
-            raise InvalidRecord(f"line {number}: {RECORDS_MAX} records at most are wanted")
+            raise InvalidRecord(f"line {number}: exceeds {RECORDS_MAX} records")
         if len(line) > LINE_CHARACTERS_MAX:
-            raise InvalidRecord(f"line {number}: {LINE_CHARACTERS_MAX} characters at most are wanted")
+            raise InvalidRecord(f"line {number}: exceeds {LINE_CHARACTERS_MAX} characters")
         try:
             records.append(_record(json.loads(line)))
         except (ValueError, TypeError, KeyError) as error:
-            raise InvalidRecord(f"line {number}: a planner's record is wanted ({error})") from None
+            raise InvalidRecord(f"line {number}: invalid planner record ({error})") from None
     return records
 
 
 def _record(values: Any) -> PlannerRecord:
     if not isinstance(values, dict) or not isinstance(values.get("nodes"), list):
-        raise ValueError("an object with at_s and nodes")
+        raise ValueError("expected an object with at_s and nodes")
     servers = tuple(_server(node) for node in values["nodes"])
     return PlannerRecord(_number(values, "at_s"), values.get("epoch"), servers)
 
 
 def _server(values: Any) -> ServerRecord:
     if not isinstance(values["name"], str):
-        raise ValueError("nodes.name is a text")
+        raise ValueError(f"nodes.name: expected a string, not {values['name']!r:.40}")
     return ServerRecord(
         values["name"],
         _number(values, "odds"),
@@ -103,12 +103,12 @@
 def _number(values: Mapping[str, Any], name: str) -> float:
     value = values[name]
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-        raise ValueError(f"{name} is a number")
+        raise ValueError(f"{name}: expected a finite number, not {value!r:.40}")
     return float(value)
 
 
 def samples_by_server(records: Sequence[PlannerRecord]) -> dict[str, list[ServerSample]]:
-    """Each server's samples in the order of time; records of a planner that did not lead hold no shares."""
+    """Each server's samples in order of time; records of a planner that did not lead are skipped."""
     samples: dict[str, list[ServerSample]] = {}
     leading = [record for record in records if record.epoch is not None]
     for record in leading:
@@ -131,7 +131,7 @@
 
 
 def share_accuracy(samples: Mapping[str, Sequence[ServerSample]]) -> list[ShareAccuracy]:
-    """Each server's means, the largest error first."""
+    """Each server's mean shares, sorted by descending error."""
     accuracies = [
         ShareAccuracy(
             server,
@@ -146,8 +146,8 @@
 
 
 def accuracy_table(accuracies: Sequence[ShareAccuracy]) -> list[str]:
-    """A table for people, a line per server."""
-    lines = [f"{'node':<20}{'dealt':>9}{'can do':>9}{'answered':>10}{'off':>8}{'worst':>8}"]
+    """Format a table with one line per server."""
+    lines = [f"{'node':<20}{'dealt':>9}{'capacity':>9}{'answered':>10}{'off':>8}{'worst':>8}"]
     lines += [
         f"{row.server:<20}{row.planned:>9.1%}{row.capacity:>9.1%}{row.served:>10.1%}"
         f"{row.error:>+8.1%}{row.error_max:>8.1%}"
