--- a/tests/planning/test_plan.py
+++ b/tests/planning/test_plan.py
@@ -1,4 +1,4 @@
-"""Following plans: any order of any plans, and what follower may never do."""
+"""PlanFollower: verdicts, confidence and sampling, and invariants for plans in any order."""
 
 from __future__ import annotations
 
@@ -48,21 +48,20 @@
         is PlanVerdict.ACCEPTED
     )
     at = START + CONFIDENCE_RISE_US // 2
-    assert follower.confidence(at) == pytest.approx(0.5)  # no step from follower plan to the next
+    assert follower.confidence(at) == pytest.approx(0.5)  # no jump from one plan to the next
     assert follower.confidence(at + US_PER_S) == pytest.approx(1.0)
-    assert follower.confidence(at + US_PER_S + US_PER_S // 2) == pytest.approx(
-        0.5
-    )  # unrenewed, over the lease's second half
+    # Without renewal, confidence falls over the second half of the lease.
+    assert follower.confidence(at + US_PER_S + US_PER_S // 2) == pytest.approx(0.5)
     assert follower.confidence(at + 2 * US_PER_S) == 0.0 and not follower.sample(
         at + 2 * US_PER_S, random.Random(1).random
     )
-    assert follower.confidence(at - US_PER_S) == 0.0  # a clock that went back
+    assert follower.confidence(at - US_PER_S) == 0.0  # the clock moved backwards
 
 
 def test_the_ratio_of_requests_that_follow_the_plan_is_its_confidence() -> None:
     follower, chance = following(PLAN), random.Random(1).random
-    drawn = [bool(follower.sample(START + CONFIDENCE_RISE_US // 2, chance)) for _ in range(2000)]
-    assert 0.45 < sum(drawn) / len(drawn) < 0.55
+    sampled = [bool(follower.sample(START + CONFIDENCE_RISE_US // 2, chance)) for _ in range(2000)]
+    assert 0.45 < sum(sampled) / len(sampled) < 0.55
     limited = following(replace(PLAN, confidence_max=0.2))
     assert limited.confidence(START + US_PER_S) == pytest.approx(0.2)
 
@@ -72,7 +71,7 @@
     [
         ({"incarnation": "earlier"}, PlanVerdict.OTHER),
         ({"forwarder": "g"}, PlanVerdict.OTHER),
-        ({"epoch": 2, "sequence": 99}, PlanVerdict.OLD_EPOCH),  # the larger sequence and the older epoch
+        ({"epoch": 2, "sequence": 99}, PlanVerdict.OLD_EPOCH),  # a larger sequence in an older epoch
         ({"planner": "q", "sequence": 99}, PlanVerdict.OTHER_PLANNER),
         ({"sequence": 10}, PlanVerdict.OLD_SEQUENCE),  # a duplicate
         ({"sequence": 9}, PlanVerdict.OLD_SEQUENCE),  # out of order
@@ -95,7 +94,7 @@
         ({"sequence": 11, "confidence_max": 1.5}, PlanVerdict.NONSENSE),
     ],
 )
-def test_a_plan_that_must_not_be_followed_changes_nothing_and_its_verdict_is_shown(
+def test_a_rejected_plan_changes_nothing_and_the_status_shows_its_verdict(
     changes: dict[str, object], verdict: PlanVerdict
 ) -> None:
     follower = following(PLAN)
@@ -114,14 +113,14 @@
     assert follower.confidence(START + 2 * US_PER_S - 1) < 1e-3
 
 
-def test_a_higher_epoch_deposes_the_former_planner_also_where_its_plan_is_rejected() -> None:
+def test_a_higher_epoch_deposes_the_former_planner_even_if_its_plan_is_rejected() -> None:
     follower = following(PLAN)
     at = START + US_PER_S // 2
     assert (
         follower.offer(at, at, replace(PLAN, epoch=4, planner="q", shares={}), SERVERS) is PlanVerdict.TOO_FEW
     )
     assert follower.offer(at, at, replace(PLAN, sequence=11), SERVERS) is PlanVerdict.OLD_EPOCH
-    assert follower.confidence(at + US_PER_S) == 0.0  # and the former plan ends soon
+    assert follower.confidence(at + US_PER_S) == 0.0  # the former plan expires without renewal
 
 
 def test_changes_are_applied_to_the_plan_they_are_based_on() -> None:
@@ -140,15 +139,15 @@
     )
 
 
-def test_no_server_is_sampled_beyond_a_limit_however_wrong_the_weights_are() -> None:
+def test_sampling_of_a_server_is_bounded_whatever_its_weight() -> None:
     follower = following(replace(PLAN, shares={**SHARES, "n-3": ServerShare(1e6, relative_wait=0.0)}))
     chance = random.Random(1).random
-    first = [follower.sample(START + US_PER_S, chance) for _ in range(3000)]
-    drawn = [name for names in first for name in names[:1]]
-    assert drawn.count("n-3") < 0.75 * len(drawn)  # without the limit it would be all
+    samples = [follower.sample(START + US_PER_S, chance) for _ in range(3000)]
+    first_names = [name for names in samples for name in names[:1]]
+    assert first_names.count("n-3") < 0.75 * len(first_names)  # without the limit it would be all
 
 
-def test_a_server_that_left_the_own_endpoint_list_is_not_sampled() -> None:
+def test_a_server_removed_from_the_endpoint_list_is_not_sampled() -> None:
     follower, chance = following(PLAN), random.Random(1).random
     follower.update_ready_servers(SERVERS[1:])
     assert all("n-0" not in follower.sample(START + US_PER_S, chance) for _ in range(500))
@@ -162,8 +161,8 @@
             st.integers(0, 6),  # sequence
             st.one_of(st.none(), st.integers(0, 6)),  # base
             st.integers(US_PER_S // 5, 3 * US_PER_S),  # lease
-            st.integers(0, 4 * US_PER_S),  # from the request to the arrival
-            st.integers(0, US_PER_S),  # time that passes first
+            st.integers(0, 4 * US_PER_S),  # delay from the request to the arrival
+            st.integers(0, US_PER_S),  # time since the previous plan
             st.sampled_from(["life", "life", "life", "earlier"]),
             st.lists(st.sampled_from([*SERVERS, "removed"]), max_size=8, unique=True),
         ),
@@ -171,8 +170,8 @@
     ),
     st.integers(0, 2**32),
 )
-def test_plans_in_any_order_never_break_the_rules(history: list[tuple[object, ...]], seed: int) -> None:
-    """Epoch and sequence never go back; no plan is followed after its lease; only ready servers are sent to."""
+def test_plans_in_any_order_keep_the_invariants(history: list[tuple[object, ...]], seed: int) -> None:
+    """Epoch and sequence never decrease; no plan is followed after its lease; attempts go to ready servers only."""
     follower, now = PlanFollower("f", "life"), START
     balancer = Balancer(settings(), seed, follower)
     listed = [ServerDescription(name, "east") for name in SERVERS]
@@ -181,10 +180,10 @@
     ready = SERVERS[1:]
     highest = followed = (-1, -1)
     lease_ends_at = 0
-    for number, (epoch, planner, sequence, base, lease, delay, passes, incarnation, names) in enumerate(
+    for number, (epoch, planner, sequence, base, lease, delay, elapsed, incarnation, names) in enumerate(
         history
     ):
-        now += passes  # type: ignore[operator]
+        now += elapsed  # type: ignore[operator]
         shares = {name: ServerShare(1.0) for name in names}  # type: ignore[attr-defined]
         plan = Plan("f", incarnation, epoch, planner, sequence, lease, 0, shares, base)  # type: ignore[arg-type]
         requested_at = now - delay  # type: ignore[operator]
@@ -199,4 +198,4 @@
         if now >= lease_ends_at:
             assert follower.confidence(now) == 0.0 and not follower.sample(now, random.Random(seed).random)
         actions = balancer.handle(now, RequestArrived(number, "look", None, None, US_PER_S, None, False))
-        assert all(each.server in ready for each in actions if isinstance(each, SendAttempt))
+        assert all(action.server in ready for action in actions if isinstance(action, SendAttempt))
--- a/topazbank/planning/plan.py
+++ b/topazbank/planning/plan.py
@@ -1,14 +1,14 @@
 """A routing plan for one forwarder, and the rules by which a forwarder accepts one; no I/O, times in microseconds.
 
-Whoever sent a plan, the forwarder that receives it checks that
+A forwarder trusts no sender.  It accepts a plan only if
 
-- it is for this forwarder's current incarnation;
-- its epoch (a fencing token) and its sequence are newer than those followed;
-- its lease, counted from when the forwarder asked for it, is not over;
-- it is made of recent summaries, and names enough servers that are ready by the forwarder's own endpoint list;
+- it is addressed to this forwarder's current incarnation;
+- its epoch (a fencing token) and sequence are newer than those of the plan in use;
+- its lease, counted from the forwarder's request, has not expired;
+- it is computed from recent summaries, and names enough servers that are ready in the forwarder's endpoint list;
 - its figures are within bounds.
 
-A plan only distributes requests and lowers the forwarder's own limits.  It says nothing of retries, deadlines,
+A plan only distributes requests and lowers the forwarder's local limits.  It has no influence on retries, deadlines,
 rejections or drains.
 """
 
@@ -20,17 +20,17 @@
 from typing import NamedTuple
 
 US_PER_S = 1_000_000
-LEASE_US_MIN = US_PER_S // 5  # a shorter one would end before the next plan comes
-LEASE_US_MAX = 10 * US_PER_S  # a longer one would outlive its planner for long
-DATA_AGE_US_MAX = 5 * US_PER_S  # of the newest summary that the plan is made of
-SHARES_MAX = 256  # servers in a plan
-READY_SERVERS_MIN = 3  # of the plan's: fewer would take all that this forwarder sends
+LEASE_US_MIN = US_PER_S // 5  # a shorter lease would expire before the next plan arrives
+LEASE_US_MAX = 10 * US_PER_S  # a longer lease would keep the plan of a failed planner in use
+DATA_AGE_US_MAX = 5 * US_PER_S  # age of the newest summary behind the plan
+SHARES_MAX = 256  # servers per plan
+READY_SERVERS_MIN = 3  # fewer would receive all of this forwarder's requests
 WEIGHT_MAX = 1e6
 
 
 @unique
 class PlanVerdict(Enum):
-    """What became of a plan that was offered.  Names and texts are shown by the status page and don't change."""
+    """The result of checking a plan.  The status page shows the names and texts, so they must not change."""
 
     ACCEPTED = "followed"
     OTHER = "not for this forwarder, or from before its start"
@@ -46,17 +46,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerShare:
-    """What a plan says of one server."""
+    """A plan's figures for one server."""
 
-    weight: float  # of being sampled, relative to the plan's other servers; 0 or more
-    relative_wait: float = 0.0  # how long a request would take there, relative to the other servers
-    in_flight_limit: float = float(
-        "inf"
-    )  # one more request may be sent while fewer of the forwarder's own are there
-    slow_start_ratio: float = 1.0  # part of the forwarder's own slow-start limit that it may use
+    weight: float  # sampling weight, relative to the plan's other servers; 0 or more
+    relative_wait: float = 0.0  # expected response time, relative to the other servers
+    in_flight_limit: float = float("inf")  # bounds this forwarder's attempts in flight at the server
+    slow_start_ratio: float = 1.0  # usable part of the forwarder's slow-start limit
 
     def is_valid(self) -> bool:
-        """Whether all figures are within bounds; NaN is within none."""
+        """Whether all figures are within bounds; NaN never is."""
         return (
             0.0 <= self.weight <= WEIGHT_MAX
             and 0.0 <= self.relative_wait <= WEIGHT_MAX
@@ -67,24 +65,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A planner's plan; with a `base_sequence` it holds the changes to the plan of that sequence."""
+    """A planner's plan; if `base_sequence` is set, it holds only the changes to the plan of that sequence."""
 
     forwarder: str
-    incarnation: str  # of the forwarder's process
-    epoch: int  # of the planner's leadership: a fencing token
+    incarnation: str  # identifies the forwarder's process
+    epoch: int  # epoch of the planner's leadership: a fencing token
     planner: str
-    sequence: int  # grows within an epoch
+    sequence: int  # increases within an epoch
     lease_us: int
-    data_age_us: int  # of the newest summary that it is made of
-    shares: Mapping[str, ServerShare | None] = field(
-        default_factory=dict
-    )  # None: the server is no longer in it
+    data_age_us: int  # age of the newest summary behind the plan
+    shares: Mapping[str, ServerShare | None] = field(default_factory=dict)  # None: the server was removed
     base_sequence: int | None = None
-    confidence_max: float = 1.0  # of the requests that follow it, 0 to 1
+    confidence_max: float = 1.0  # the largest part of requests that may follow it, 0 to 1
 
 
 class FollowedPosition(NamedTuple):
-    """The newest epoch that a forwarder has seen, and the plan that it follows in it."""
+    """The newest epoch that a forwarder has seen, and the plan of that epoch that it follows."""
 
     epoch: int
     planner: str
@@ -92,7 +88,7 @@
 
 
 class PlanCheck(NamedTuple):
-    """The verdict on a plan, and its shares with all changes applied; they count only if it is accepted."""
+    """The verdict on a plan, and its shares with all changes applied; they are valid only if it is accepted."""
 
     verdict: PlanVerdict
     shares: dict[str, ServerShare]
@@ -106,7 +102,7 @@
     followed_shares: Mapping[str, ServerShare],
     ready: Collection[str],
 ) -> PlanCheck:
-    """Check a plan for this forwarder; `ready`: the servers that are ready by its own endpoint list."""
+    """Check a plan for this forwarder; `ready`: the servers that are ready in its endpoint list."""
     verdict = _check_order(plan, followed)
     if verdict is not None:
         return PlanCheck(verdict, {})
@@ -120,7 +116,7 @@
 
 
 def _check_order(plan: Plan, followed: FollowedPosition) -> PlanVerdict | None:
-    """Whether the plan is newer than the one followed, and applies to it; None: it is."""
+    """Return why the plan can't replace the one followed: it is older, or has another base; None: it can."""
     if plan.epoch < followed.epoch:
         return PlanVerdict.OLD_EPOCH
     if plan.epoch == followed.epoch:
--- a/topazbank/planning/planner.py
+++ b/topazbank/planning/planner.py
@@ -1,13 +1,13 @@
 """A planner's decisions: plans from summary reports; no I/O, times in microseconds.
 
-A planner has no state beyond the endpoint list and the newest summaries: one that starts knows the fleet after one
-round of them.  For a fleet of many forwarders, of which each sees little of the servers' load, a plan gives
+A planner's only state is the endpoint list and the newest summaries, so a new planner is up to date after one round of
+summaries.  In a fleet of many forwarders, each observes only a small part of the servers' load.  A plan therefore holds
 
-- *weights* by which requests are distributed, the same for all forwarders (topazbank.planning.weights);
+- *weights* for distributing requests, the same for all forwarders (topazbank.planning.weights);
 - a *subset* of the servers for each forwarder (topazbank.planning.subset);
 - *in-flight limits* and *slow-start ratios* in proportion to the requests that the forwarder receives.
 
-docs/design/planning.md compares these with others.
+docs/design/planning.md compares this design with alternatives.
 """
 
 from __future__ import annotations
@@ -21,53 +21,51 @@
 from topazbank.planning.summary import QuantileSketch, SummaryReport
 from topazbank.planning.weights import ServerWeights
 
-# Two plans may be lost before confidence falls; a longer lease would keep a plan in use that nobody renews.
+# Two plans may be lost before confidence falls; a longer lease would keep an unrenewed plan in use for too long.
 LEASE_PERIODS = 6.0
-# A part of the requests never follows a plan, so that the forwarders' own decisions stay informed.
+# Some requests never follow a plan, so that the forwarders' local statistics stay current.
 CONFIDENCE_MAX = 0.9
-FULL_CONFIDENCE_PERIOD_US = 3 * US_PER_S // 20  # with a longer period plans are late, and followed less
-IN_FLIGHT_SLACK_RATIO = (
-    3.0  # a forwarder's limit, relative to its proportional part of the requests in flight
-)
+FULL_CONFIDENCE_PERIOD_US = 3 * US_PER_S // 20  # with a longer period plans are older, so confidence is lower
+IN_FLIGHT_SLACK_RATIO = 3.0  # a forwarder's limit, relative to its proportional part of those in flight
 IN_FLIGHT_LIMIT_MIN = 2.0
-_SERVER_IN_FLIGHT_MIN = 8.0  # below this a report of a server's load sets no limit
+_SERVER_IN_FLIGHT_MIN = 8.0  # a lower reported load does not lower the limit further
 
 
 class Planner:
-    """Makes plans while it leads; a standby takes the same summaries and answers with none."""
+    """Makes plans while it leads; a standby records the same summaries and returns no plans."""
 
     def __init__(self, name: str, seed: str = "") -> None:
-        """`seed` sets the choice of subsets; all planners of a fleet share it."""
+        """`seed` determines the subsets; all planners of a fleet share it."""
         self.name = name
-        self.epoch: int | None = None  # while it leads
-        self.highest_epoch = -1  # that any forwarder has seen
+        self.epoch: int | None = None  # set while it leads
+        self.highest_epoch = -1  # the highest reported by a forwarder
         self.summaries_shed = 0
-        self.response_times = QuantileSketch()  # of all forwarders, since the last `status`
+        self.response_times = QuantileSketch()  # reported by all forwarders since the last `status`
         self._seed = seed
         self._forwarders = ForwarderTable()
         self._weights = ServerWeights()
         self._rate_limit = SummaryRateLimit()
-        self._summary_at_us = -1  # when the newest summary came
+        self._summary_received_at_us = -1  # arrival of the newest summary
 
     # -- Leadership ------------------------------------------------------------------------------------
 
     def start_leading(self, epoch: int) -> None:
-        """Make plans from now on, under this epoch."""
+        """Start to make plans, under this epoch."""
         self.epoch = epoch
 
     def stop_leading(self) -> None:
-        """Make no plans from now on."""
+        """Stop making plans."""
         self.epoch = None
 
     # -- Input -----------------------------------------------------------------------------------------
 
     def update_servers(self, now: int, servers: Mapping[str, PlannedServer]) -> None:
-        """Take the servers that are ready, by the endpoint list."""
+        """Replace the servers by those that are ready in the endpoint list."""
         self._weights.update_servers(now, servers)
         self._update_weights(now)
 
     def handle_summary(self, now: int, summary: SummaryReport) -> Plan | None:
-        """Take a summary; return the forwarder's plan, or None where this planner has none to give."""
+        """Record a summary; return the forwarder's plan, or None if this planner does not lead or sheds the summary."""
         self._observe_epoch(summary.epoch)
         forwarder = self._admit(now, summary)
         if forwarder is None:
@@ -78,20 +76,20 @@
         is_duplicate = (summary.incarnation, summary.number) == (forwarder.incarnation, forwarder.number)
         if not is_duplicate:
             self._record(now, summary, forwarder)
-        return self._plan(now, summary, forwarder)
+        return self._make_plan(now, summary, forwarder)
 
     def summary_period_us(self) -> int:
-        """How long forwarders shall wait between two summaries."""
+        """The period at which forwarders should send summaries."""
         return self._forwarders.summary_period_us()
 
     def _observe_epoch(self, epoch: int) -> None:
-        """A higher epoch than this planner's shows that another was elected later: stop leading."""
+        """Stop leading on an epoch higher than this planner's: another planner was elected later."""
         self.highest_epoch = max(self.highest_epoch, epoch)
         if self.epoch is not None and self.highest_epoch > self.epoch:
             self.stop_leading()
 
     def _admit(self, now: int, summary: SummaryReport) -> ForwarderState | None:
-        """The state of the summary's forwarder; None where the summary is shed."""
+        """The state of the summary's forwarder; None if the summary is shed."""
         if not self._rate_limit.admit(now):
             return None
         self._forget_ejections(self._forwarders.expire(now))
@@ -104,7 +102,7 @@
     def _record(self, now: int, summary: SummaryReport, forwarder: ForwarderState) -> None:
         if not forwarder.update(now, summary):
             return
-        self._summary_at_us = now
+        self._summary_received_at_us = now
         self.response_times.merge(summary.response_times)
         servers = self._weights.servers
         for name in forwarder.servers - summary.servers.keys():
@@ -120,7 +118,7 @@
 
     # -- Plans -----------------------------------------------------------------------------------------
 
-    def _plan(self, now: int, summary: SummaryReport, forwarder: ForwarderState) -> Plan | None:
+    def _make_plan(self, now: int, summary: SummaryReport, forwarder: ForwarderState) -> Plan | None:
         if self.epoch is None or not self._weights.servers:
             return None
         if self._weights.is_due(now):
@@ -130,8 +128,8 @@
         base_sequence = None
         if follows_this_planner and summary.sequence == forwarder.sequence:
             base_sequence = forwarder.sequence
-        changes = _changes(forwarder.shares, shares) if base_sequence is not None else dict(shares)
-        # Above the sequence that is followed too: a former process of this planner may have sent that.
+        changes = _changed_shares(forwarder.shares, shares) if base_sequence is not None else dict(shares)
+        # The sequence must also exceed the followed one, which an earlier process of this planner may have sent.
         followed_sequence = summary.sequence if follows_this_planner else -1
         forwarder.sequence = max(forwarder.sequence, followed_sequence) + 1
         forwarder.shares = shares
@@ -144,7 +142,7 @@
             self.name,
             forwarder.sequence,
             forwarder.lease_us,
-            max(now - self._summary_at_us, 0),
+            max(now - self._summary_received_at_us, 0),
             changes,
             base_sequence,
             min(CONFIDENCE_MAX, FULL_CONFIDENCE_PERIOD_US / period_us),
@@ -160,7 +158,8 @@
     def _share(self, name: str, stats: ServerStats, request_ratio: float) -> ServerShare:
         in_flight = max(stats.in_flight, _SERVER_IN_FLIGHT_MIN)
         in_flight_limit = max(IN_FLIGHT_LIMIT_MIN, IN_FLIGHT_SLACK_RATIO * request_ratio * in_flight)
-        # The forwarder's own slow start follows its requests already; all send less to an overloaded cold server.
+        # A forwarder's slow-start limit is already in proportion to its requests.  A ratio below 1 makes all forwarders
+        # send less to an overloaded cold server.
         slow_start_ratio = 1.0
         if stats.warmup_ratio < 1.0:
             slow_start_ratio = min(1.0, stats.concurrency / max(stats.in_flight, 1.0))
@@ -177,7 +176,7 @@
     # -- Status ----------------------------------------------------------------------------------------
 
     def status(self, now: int) -> dict[str, object]:
-        """What this planner knows and does, as plain data; the keys are those of recorded runs and don't change."""
+        """This planner's status as plain data; recorded runs use the same keys, so they must not change."""
         times, self.response_times = self.response_times, QuantileSketch()
         return {
             "planner": self.name,
@@ -207,10 +206,10 @@
         }
 
 
-def _changes(
+def _changed_shares(
     former: Mapping[str, ServerShare], current: Mapping[str, ServerShare]
 ) -> dict[str, ServerShare | None]:
-    """The shares that differ; None for a server that is no longer in the plan."""
+    """The shares that differ; None for a server that was removed from the plan."""
     changes: dict[str, ServerShare | None] = {
         name: share for name, share in current.items() if former.get(name) != share
     }
--- a/topazbank/planning/planner_server.py
+++ b/topazbank/planning/planner_server.py
@@ -1,4 +1,4 @@
-"""A planner's listener: forwarders call it by MessagePack-RPC, service discovery gives it the servers."""
+"""A planner's MessagePack-RPC server for forwarders; service discovery provides its endpoint list."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 log = logging.getLogger(__name__)
 
-CONNECTIONS_MAX = 6_000  # further ones are closed at once
+CONNECTIONS_MAX = 6_000  # connections beyond this limit are closed at once
 IDLE_TIMEOUT_S = 60.0
 LEADERSHIP_CHECK_S = 0.1
 _BACKLOG = 512
@@ -38,11 +38,11 @@
 
 
 class InvalidCall(ValueError):
-    """A message that is no MessagePack-RPC request."""
+    """A message is not a MessagePack-RPC request."""
 
 
 class PlannerServer:
-    """One planner: its decisions, its listener, its leadership, and the servers of the endpoint list."""
+    """A planner with its listener, its leadership and the servers of the endpoint list."""
 
     def __init__(
         self,
@@ -51,25 +51,25 @@
         rank: int | None = 0,
         clock: Clock | None = None,
     ) -> None:
-        """`rank`: for the election without an ensemble; None: an election calls `set_leadership`."""
+        """`rank`: used for election without an ensemble; None: the election calls `set_leadership`."""
         self.clock = clock or Clock()
         self.planner = Planner(name)
         self.address: Address = ("127.0.0.1", 0)
         self.connections: set[_Connection] = set()
         self.bytes_in = self.bytes_out = 0
         self._leadership = RankedLeadership(name, rank, self.clock.now()) if rank is not None else None
-        self._servers: dict[str, DiscoveredServer] = {}  # that are ready, by the endpoint list
-        self._source = source_factory(self._on_list)
+        self._servers: dict[str, DiscoveredServer] = {}  # ready servers of the endpoint list
+        self._source = source_factory(self._update_endpoints)
         self._server: asyncio.Server | None = None
         self._check_timer: asyncio.TimerHandle | None = None
 
     async def start(self, address: Address = ("127.0.0.1", 0)) -> None:
-        """Listen and begin to follow the endpoint list; raise OSError where the address can't be listened at."""
+        """Start to listen and to watch the endpoint list; raise OSError if binding the address fails."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _Connection(self), *address, backlog=_BACKLOG)
         self.address = self._server.sockets[0].getsockname()[:2]
         self._source.watch(True)
-        self._check()
+        self._run_periodic_checks()
 
     def stop(self) -> None:
         """Stop listening and close all connections."""
@@ -88,10 +88,10 @@
         else:
             self.planner.start_leading(epoch)
 
-    def _check(self) -> None:
-        """Check leadership and idle connections, at intervals."""
+    def _run_periodic_checks(self) -> None:
+        """Update the leadership and close idle connections, periodically."""
         loop = asyncio.get_running_loop()
-        self._check_timer = loop.call_later(LEADERSHIP_CHECK_S, self._check)
+        self._check_timer = loop.call_later(LEADERSHIP_CHECK_S, self._run_periodic_checks)
         if self._leadership is not None:
             self.set_leadership(self._leadership.current_epoch(self.clock.now(), int(time.time())))
         idle_since_s = loop.time() - IDLE_TIMEOUT_S
@@ -99,8 +99,8 @@
         for connection in idle:
             connection.abort()
 
-    def _on_list(self, endpoints: EndpointList | None) -> None:
-        """Take a list or its changes; None: the poll failed."""
+    def _update_endpoints(self, endpoints: EndpointList | None) -> None:
+        """Apply a complete endpoint list or changes to it; None: the poll failed, fetch again."""
         if endpoints is None:
             self._source.fetch()
             return
@@ -115,7 +115,7 @@
         self.planner.update_servers(self.clock.now(), planned)
 
     def handle_summary(self, document: object) -> list[Any]:
-        """Answer a summary with the plan (None of a standby) and the period in microseconds; raise InvalidDocument."""
+        """Return the plan (None if there is none) and the summary period in microseconds; raise InvalidDocument."""
         summary = decode_summary(document)
         now = self.clock.now()
         if self._leadership is not None:
@@ -124,7 +124,7 @@
         return [encode_plan(plan) if plan is not None else None, self.planner.summary_period_us()]
 
     def status(self) -> dict[str, Any]:
-        """The planner's status, and its traffic since the start."""
+        """The planner's status, and its traffic since its start."""
         return self.planner.status(self.clock.now()) | {
             "connections": len(self.connections),
             "bytes_in": self.bytes_in,
@@ -139,7 +139,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One client's connection; invalid bytes close it and no other."""
+    """One client's connection; invalid data closes only this connection."""
 
     def __init__(self, server: PlannerServer) -> None:
         self._server = server
@@ -162,7 +162,7 @@
         self._server.connections.discard(self)
 
     def pause_writing(self) -> None:
-        """asyncio's callback: the client sends calls and does not read the answers."""
+        """asyncio's callback: the client sends requests without reading the responses."""
         self.abort()
 
     def abort(self) -> None:
@@ -185,7 +185,7 @@
     def _handle_call(self, message: Any) -> None:
         message_type, message_id, method, parameters = message
         if message_type != _REQUEST or not isinstance(message_id, int):
-            raise InvalidCall("a request is wanted")
+            raise InvalidCall("expected a MessagePack-RPC request with an integer id")
         error: str | None = None
         result: Any = None
         try:
@@ -194,7 +194,7 @@
             elif method == STATUS_METHOD:
                 result = self._server.status()
             else:
-                error = f"{method!r:.40} is not known"
+                error = f"{method!r:.40}: unknown method"
         except (InvalidDocument, LookupError, TypeError) as invalid:
             error = str(invalid)
         response = msgpack.packb([_RESPONSE, message_id, error, result])
--- a/topazbank/planning/subset.py
+++ b/topazbank/planning/subset.py
@@ -1,4 +1,4 @@
-"""Subsets: the few servers that one forwarder sends to, so that it need not keep connections to all of them."""
+"""Subsetting: each forwarder sends to a few servers only, which bounds its connections."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from collections.abc import Collection
 
 SUBSET_SIZE = 24
-_SLACK_RATIO = 1.5  # up to so many times the size, all servers are taken
+_SLACK_RATIO = 1.5  # up to this multiple of SUBSET_SIZE, all servers are used
 
 
 def choose_subset(forwarder: str, servers: Collection[str], seed: str) -> list[str]:
     """Choose a forwarder's servers by rendezvous hashing.
 
-    Each server is in about as many subsets as any other, and few subsets change when one comes or goes.
+    All servers are in about the same number of subsets, and few subsets change when a server is added or removed.
     """
     if len(servers) <= _SLACK_RATIO * SUBSET_SIZE:
         return list(servers)
--- a/topazbank/planning/summary.py
+++ b/topazbank/planning/summary.py
@@ -1,4 +1,4 @@
-"""Summary reports: what a forwarder tells planners of each period, in bounded size; no I/O, times in microseconds."""
+"""Summary reports: a forwarder's bounded-size statistics of each period; no I/O, times in microseconds."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 from topazbank.cluster.member import Generations
 
-SERVERS_MAX = 64  # in a summary, the most used; about 40 bytes each
-BUCKETS_MAX = 32  # of a sketch
-_FIRST_BUCKET_US = 500.0  # its upper end
+SERVERS_MAX = 64  # per summary, those with the most attempts; about 40 bytes each
+BUCKETS_MAX = 32  # per sketch
+_FIRST_BUCKET_US = 500.0  # upper bound of the first bucket
 _BUCKET_GROWTH_RATIO = 1.5
 
 
 class QuantileSketch:
     """A histogram of times from 0.5 ms to 140 s whose buckets grow by a constant factor.
 
-    Sketches can be merged; a quantile is off by a quarter at most.  After DDSketch (Masson, Rim, Lee, VLDB 2019), with
-    a fixed range.
+    Sketches can be merged; the relative error of a quantile is at most a quarter.  Based on DDSketch (Masson, Rim, Lee,
+    VLDB 2019), with a fixed range.
     """
 
     __slots__ = ("counts",)
 
     def __init__(self, counts: Mapping[int, int] | None = None) -> None:
-        self.counts: dict[int, int] = dict(counts or {})  # by bucket
+        self.counts: dict[int, int] = dict(counts or {})  # keyed by bucket
 
     def add(self, elapsed_us: float) -> None:
-        """Count one time."""
+        """Add one time."""
         bucket = 0
         if elapsed_us > _FIRST_BUCKET_US:
             bucket = math.ceil(math.log(elapsed_us / _FIRST_BUCKET_US, _BUCKET_GROWTH_RATIO))
@@ -41,7 +41,7 @@
             self.counts[bucket] = self.counts.get(bucket, 0) + count
 
     def quantile(self, ratio: float) -> float | None:
-        """The time in microseconds below which this part of the times lie; None for an empty sketch."""
+        """The quantile for this ratio (0 to 1), in microseconds; None for an empty sketch."""
         remaining = ratio * sum(self.counts.values())
         for bucket in sorted(self.counts):
             remaining -= self.counts[bucket]
@@ -59,9 +59,9 @@
     failed: int = 0  # attempts that ended without a response, cancelled ones included
     response_time_us: int = 0  # sum over the answered attempts
     in_flight: int = 0  # at the end of the period
-    reported_in_flight: float | None = None  # by the server's newest load report, queued requests included
+    reported_in_flight: float | None = None  # from the server's newest load report, including queued requests
     reported_at_us: int = 0
-    concurrency: float = 0.0  # requests that the server runs at once, by the same report; 0: unknown
+    concurrency: float = 0.0  # requests processed in parallel, from the same report; 0: unknown
     ejected: bool = False
 
 
@@ -74,9 +74,9 @@
 
 
 class FollowedPlan(NamedTuple):
-    """The plan that a forwarder follows; a sequence of -1: none."""
+    """The plan that a forwarder follows; its sequence is -1 if there is none."""
 
-    epoch: int  # the highest seen
+    epoch: int  # highest epoch seen
     planner: str
     sequence: int
 
@@ -86,17 +86,17 @@
     """One forwarder's summary of one period."""
 
     forwarder: str
-    incarnation: str  # of the forwarder's process
-    number: int  # counts its summaries
+    incarnation: str  # identifies the forwarder's process
+    number: int  # consecutive number of the summary
     period_us: int
-    epoch: int  # the highest seen
+    epoch: int  # highest epoch seen
     planner: str
-    sequence: int  # of the plan that is followed; -1: none
+    sequence: int  # sequence of the followed plan; -1: none
     plan_age_us: int | None = None  # None: no plan is followed
     request_classes: dict[str, RequestCounts] = field(default_factory=dict)
     servers: dict[str, ServerUsage] = field(default_factory=dict)  # at most SERVERS_MAX
     response_times: QuantileSketch = field(default_factory=QuantileSketch)
-    generations: Generations | None = None  # of the cluster's members; None: the forwarder is in no cluster
+    generations: Generations | None = None  # those of the cluster's members; None: not in a cluster
 
 
 @dataclass(slots=True)
@@ -114,24 +114,24 @@
     def __init__(self) -> None:
         self._period_started_at = 0
         self._number = 0
-        self._classes: dict[str, _ClassCounter] = {}  # as many as the settings name
-        self._servers: dict[str, ServerUsage] = {}  # used in this period, or with attempts in flight
+        self._classes: dict[str, _ClassCounter] = {}  # bounded by the classes in the settings
+        self._servers: dict[str, ServerUsage] = {}  # servers used in this period or with attempts in flight
         self._response_times = QuantileSketch()
 
     def request_arrived(self, request_class: str) -> None:
-        """A client's request of this class has come."""
+        """Count a client's request of this class."""
         self._counter(request_class).arrived += 1
 
     def request_served(self, request_class: str) -> None:
-        """A request was answered by a server."""
+        """Count a request that a server answered."""
         self._counter(request_class).served += 1
 
     def request_rejected(self, request_class: str) -> None:
-        """A request was answered by the forwarder itself, with an error."""
+        """Count a request that the forwarder itself answered with an error."""
         self._counter(request_class).rejected += 1
 
     def attempt_sent(self, server: str) -> None:
-        """An attempt at a server has begun."""
+        """Count an attempt sent to a server."""
         usage = self._servers.setdefault(server, ServerUsage())
         usage.sent += 1
         usage.in_flight += 1
@@ -139,7 +139,7 @@
     def attempt_ended(
         self, now: int, server: str, answered: bool, elapsed_us: int, report: Mapping[str, float] | None
     ) -> None:
-        """An attempt has ended; `report`: the server's load report, if it sent one."""
+        """Count the end of an attempt; `report`: the server's load report, if it sent one."""
         usage = self._servers.setdefault(server, ServerUsage())
         usage.in_flight = max(usage.in_flight - 1, 0)
         if answered:
@@ -149,12 +149,12 @@
         else:
             usage.failed += 1
         if report and "inflight" in report:
-            _take_load_report(usage, now, report)
+            _record_load_report(usage, now, report)
 
     def collect(
         self, now: int, forwarder: str, incarnation: str, followed: FollowedPlan, ejected: Collection[str]
     ) -> SummaryReport:
-        """Return the summary since the last one; `ejected`: the servers that the forwarder has ejected now."""
+        """Return the summary of the current period and start the next one; `ejected`: currently ejected servers."""
         self._number += 1
         for name in ejected:
             self._servers.setdefault(name, ServerUsage())
@@ -193,7 +193,7 @@
         return self._classes.setdefault(request_class, _ClassCounter())
 
 
-def _take_load_report(usage: ServerUsage, now: int, report: Mapping[str, float]) -> None:
+def _record_load_report(usage: ServerUsage, now: int, report: Mapping[str, float]) -> None:
     in_flight = report["inflight"]
     utilization = report.get("util", 0.0)
     usage.reported_in_flight = max(in_flight + report.get("queue", 0.0), 0.0)
--- a/topazbank/planning/weights.py
+++ b/topazbank/planning/weights.py
@@ -1,11 +1,11 @@
-"""The routing weights of servers: how many of the next requests each is to get; no I/O, times in microseconds.
+"""The routing weights of servers: each one's share of the next requests; no I/O, times in microseconds.
 
-The requests expected within HORIZON_US are assigned one portion at a time to the server that would answer soonest,
-given what it has in flight and what was assigned to it before.  A server's speed is corrected by how long requests take
-there compared with what its weight and its load lead one to expect.
+The requests expected within HORIZON_US are assigned, one portion at a time, to the server with the shortest expected
+response time, given its requests in flight and the portions already assigned to it.  A server's speed is corrected by
+its observed response times, relative to those expected from its weight and load.
 
-The horizon is longer than the period of reports on purpose: with a shorter one all requests of a period would go where
-one report showed little load (herding; Mitzenmacher, How useful is old information?, 2000).
+The horizon is deliberately longer than the reporting period.  With a shorter one, all requests of a period would go to
+the servers whose last report showed little load (herding; Mitzenmacher, How useful is old information?, 2000).
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 RECALCULATION_US = US_PER_S // 20
 HORIZON_US = US_PER_S
-PORTIONS = 128  # into which the expected requests are divided
-WEIGHT_RATIO_MIN = 0.05  # of its proportional share, so that what is known of a server stays current
+PORTIONS = 128  # number of parts that the expected requests are divided into
+WEIGHT_RATIO_MIN = 0.05  # minimum, relative to a server's proportional share; keeps its statistics current
 _UNIT_TIME_US_DEFAULT = 0.1 * US_PER_S
-_TOTAL_CAPACITY_MIN = 1e-9  # against division by zero
+_TOTAL_CAPACITY_MIN = 1e-9  # avoids division by zero
 
 
 class ServerWeights:
@@ -30,12 +30,12 @@
     def __init__(self) -> None:
         self.servers: dict[str, ServerStats] = {}
         self.weights: dict[str, float] = {}
-        self.waits: dict[str, float] = {}  # of one more request, relative to one alone at weight 1
-        self._unit_time_us = _UNIT_TIME_US_DEFAULT  # of a request alone at a server of weight 1
+        self.waits: dict[str, float] = {}  # of one more request, relative to a lone request at weight 1
+        self._unit_time_us = _UNIT_TIME_US_DEFAULT  # response time of a lone request at weight 1
         self._recalculated_at_us = 0
 
     def update_servers(self, now: int, servers: Mapping[str, PlannedServer]) -> None:
-        """Take the ready servers; one whose entry has changed is another process and starts without statistics."""
+        """Replace the ready servers; a changed entry is a new process, and starts without statistics."""
         for name in self.servers.keys() - servers.keys():
             del self.servers[name]
         for name, server in servers.items():
@@ -44,22 +44,22 @@
                 self.servers[name] = ServerStats(server, decayed_at_us=now)
 
     def forget_forwarder(self, forwarder: str) -> None:
-        """A forwarder's ejections no longer count."""
+        """Remove a forwarder's ejections."""
         for stats in self.servers.values():
             stats.ejected_by.discard(forwarder)
 
     def is_due(self, now: int) -> bool:
-        """Whether the weights are old enough to be calculated again."""
+        """Whether the weights are due for recalculation."""
         return now >= self._recalculated_at_us + RECALCULATION_US
 
     def recalculate(self, now: int, requests_per_second: float, forwarders: int) -> None:
-        """Calculate all weights for this rate of requests; `forwarders`: how many may have ejected a server."""
+        """Calculate all weights for this request rate; `forwarders`: the number of known forwarders."""
         self._recalculated_at_us = now
         self._update_speeds(now)
         usable = {
             name: stats
             for name, stats in self.servers.items()
-            # Ejected by no more than half of the forwarders; their own trial requests find out when it is back.
+            # Ejected by at most half of the forwarders; their probe requests detect its recovery.
             if 2 * len(stats.ejected_by) <= max(forwarders, 1)
         }
         expected = max(requests_per_second * HORIZON_US / US_PER_S, 1.0)
@@ -73,7 +73,7 @@
         }
 
     def _assign(self, now: int, usable: Mapping[str, ServerStats], expected: float) -> dict[str, float]:
-        """Assign the expected requests, portion by portion, to the server with the shortest wait then."""
+        """Assign the expected requests, portion by portion, to the server with the shortest wait at that point."""
         in_flight = {name: stats.in_flight_now(now, self._unit_time_us) for name, stats in usable.items()}
         self.waits = {name: stats.wait(in_flight[name]) for name, stats in usable.items()}
         assigned = dict.fromkeys(usable, 0.0)
