--- a/tests/planning/test_links.py
+++ b/tests/planning/test_links.py
@@ -1,4 +1,4 @@
-"""Forwarder and planner over sockets: what passes, what is broken on the way, and what operators see."""
+"""Forwarder and planner over sockets: calls, invalid messages, connection limits and the operator commands."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from topazbank import plan as command
 from topazbank.core.net import Address
 from topazbank.operator_config import operator_config_from
-from topazbank.planning import link as links
-from topazbank.planning import planner_server as serving
+from topazbank.planning import link as link_module
+from topazbank.planning import planner_server as planner_server_module
 from topazbank.planning.link import PlannerLink
 from topazbank.planning.plan import US_PER_S, Plan
 from topazbank.planning.wire import SUMMARY_METHOD, encode_plan
@@ -25,7 +25,7 @@
 
 
 class FakePlanner:
-    """Answers each call with the bytes that `script` returns for it; None: with nothing."""
+    """Responds to each call with the bytes that `script` returns; None: no response."""
 
     def __init__(self, script: Any) -> None:
         self.script = script
@@ -43,9 +43,9 @@
                 unpacker.feed(data)
                 for message in unpacker:
                     self.calls.append(message)
-                    answer = self.script(message)
-                    if answer is not None:
-                        writer.write(answer)
+                    response = self.script(message)
+                    if response is not None:
+                        writer.write(response)
         writer.close()
 
     def stop(self) -> None:
@@ -58,10 +58,10 @@
 
 
 @contextlib.asynccontextmanager
-async def linked(script: Any) -> AsyncIterator[tuple[FakePlanner, PlannerLink, list[Plan]]]:
+async def connected_link(script: Any) -> AsyncIterator[tuple[FakePlanner, PlannerLink, list[Plan]]]:
     planner, plans = FakePlanner(script), list[Plan]()
     await planner.start()
-    link = PlannerLink(planner.address, lambda: 7, lambda asked_at, plan: plans.append(plan), 1)
+    link = PlannerLink(planner.address, lambda: 7, lambda requested_at, plan: plans.append(plan), 1)
 
     async def send_summaries() -> None:
         while True:
@@ -77,15 +77,15 @@
         planner.stop()
 
 
-def test_one_call_is_in_flight_at_a_time_and_each_response_is_taken_once() -> None:
+def test_one_call_is_in_flight_at_a_time_and_each_response_is_processed_once() -> None:
     async def scenario() -> None:
         def respond_twice(message: Any) -> bytes:
             return 2 * response_to(message, encode_plan(PLAN))
 
-        async with linked(respond_twice) as (planner, link, plans):
+        async with connected_link(respond_twice) as (planner, link, plans):
             await until(lambda: len(plans) >= 5)
             assert len(plans) == link.responses <= len(planner.calls)
-            assert all(each[2:] == [SUMMARY_METHOD, [b"summary"]] for each in planner.calls)
+            assert all(call[2:] == [SUMMARY_METHOD, [b"summary"]] for call in planner.calls)
             assert plans[0] == PLAN and link.period_us == 20_000 and not link.invalid_responses
 
     play(scenario())
@@ -99,42 +99,42 @@
         lambda message: msgpack.packb([1, message[1], "no", None]),
         lambda message: msgpack.packb([1, message[1], None, "odd"]),
         lambda message: msgpack.packb(7),
-        lambda message: b"\xc6\x7f\xff\xff\xff",  # a body of 2 GB is announced
+        lambda message: b"\xc6\x7f\xff\xff\xff",  # header of a 2 GB binary
     ],
-    ids=["junk", "cut plan", "error", "odd result", "no message", "huge"],
+    ids=["junk", "truncated plan", "error", "malformed result", "not a message", "huge"],
 )
 def test_an_invalid_response_is_counted_and_not_followed(script: Any) -> None:
     async def scenario() -> None:
-        async with linked(script) as (_, link, plans):
-            await until(lambda: link.invalid_responses >= 1 or link._backoff_s > links.BACKOFF_MIN_S)
+        async with connected_link(script) as (_, link, plans):
+            await until(lambda: link.invalid_responses >= 1 or link._backoff_s > link_module.BACKOFF_MIN_S)
             assert not plans
 
     play(scenario())
 
 
-def test_a_silent_planner_is_connected_to_with_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(links, "RESPONSE_TIMEOUT_S", 0.05)
-    monkeypatch.setattr(links, "BACKOFF_MIN_S", 0.02)
+def test_the_link_reconnects_to_a_silent_planner_with_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(link_module, "RESPONSE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(link_module, "BACKOFF_MIN_S", 0.02)
 
     async def scenario() -> None:
-        async with linked(lambda message: None) as (planner, link, plans):
+        async with connected_link(lambda message: None) as (planner, link, plans):
             link._backoff_s = 0.02
             await until(lambda: len(planner.calls) >= 4)
             assert link._backoff_s >= 0.16 and not plans
             planner.script = lambda message: response_to(message, encode_plan(PLAN))
             await until(lambda: plans)
-            assert link._backoff_s == links.BACKOFF_MIN_S
+            assert link._backoff_s == link_module.BACKOFF_MIN_S
 
     play(scenario())
 
 
 def test_an_invalid_message_closes_its_connection_and_no_other() -> None:
     async def scenario() -> None:
-        rig = FleetHarness(planners=1, sidecars=1, backends=4)
-        await rig.start()
-        server = rig.planners[0]
+        fleet = FleetHarness(planners=1, sidecars=1, backends=4)
+        await fleet.start()
+        server = fleet.planners[0]
         assert server is not None
-        await until(lambda: min(rig.plan_trusts()) > 0.05)
+        await until(lambda: min(fleet.plan_trusts()) > 0.05)
         for junk in (
             b"\xc1",
             msgpack.packb([1, 2]),
@@ -151,32 +151,35 @@
             _, _, error, result = msgpack.unpackb(await reader.read(65536))
             assert error and result is None
         writer.close()
-        before = rig.following(0)
-        assert before is not None
-        await until(lambda: (now := rig.following(0)) is not None and now.sequence > before.sequence)
-        await rig.stop()
+        previous_status = fleet.following(0)
+        assert previous_status is not None
+        await until(
+            lambda: (status := fleet.following(0)) is not None and status.sequence > previous_status.sequence
+        )
+        await fleet.stop()
 
     play(scenario())
 
 
 def test_connections_are_bounded_and_idle_ones_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        rig = FleetHarness(planners=1, sidecars=1, backends=4)
-        await rig.start()
-        server = rig.planners[0]
+        fleet = FleetHarness(planners=1, sidecars=1, backends=4)
+        await fleet.start()
+        server = fleet.planners[0]
         assert server is not None
         await until(lambda: len(server.connections) == 1)
-        monkeypatch.setattr(serving, "CONNECTIONS_MAX", 2)
-        one = await asyncio.open_connection(*server.address)
+        monkeypatch.setattr(planner_server_module, "CONNECTIONS_MAX", 2)
+        first_connection = await asyncio.open_connection(*server.address)
         await until(lambda: len(server.connections) == 2)
-        other = await asyncio.open_connection(*server.address)
-        assert await other[0].read() == b""
-        monkeypatch.setattr(serving, "IDLE_TIMEOUT_S", 0.3)
-        assert await one[0].read() == b""
-        await until(lambda: min(rig.plan_trusts()) > 0.05)  # a forwarder is never idle for so long
-        for _, writer in (one, other):
+        second_connection = await asyncio.open_connection(*server.address)
+        assert await second_connection[0].read() == b""
+        monkeypatch.setattr(planner_server_module, "IDLE_TIMEOUT_S", 0.3)
+        assert await first_connection[0].read() == b""
+        # The forwarder's connection stays open, as it is never idle that long.
+        await until(lambda: min(fleet.plan_trusts()) > 0.05)
+        for _, writer in (first_connection, second_connection):
             writer.close()
-        await rig.stop()
+        await fleet.stop()
 
     play(scenario())
 
@@ -185,19 +188,19 @@
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     async def scenario() -> None:
-        rig = FleetHarness(planners=1, sidecars=1, backends=4)
-        await rig.start()
-        await until(lambda: min(rig.plan_trusts()) > 0.2)
-        process, server = rig.processes[0], rig.planners[0]
+        fleet = FleetHarness(planners=1, sidecars=1, backends=4)
+        await fleet.start()
+        await until(lambda: min(fleet.plan_trusts()) > 0.2)
+        process, server = fleet.processes[0], fleet.planners[0]
         assert process is not None and server is not None
         addresses = {"show": process.sidecar.listener.address, "status": server.address}
-        for what, (host, port) in addresses.items():
-            code = await asyncio.to_thread(command.main, [what, f"{host}:{port}"])
-            assert code == 0
+        for subcommand, (host, port) in addresses.items():
+            exit_code = await asyncio.to_thread(command.main, [subcommand, f"{host}:{port}"])
+            assert exit_code == 0
         output = capsys.readouterr().out
         assert "forwarder f-0: epoch 1 of planner p-0" in output and "planner p-0 leads by epoch 1" in output
         assert output.count("n-3") == 2
-        await rig.stop()
+        await fleet.stop()
         assert await asyncio.to_thread(command.main, ["status", f"127.0.0.1:{addresses['status'][1]}"]) == 1
 
     play(scenario())
@@ -207,7 +210,7 @@
     ("values", "field"),
     [
         ({"planners": ["nowhere"]}, "planning.planners"),
-        ({"planners": [f"127.0.0.1:{each}" for each in range(1, 9)]}, "planning.planners"),
+        ({"planners": [f"127.0.0.1:{port}" for port in range(1, 9)]}, "planning.planners"),
         ({"listen": "x"}, "planning.listen"),
         ({"elect": "votes"}, "planning.elect"),
         ({"rank": 300}, "planning.rank"),
@@ -215,6 +218,6 @@
         ({"planner": []}, "planning.planner"),
     ],
 )
-def test_an_invalid_setting_is_named(values: dict[str, Any], field: str) -> None:
+def test_an_error_names_the_invalid_setting(values: dict[str, Any], field: str) -> None:
     with pytest.raises(ValueError, match=field):
         operator_config_from({"planning": values})
--- a/topazbank/planning/__init__.py
+++ b/topazbank/planning/__init__.py
@@ -1,1 +1,1 @@
-"""Planning: planners that see the whole fleet give each forwarder a routing plan, which it may follow or not."""
+"""Planning: planners collect summaries of the whole fleet and send each forwarder an advisory routing plan."""
--- a/topazbank/planning/follower.py
+++ b/topazbank/planning/follower.py
@@ -1,8 +1,8 @@
-"""How far a forwarder follows its plan; no I/O, times in microseconds.
+"""The plan that a forwarder follows, and its confidence in it; no I/O, times in microseconds.
 
-Confidence is the part of the requests that follow the plan; all others are decided by the balancer alone.  It rises
-over CONFIDENCE_RISE_US and falls over the second half of a lease that is not renewed.  A fleet that loses its planners
-thus becomes one of independent sidecars gradually.
+Confidence is the fraction of requests that follow the plan; the balancer alone routes all others.  It rises over
+CONFIDENCE_RISE_US and falls over the second half of a lease that is not renewed.  When a fleet loses its planners, its
+sidecars therefore return to independent routing gradually.
 """
 
 from __future__ import annotations
@@ -23,49 +23,49 @@
     check_plan,
 )
 
-CONFIDENCE_RISE_US = 2 * US_PER_S  # from none to full
-SERVER_WEIGHT_RATIO_MAX = 0.4  # of all weights: a wrong plan must not send everything to one server
-SAMPLES_PER_REQUEST = 2  # the weights know the fleet; the forwarder's own counts decide between two
+CONFIDENCE_RISE_US = 2 * US_PER_S  # from 0 to 1
+SERVER_WEIGHT_RATIO_MAX = 0.4  # of the sum: a wrong plan must not send everything to one server
+SAMPLES_PER_REQUEST = 2  # weights cover the fleet; the forwarder's own counts choose between the two
 
 
 @dataclass(frozen=True, slots=True)
 class FollowerStatus:
-    """What a forwarder follows, for the status page and its summaries."""
+    """The state of a PlanFollower, for the status page and for summaries."""
 
-    epoch: int  # the highest seen
+    epoch: int  # the highest observed
     planner: str
     sequence: int
     confidence: float
-    plan_age_us: int | None  # since the plan was requested; None: none is followed
-    last_verdict: str  # on the newest plan offered
-    rejected: Mapping[str, int]  # plans by the verdict's name
+    plan_age_us: int | None  # since the plan was requested; None: no plan is followed
+    last_verdict: str  # on the most recently received plan
+    rejected: Mapping[str, int]  # number of plans, by verdict name
 
 
 class PlanFollower:
-    """One forwarder's plan, by which it guides its balancer (topazbank.balancing.fleet.RoutingPlan)."""
+    """The plan of one forwarder, applied to its balancer (implements topazbank.balancing.fleet.RoutingPlan)."""
 
     def __init__(self, name: str, incarnation: str) -> None:
         self.name = name
         self.incarnation = incarnation
-        self.rejected: dict[str, int] = {}  # by the verdict's name
+        self.rejected: dict[str, int] = {}  # number of plans, by verdict name
         self._followed = FollowedPosition(-1, "", -1)
         self._requested_at = 0
         self._lease_us = 0  # 0: no plan is followed
-        self._confidence_max = 0.0  # of the plan
+        self._confidence_max = 0.0  # the plan's limit
         self._last_verdict = "none was offered"
         self._shares: dict[str, ServerShare] = {}  # at most SHARES_MAX
-        self._names: list[str] = []  # of servers that may be sampled
+        self._names: list[str] = []  # servers that may be sampled
         self._cumulative_weights: list[float] = []  # in the order of _names
-        self._rise_from = 0.0  # confidence when the plan was accepted
+        self._rise_start_confidence = 0.0  # confidence when the plan was accepted
         self._rise_started_at = 0
 
     # -- Plans -----------------------------------------------------------------------------------------
 
     def offer(self, now: int, requested_at: int, plan: Plan, ready: Collection[str]) -> PlanVerdict:
-        """Follow a plan, or return why not.
+        """Check a plan and follow it if it is accepted; return the verdict.
 
-        `requested_at`: when the summary that it answers was sent; `ready`: servers that are ready by the own endpoint
-        list.
+        `requested_at` is the time at which the summary that requested the plan was sent.  `ready` holds the servers
+        that are ready in this sidecar's endpoint list.
         """
         if (plan.forwarder, plan.incarnation) != (self.name, self.incarnation):
             check = PlanCheck(PlanVerdict.OTHER, {})
@@ -84,9 +84,10 @@
         return check.verdict
 
     def _observe_epoch(self, now: int, plan: Plan, verdict: PlanVerdict) -> None:
-        """A higher epoch deposes the planner that is followed, also where the new plan can't be followed.
+        """Depose the followed planner if the plan has a higher epoch, even if that plan is rejected.
 
-        Then the former plan's lease ends soon, and confidence falls until a valid plan of the new planner comes.
+        After a rejection the current plan's lease is shortened.  Confidence falls until the new planner sends a valid
+        plan.
         """
         if plan.epoch <= self._followed.epoch:
             return
@@ -96,7 +97,7 @@
             self._lease_us = min(self._lease_us, max(now - self._requested_at, 0) + LEASE_US_MIN)
 
     def update_ready_servers(self, ready: Collection[str]) -> None:
-        """The endpoint list has changed: servers that are not ready are no longer sampled."""
+        """Apply a change of the endpoint list: servers that are not ready are no longer sampled."""
         if self._lease_us:
             self._update_weights(ready)
 
@@ -105,29 +106,31 @@
             name: share.weight for name, share in self._shares.items() if share.weight > 0.0 and name in ready
         }
         self._names = list(weights)
-        self._cumulative_weights = list(accumulate(_limited(list(weights.values()))))
+        self._cumulative_weights = list(accumulate(_limit_weights(list(weights.values()))))
 
     # -- Confidence ------------------------------------------------------------------------------------
 
     def confidence(self, now: int) -> float:
-        """The part of the requests that follow the plan, 0 to 1."""
+        """The fraction of requests that follow the plan, 0 to 1."""
         remaining_us = self._requested_at + self._lease_us - now
         if remaining_us <= 0 or now < self._requested_at or not self._cumulative_weights:
-            return 0.0  # the lease is over, or the clock went back
-        risen = self._rise_from + max(now - self._rise_started_at, 0) / CONFIDENCE_RISE_US
-        return min(self._confidence_max, risen, 2.0 * remaining_us / self._lease_us)
+            return 0.0  # the lease has expired, the clock went back, or no server can be sampled
+        risen_confidence = (
+            self._rise_start_confidence + max(now - self._rise_started_at, 0) / CONFIDENCE_RISE_US
+        )
+        return min(self._confidence_max, risen_confidence, 2.0 * remaining_us / self._lease_us)
 
     def _restart_rise(self, now: int) -> None:
-        """Go on from the present confidence, so that there is no step from one plan to the next."""
-        self._rise_from = self.confidence(now)
+        """Restart the rise from the current confidence, which avoids a step between plans."""
+        self._rise_start_confidence = self.confidence(now)
         self._rise_started_at = now
 
     # -- The routing plan ------------------------------------------------------------------------------
 
     def sample(self, now: int, chance: Callable[[], float]) -> Sequence[str]:
-        """Sample servers for one request, the shortest wait first; none where the request doesn't follow the plan.
+        """Sample servers for one request, shortest wait first; empty if the request does not follow the plan.
 
-        `chance` returns a random number from 0 up to 1.
+        `chance` returns a random number in [0, 1).
         """
         confidence = self.confidence(now)
         if confidence <= 0.0 or (confidence < 1.0 and chance() >= confidence):
@@ -145,12 +148,12 @@
         return self._shares[name].relative_wait
 
     def capacity(self, server: str) -> float:
-        """How many of the forwarder's own requests may be in flight at a server."""
+        """The limit of this forwarder's requests in flight at a server."""
         share = self._shares.get(server)
         return share.in_flight_limit if share is not None else float("inf")
 
     def slow_start_ratio(self, server: str, now: int) -> float:
-        """The part of its own slow-start limit that the forwarder may use for a server, 0 to 1."""
+        """The fraction of its slow-start limit that the forwarder may use for a server, 0 to 1."""
         share = self._shares.get(server)
         if share is None or share.slow_start_ratio >= 1.0:
             return 1.0
@@ -159,7 +162,7 @@
     # -- Status ----------------------------------------------------------------------------------------
 
     def status(self, now: int) -> FollowerStatus:
-        """What is followed now."""
+        """The followed plan and the confidence in it."""
         confidence = self.confidence(now)
         plan_age_us = now - self._requested_at if self._lease_us and confidence > 0.0 else None
         return FollowerStatus(
@@ -167,15 +170,15 @@
         )
 
     def shares(self) -> Mapping[str, ServerShare]:
-        """The shares of the newest accepted plan."""
+        """The server shares of the most recently accepted plan."""
         return self._shares
 
 
-def _limited(weights: list[float]) -> list[float]:
-    """Lower the largest weights until none is more than SERVER_WEIGHT_RATIO_MAX of all, if there are enough."""
+def _limit_weights(weights: list[float]) -> list[float]:
+    """Cap each weight at SERVER_WEIGHT_RATIO_MAX of the sum; too few weights for that cap stay unchanged."""
     if len(weights) * SERVER_WEIGHT_RATIO_MAX <= 1.0:
         return weights
-    for _ in range(int(1.0 / SERVER_WEIGHT_RATIO_MAX)):  # at most so many can be too large
+    for _ in range(int(1.0 / SERVER_WEIGHT_RATIO_MAX)):  # upper bound on weights above the cap
         largest = max(range(len(weights)), key=weights.__getitem__)
         others = sum(weights) - weights[largest]
         limit = SERVER_WEIGHT_RATIO_MAX / (1.0 - SERVER_WEIGHT_RATIO_MAX) * others
--- a/topazbank/planning/link.py
+++ b/topazbank/planning/link.py
@@ -1,8 +1,8 @@
-"""A forwarder's connection to one planner: summaries out, plans in, by MessagePack-RPC.
+"""A forwarder's connection to one planner: sends summaries and receives plans over MessagePack-RPC.
 
-A forwarder sends each summary to every planner, so that standbys know the fleet when they take over.  One call is in
-flight to each planner; one that does not answer in time is connected to again, with exponential backoff and jitter.
-Nothing here delays a request.
+A forwarder sends each summary to every planner, so that standbys know the fleet when they take over.  At most one call
+is in flight to each planner.  If a planner does not respond in time, the link reconnects with exponential backoff and
+jitter.  Nothing here delays a request.
 """
 
 from __future__ import annotations
@@ -22,22 +22,20 @@
 log = logging.getLogger(__name__)
 
 RESPONSE_TIMEOUT_S = 1.0
-BACKOFF_MIN_S, BACKOFF_MAX_S = 0.1, 5.0  # with jitter of up to as much again
-PERIOD_US_MIN, PERIOD_US_MAX = US_PER_S // 50, 10 * US_PER_S  # that a planner may ask for
+BACKOFF_MIN_S, BACKOFF_MAX_S = 0.1, 5.0  # jitter adds up to 100 %
+PERIOD_US_MIN, PERIOD_US_MAX = US_PER_S // 50, 10 * US_PER_S  # limits of the period that a planner requests
 _MESSAGE_ID_MASK = 0xFFFFFFFF
 _REQUEST, _RESPONSE = 0, 1  # MessagePack-RPC's message types
 
-PlanCallback = Callable[
-    [int, Plan], None
-]  # called with the time at which the plan was requested, and the plan
+PlanCallback = Callable[[int, Plan], None]  # receives the time at which the plan was requested, and the plan
 
 
 class PlannerLink(asyncio.Protocol):
-    """The connection to one planner; opened again, by `send`, after it has ended."""
+    """The connection to one planner; `send` reopens it after it is lost."""
 
     def __init__(self, address: Address, now: Callable[[], int], on_plan: PlanCallback, seed: int) -> None:
         self.address = address
-        self.period_us: int | None = None  # between summaries, as the planner asks; None: no response yet
+        self.period_us: int | None = None  # between summaries, as the planner requests; None: no response yet
         self.responses = 0
         self.invalid_responses = 0
         self._now, self._on_plan = now, on_plan
@@ -48,11 +46,11 @@
         self._backoff_s = BACKOFF_MIN_S
         self._connect_not_before_s = 0.0
         self._message_id = 0
-        self._requested_at: int | None = None  # of the call in flight
+        self._requested_at: int | None = None  # time of the call in flight; None: no call is in flight
         self._timeout: asyncio.TimerHandle | None = None
 
     def send(self, summary: bytes) -> None:
-        """Send a summary unless a call is in flight; where there is no connection, open one instead."""
+        """Send a summary unless a call is in flight; without a connection, open one instead."""
         loop = asyncio.get_running_loop()
         if self._transport is None:
             if self._connecting is None and loop.time() >= self._connect_not_before_s:
@@ -66,7 +64,7 @@
         self._transport.write(msgpack.packb([_REQUEST, self._message_id, SUMMARY_METHOD, [summary]]))
 
     def stop(self) -> None:
-        """Close the connection and open no other."""
+        """Close the connection and cancel any connection attempt."""
         if self._connecting is not None:
             self._connecting.cancel()
         self._end_call()
@@ -88,37 +86,37 @@
         self._backoff_s = min(2.0 * self._backoff_s, BACKOFF_MAX_S)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """asyncio's callback."""
+        """asyncio.Protocol callback."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._unpacker = msgpack.Unpacker(max_buffer_size=2 * DOCUMENT_BYTES_MAX)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """asyncio's callback."""
+        """asyncio.Protocol callback: end the call in flight and back off."""
         self._transport = None
         self._end_call()
         self._back_off()
 
     def data_received(self, data: bytes) -> None:
-        """asyncio's callback: handle each complete message; an invalid one ends the connection."""
+        """asyncio.Protocol callback: handle each complete message; abort the connection on an invalid one."""
         try:
             self._unpacker.feed(data)
             for message in self._unpacker:
                 self._handle_response(message)
         except Exception as error:  # msgpack raises errors of many types
             self.invalid_responses += 1
-            log.warning("invalid response of planner %s:%d: %r", *self.address, error)
+            log.warning("planner %s:%d: invalid response: %r", *self.address, error)
             self._abort()
 
     def _handle_response(self, message: Any) -> None:
         message_type, message_id, error, result = message
         if message_type != _RESPONSE or message_id != self._message_id or self._requested_at is None:
-            return  # late, or a duplicate
+            return  # a late or duplicate response
         requested_at = self._requested_at
         self._end_call()
         if error is not None:
             self.invalid_responses += 1
-            log.warning("planner %s:%d refused the summary: %.120r", *self.address, error)
+            log.warning("planner %s:%d: summary rejected: %.120r", *self.address, error)
             return
         document, period_us = result
         self.responses += 1
@@ -132,7 +130,7 @@
             plan = decode_plan(document)
         except InvalidDocument as error:
             self.invalid_responses += 1
-            log.warning("invalid plan of planner %s:%d: %s", *self.address, error)
+            log.warning("planner %s:%d: invalid plan: %s", *self.address, error)
             return
         self._on_plan(requested_at, plan)
 
