--- a/topazbank/planning/election.py
+++ b/topazbank/planning/election.py
@@ -1,8 +1,8 @@
-"""Leader election among planners by a ZooKeeper ensemble: the lowest ephemeral sequential node leads.
+"""Leader election among planners with a ZooKeeper ensemble: the lowest ephemeral sequential node leads.
 
-The epoch is the sequence number of the planner's own node.  Whoever leads next registered later, so epochs only grow,
-and a planner that registers again after its session expired gets a higher one.  A leader whose session is not live
-stops leading at once: the ensemble may have elected another.
+The epoch derives from the sequence number of the planner's node.  The next leader always registered later, so epochs
+only grow.  A planner that registers again after its session expired gets a higher epoch.  A leader that loses its
+session stops leading at once, as the ensemble may have elected another.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class Election:
-    """One planner's candidacy."""
+    """The candidacy of one planner."""
 
     def __init__(
         self,
@@ -40,29 +40,29 @@
         on_epoch: Callable[[int | None], None],
         seed: int | None = None,
     ) -> None:
-        """`on_epoch` is called with the epoch when this planner starts to lead, with None when it stops."""
-        self.epoch: int | None = None  # while it leads
+        """`on_epoch` receives the epoch when this planner becomes leader, and None when it stops leading."""
+        self.epoch: int | None = None  # None: not the leader
         self._acl = zkwire.CREATOR_ACL if ensemble.secret else zkwire.OPEN_ACL
         self._path, self._name = path, name
         self._on_epoch = on_epoch
-        self._node: str | None = None  # the own node's name, while the session that created it lives
+        self._node: str | None = None  # name of this planner's node; None: not registered in this session
         self._check_needed = asyncio.Event()
         self._session = Session(ensemble, self._on_session_state, self._on_watch, seed)
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin the candidacy."""
+        """Open the session and join the election."""
         self._session.start()
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def stop(self) -> None:
-        """End abruptly: another planner leads once the session has expired."""
+        """Stop without closing the session: another planner can lead once it has expired."""
         if self._task is not None:
             self._task.cancel()
         self._session.stop()
 
     async def close(self) -> None:
-        """Step down: another planner leads at once."""
+        """Step down and close the session: another planner can lead at once."""
         if self._task is not None:
             self._task.cancel()
         await self._session.close()
@@ -75,36 +75,40 @@
         if state is SessionState.EXPIRED:
             self._node = None
 
-    def _on_watch(self, happened: WatchEvent, path: str) -> None:
+    def _on_watch(self, event: WatchEvent, path: str) -> None:
         self._check_needed.set()
 
     def _set_epoch(self, epoch: int | None) -> None:
         if epoch != self.epoch:
             self.epoch = epoch
-            log.info("%s %s", self._name, "does not lead" if epoch is None else f"leads by epoch {epoch}")
+            log.info(
+                "%s %s",
+                self._name,
+                "is not the leader" if epoch is None else f"is the leader with epoch {epoch}",
+            )
             self._on_epoch(epoch)
 
     async def _run(self) -> None:
         while True:
             await self._check_needed.wait()
             self._check_needed.clear()
-            with suppress(ConnectionLossError):  # the session's return sets the event again
+            with suppress(ConnectionLossError):  # reconnecting sets the event again
                 try:
                     await self._check()
                 except ZooKeeperError as error:
-                    log.warning("the election is tried again: %s", error)
+                    log.warning("election failed; retrying: %s", error)
                     await asyncio.sleep(_RETRY_DELAY_S)
                     self._check_needed.set()
 
     async def _check(self) -> None:
-        """Register if needed; lead if the own node is the lowest, else watch the one just below it."""
+        """Register if needed; lead if this planner's node is the lowest, else watch its predecessor."""
         await self._session.sync(self._path)
         if self._node is None:
             await self._register()
         assert self._node is not None
         nodes = sorted(await self._candidates(), key=_sequence_number)
         if self._node not in nodes:
-            self._node = None  # its session expired, or someone deleted it
+            self._node = None  # its session expired, or the node was deleted
             self._set_epoch(None)
             self._check_needed.set()
             return
@@ -126,10 +130,10 @@
         except ZooKeeperError as error:
             if error.code != ErrorCode.NO_NODE:
                 raise
-            self._check_needed.set()  # it was deleted between the two reads
+            self._check_needed.set()  # deleted between the two reads
 
     async def _register(self) -> None:
-        """Create the own node, unless it exists: the response to an earlier creation may have been lost."""
+        """Create this planner's node unless it exists, as the response to an earlier creation may have been lost."""
         data = self._name.encode()
         for node in await self._candidates():
             with suppress(ZooKeeperError):
--- a/topazbank/planning/server.py
+++ b/topazbank/planning/server.py
@@ -1,9 +1,9 @@
-"""The program of a planner.
+"""Planner server: sends routing plans to the sidecars of a fleet.
 
     python -m topazbank.planning.server --operator FILE
 
-The operator file's [planning] names the planner's address and how planners elect a leader; [membership] names the
-sources of the endpoint list.  An invalid configuration ends the start with one line on standard error and exit code 2.
+The operator file sets the planner's address and the leader election in [planning], and the sources of the endpoint list
+in [membership].  On an invalid configuration the program prints one line to standard error and exits with code 2.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from topazbank.planning.planner_server import PlannerServer
 
 EXIT_BAD_CONFIGURATION = 2
-ELECTION_PATH = "/lodge/planners"  # in ZooKeeper's tree
+ELECTION_PATH = "/lodge/planners"  # ZooKeeper path of the candidates' nodes
 
 
 @dataclass(frozen=True, slots=True)
 class PlannerStartup:
-    """What the program has read before it serves."""
+    """The validated configuration and command-line arguments."""
 
     operator: OperatorConfig
     name: str
@@ -36,7 +36,7 @@
 
     @property
     def planning(self) -> PlanningConfig:
-        """The operator file's table."""
+        """The operator file's [planning] table."""
         return self.operator.planning
 
 
@@ -58,22 +58,24 @@
         prog="topazbank.planning.server", description=(__doc__ or "").split("\n")[0]
     )
     parser.add_argument("--operator", required=True, metavar="FILE", help="the operator file (TOML)")
-    parser.add_argument("--name", help="of this planner; by default where it listens")
+    parser.add_argument("--name", help="name of this planner (default: the address it listens on)")
     parser.add_argument(
-        "--registry", metavar="HOST:PORT", help="where the registry is, if nodes come from there"
+        "--registry",
+        metavar="HOST:PORT",
+        help="address of the registry, if it is a source of the endpoint list",
     )
     return parser.parse_args(argv)
 
 
 def _prepare(arguments: argparse.Namespace) -> PlannerStartup:
-    """Read and check the configuration; raise ValueError naming the field, or OSError."""
+    """Read and validate the configuration; raise OSError, or ValueError that names the field."""
     operator = read_operator_config(arguments.operator)
     registry = parse_address(arguments.registry) if arguments.registry else None
     listen = operator.planning.listen
     if listen is None:
-        raise ConfigError("planning.listen", "where this planner listens is wanted")
+        raise ConfigError("planning.listen", "missing address to listen on")
     if operator.discovery.needs_registry and registry is None:
-        raise ConfigError("--registry", "where the registry is is wanted, since membership.sources name it")
+        raise ConfigError("--registry", "missing address of the registry, a source in membership.sources")
     return PlannerStartup(operator, arguments.name or "{}:{}".format(*listen), listen, registry)
 
 
@@ -89,8 +91,8 @@
     )
     await server.start(startup.listen)
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stop.set)
     print(f"planner {startup.name} listens at {server.address[0]}:{server.address[1]}", flush=True)
     if uses_ensemble:
         await _serve_elected(startup, server, stop)
@@ -100,7 +102,7 @@
 
 
 async def _serve_elected(startup: PlannerStartup, server: PlannerServer, stop: asyncio.Event) -> None:
-    """Take part in the election by ZooKeeper until `stop` is set."""
+    """Take part in the ZooKeeper election until `stop` is set."""
     from topazbank.discovery.zkclient import EnsembleConfig
     from topazbank.planning.election import Election
 
