--- a/tests/incidents/test_drains_and_discovery.py
+++ b/tests/incidents/test_drains_and_discovery.py
@@ -356,7 +356,7 @@
                 old = sidecar.process
                 sidecar.process = await launch(sidecar.path, sidecar.path.parent)
                 log = sidecar.path.parent / "log"
-                await until(lambda: log.read_bytes().count(b"list at the start") == 2)  # of both processes
+                await until(lambda: log.read_bytes().count(b"initial endpoint list") == 2)  # both processes
                 old.send_signal(signal.SIGTERM)
                 sidecar.drain(scenario.servers[0].entry(), NOTIFIED_AFTER_UPGRADE_S)
                 await old.wait()
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -227,7 +227,7 @@
             # Over MessagePack-RPC calls that come so late are rejected: their clients keep their connections.
             assert (await waiting.answer())[0] == (200 if pair().client == HTTP else 503)
             waiting.close()
-            await asyncio.wait_for(w.sidecar._drained.wait(), PATIENCE_S)
+            await asyncio.wait_for(w.sidecar._drain_finished.wait(), PATIENCE_S)
 
     play(scenario())
 
@@ -325,7 +325,7 @@
         async with program(tmp_path, server, old) as (process, listen):
             await until(lambda: old.targets)
             begun = await asyncio.wait_for(process.stderr.readline(), PATIENCE_S)
-            assert b"list at the start" in begun
+            assert b"initial endpoint list" in begun
             for junk in ("not json", json.dumps(config(discovery="nowhere"))):
                 path.write_text(junk, encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -511,13 +511,13 @@
                 return w.sidecar.listener.shedding.busy_max < 33
 
             await until(lags)
-            w.sidecar.listener.shedding.shed_saved = 1.0
+            w.sidecar.listener.shedding.shed_allowance = 1.0
             reader, _ = await asyncio.open_connection(*address)
             assert await is_closed(reader)
             for _ in range(20):  # and no more than one in 200
                 w.sidecar.listener.shedding.busy_max = 0.0  # it lags as before
                 assert (await ask(address, request(path="/health/ready")))[0] == 200
-            w.sidecar.listener.shedding.shed_saved = 1.0
+            w.sidecar.listener.shedding.shed_allowance = 1.0
             for one in held:
                 one.close()
             table, shedding = w.sidecar.listener.table, w.sidecar.listener.shedding
@@ -533,12 +533,12 @@
         ("127.0.0.1", 0), 5, callbacks, RequestClasses(settings(classes=CLASSES)), HttpConnection
     )
     listener.shedding.busy_max = 0.0
-    ended = [listener._sheds() for _ in range(1000)]
+    ended = [listener._should_shed() for _ in range(1000)]
     assert not any(ended[:200]) and sum(ended) <= 4  # from the start on no more than one in 200
     listener.shedding.busy_max = 5.0
-    assert not any(listener._sheds() for _ in range(2000))
+    assert not any(listener._should_shed() for _ in range(2000))
     listener.shedding.busy_max = 0.0
-    assert sum(listener._sheds() for _ in range(200)) <= 2  # saved up, and bounded
+    assert sum(listener._should_shed() for _ in range(200)) <= 2  # saved up, and bounded
     listener.stop()
 
 
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -49,7 +49,7 @@
         ("[membership]\nsources = ['zookeeper']", "membership.zookeeper.members: the ensemble's addresses"),
         (
             "[membership.zookeeper]\nmembers = ['nowhere']",
-            "membership.zookeeper.members: an address host:port",
+            "membership.zookeeper.members: expected host:port",
         ),
         ("[membership.zookeeper]\npath = 'lodge'", "membership.zookeeper.path: a path such as"),
         ("[membership.zookeeper]\npath = '/a//b'", "membership.zookeeper.path: a path such as"),
--- a/topazbank/core/client_connection.py
+++ b/topazbank/core/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: what all protocols have in common; a subclass for each reads requests and writes answers."""
+"""The common part of client connections; a subclass per protocol reads requests and writes responses."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from topazbank.core.counters import Violation
 from topazbank.core.net import SharedBufferProtocol, has_nothing_unread, peer_has_closed
 
-# The first byte of a MessagePack-RPC message, an array, is at least this; that of an HTTP request is a letter.
+# Minimum first byte of a MessagePack-RPC message, which is an array; an HTTP request starts with a letter.
 _MSGPACK_ARRAY_MIN: Final = 0x80
 
 
 class ClientConnection(SharedBufferProtocol):
-    """One connection of a client, registered in the connection table while it is open."""
+    """A client connection, registered in the connection table while it is open."""
 
     state = ConnectionState.NEW
-    partial: PartialRequest | None = None  # the request that has not come completely
+    partial: PartialRequest | None = None  # the request that is not completely received
 
     def __init__(self, table: ConnectionTable, sock: socket.socket) -> None:
         self._table = table
@@ -32,29 +32,29 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register it (called by asyncio)."""
+        """Register the connection (called by asyncio)."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._table.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Unregister it (called by asyncio)."""
+        """Unregister the connection (called by asyncio)."""
         self._table.connection_closed(self)
 
-    # -- Questions ------------------------------------------------------------------------------------
+    # -- Queries --------------------------------------------------------------------------------------
 
     def is_quiet(self) -> bool:
-        """Whether nothing has come that is unread."""
+        """Whether the connection is open and has no unread bytes."""
         return has_nothing_unread(self._sock)
 
     def is_idle(self) -> bool:
-        """Whether it may be closed: no request is in progress, incomplete or unread."""
+        """Whether the connection may be closed: no request is in progress, incomplete or unread."""
         return self.state in CLOSABLE_STATES and self.is_quiet()
 
     def can_be_evicted(self) -> bool:
-        """Whether closing it at once loses nothing: all answers are written, nothing is unread or in progress.
+        """Whether aborting the connection loses no data: no response is unsent and no request unread or in progress.
 
-        Closing over unread bytes is a reset, which discards what its client has not read yet.
+        Closing a socket with unread bytes resets the connection, which discards responses the client has not read yet.
         """
         if self._transport is not None and self._transport.get_write_buffer_size():
             return False
@@ -62,10 +62,10 @@
         return self.is_idle() if idle else self.is_quiet()
 
     def has_disconnected(self) -> bool:
-        """Whether its client has disconnected, by the kernel's state: this process may not read from it for now.
+        """Whether the client has disconnected, according to the kernel, since reading may be paused.
 
-        Guards against sending requests that nobody waits for.  A connection found closed is aborted, with all requests
-        that are in progress on it.
+        Prevents sending requests whose client no longer waits.  If the client has closed the connection, it is aborted
+        with all its requests in progress.
         """
         if self._transport is None or self._transport.is_closing():
             return True
@@ -75,51 +75,51 @@
         return True
 
     def has_unanswered(self) -> bool:
-        """Whether a request of it is in progress."""
+        """Whether a request on this connection is in progress."""
         return False
 
     def describe(self) -> str:
-        """This connection in a log line: its number, its state, and how long a partial request has been silent."""
-        silent = ""
+        """Describe the connection for the log: its number, state, and time since a partial request made progress."""
+        progress = ""
         if self.partial is not None:
             now = asyncio.get_running_loop().time()
-            silent = f", silent for {now - self.partial.last_progress_at:.2f} s"
-        return f"connection {self.number} ({self.state.name.lower()}{silent})"
+            progress = f", no progress for {now - self.partial.last_progress_at:.2f} s"
+        return f"connection {self.number} ({self.state.name.lower()}{progress})"
 
-    # -- Ends -----------------------------------------------------------------------------------------
+    # -- Closing --------------------------------------------------------------------------------------
 
     def close(self) -> None:
-        """Close it once what is written has gone out."""
+        """Close the connection after all written data is sent."""
         self._check_answered()
         if self._transport is not None:
             self._transport.close()
 
     def abort(self, client_disconnected: bool = False) -> None:
-        """Close it at once; `client_disconnected`: its client has left, or reads no answers."""
+        """Close the connection immediately; `client_disconnected`: the client has disconnected or stopped reading."""
         if not client_disconnected:
             self._check_answered()
         if self._transport is not None:
             self._transport.abort()
 
     def half_close(self) -> bool:
-        """End the sending side and read on; return whether that was possible: a client that has reset it has left."""
+        """Close the sending side and keep reading; return False if the connection is closed or was reset."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return False
         try:
             transport.write_eof()
-        except OSError:  # the reset has come, and the loop has not noticed it yet
+        except OSError:  # reset by the client, which the event loop has not processed yet
             self.abort(client_disconnected=True)
             return False
         return True
 
     def _check_answered(self) -> None:
-        """Count a violation where this process closes a connection under a request in progress."""
+        """Count a violation if this process closes the connection while a request is in progress."""
         if self.has_unanswered():
             self._counters.violation(Violation.CLOSED_UNANSWERED, self.describe())
 
     def limit_reached(self) -> None:
-        """End it: its state has lasted for as long as it may, or its partial request has taken that long."""
+        """End the connection: its state or its partial request has reached its time limit."""
         raise NotImplementedError
 
 
@@ -127,7 +127,7 @@
 
 
 class ProtocolDetector(ClientConnection):
-    """A connection whose first byte has not come: that byte tells the protocol that it is handed over to."""
+    """A connection before its first byte, which indicates the protocol that takes the connection over."""
 
     def __init__(
         self,
@@ -141,7 +141,7 @@
         self._msgpack_rpc = msgpack_rpc
 
     def data_received(self, data: bytes) -> None:
-        """Hand the connection and its first bytes over (called by asyncio)."""
+        """Hand the connection and its first bytes over to a protocol (called by asyncio)."""
         transport = self._transport
         assert transport is not None
         factory = self._msgpack_rpc if data[0] >= _MSGPACK_ARRAY_MIN else self._http
@@ -152,6 +152,6 @@
         connection.data_received(data)
 
     def limit_reached(self) -> None:
-        """Close it, unless its first byte has just come."""
+        """Close the connection unless its first byte has just arrived."""
         if self.is_idle():
             self.close()
--- a/topazbank/core/components.py
+++ b/topazbank/core/components.py
@@ -1,4 +1,4 @@
-"""What a sidecar is configured with, and the components it is put together from; `wiring` makes them."""
+"""The configuration of a sidecar and the components it is assembled from; `wiring` creates them."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
     max_descriptors: int
     settings: Settings
     cached_endpoints: EndpointList
-    gossip: GossipAddresses | None = None  # None: sidecars exchange no messages
-    admin_address: Address | None = None  # of the admin API; None: there is none
-    fleet_size: FleetSize | None = None  # as estimated at run time; None: nobody estimates it
-    handover_folder: str | None = None  # of an upgrade's socket, and of spooled bodies; None: no handover
-    inherited: bool = False  # whether `cached_endpoints` comes from the process before, in an upgrade
+    gossip: GossipAddresses | None = None  # None: gossip is off
+    admin_address: Address | None = None  # None: the admin API is off
+    fleet_size: FleetSize | None = None  # estimated at run time; None: not estimated
+    handover_folder: str | None = None  # holds the handover socket and spooled bodies; None: no handover
+    inherited: bool = False  # whether `cached_endpoints` was handed over by the replaced process
 
 
 class RequestObserver(RoutingPlan, Protocol):
@@ -43,73 +43,74 @@
     def start(
         self, ejected: Callable[[], Collection[str]], generations: Callable[[], Generations | None]
     ) -> None:
-        """Begin; `ejected`: names of the servers ejected now, `generations`: those of the cluster's members."""
+        """Start; `ejected` returns the names of ejected servers, `generations` those of the cluster's members."""
 
     def stop(self) -> None:
-        """End."""
+        """Stop."""
 
     def endpoints_updated(self, servers: Sequence[ServerDescription]) -> None:
-        """Entries of the endpoint list have changed."""
+        """Handle changed entries of the endpoint list."""
 
     def request_arrived(self, request_class: str) -> None:
-        """A client's request of this class has come."""
+        """Handle the arrival of a client's request."""
 
     def request_answered(self, request_class: str, served: bool) -> None:
-        """A request has its final answer; `served`: a server's response."""
+        """Handle the final response to a request; `served`: whether a server produced it."""
 
     def attempt_sent(self, server: str) -> None:
-        """An attempt at a server has begun."""
+        """Handle the start of an attempt."""
 
     def attempt_ended(
         self, server: str, delivered: bool, elapsed_us: int, report: Mapping[str, float] | None
     ) -> None:
-        """An attempt has ended; `report`: the server's load report, if it sent one."""
+        """Handle the end of an attempt; `report`: the server's load report, if it sent one."""
 
     def status(self) -> dict[str, Any]:
-        """Its part of the status page."""
+        """Return its part of the status page."""
 
 
 class ClusterMembership(Protocol):
-    """Finds out which sidecars of the cluster are alive, and gives this one its part in fleet-wide quotas."""
+    """Detects which sidecars of the cluster are alive, and computes this one's share of fleet-wide quotas."""
 
     def start(self, send: Callable[[Address, bytes], None]) -> None:
-        """Begin; `send` sends a datagram."""
+        """Start; `send` sends a datagram."""
 
     def handle_datagram(self, data: bytes, source: Address) -> None:
-        """A datagram has come that is not the load gossip's."""
+        """Handle a datagram that does not belong to load gossip."""
 
     def leave(self) -> None:
-        """Announce that this member leaves."""
+        """Announce that this member is leaving the cluster."""
 
     def suspend(self) -> None:
-        """Pause: another process is this member."""
+        """Pause while another process acts as this member."""
 
     def resume(self) -> None:
-        """Go on after a pause."""
+        """Resume after a pause."""
 
     def stop(self) -> None:
-        """End."""
+        """Stop."""
 
     def generations(self) -> Generations:
-        """The generations of the cluster's members."""
+        """Return the generations of the cluster's members."""
 
     def fleet_quota(self, offset_us: int) -> FleetQuota | None:
-        """This process's quotas; `offset_us`: how far its clock is ahead of the monotonic one."""
+        """Return this process's quotas; `offset_us`: the offset of its clock from the monotonic clock."""
 
     def status(self) -> dict[str, Any]:
-        """Its part of the status page."""
+        """Return its part of the status page."""
 
     def handover_state(self) -> dict[str, Any]:
-        """What the process that replaces this one needs to go on as this member."""
+        """Return the state that the replacing process needs to continue as this member."""
 
 
-# Makes it of the configuration, the fleet's size that it keeps up to date, and what a former process handed over.
+# Arguments: the configuration, the fleet size, which the membership updates, and the state that a replaced process
+# handed over.
 MembershipFactory = Callable[[SidecarConfig, FleetSize, Mapping[str, Any]], ClusterMembership]
 
 
 @dataclass(frozen=True, slots=True)
 class Components:
-    """The components of a sidecar; None: that function is off."""
+    """The components of a sidecar; None: that feature is off."""
 
     http_connection: ConnectionFactory
     msgpack_rpc_connection: ConnectionFactory | None
--- a/topazbank/core/connection_shedding.py
+++ b/topazbank/core/connection_shedding.py
@@ -1,7 +1,7 @@
-"""Closes a few new connections unread while the CPU cannot keep up; no I/O.
+"""Load shedding of new connections while the CPU is overloaded; no I/O.
 
-Promise: of the connections that a process accepts, at most one in 250 is closed unread, and at most two at a time.  It
-costs a twentieth of rejecting a request, but its client gets no answer; the platform tolerates one in 200.
+Guarantee: a process closes at most one in 250 accepted connections unread, and at most two in one burst.  This costs
+a twentieth of rejecting a request, but the client receives no response; the platform tolerates one in 200.
 """
 
 from __future__ import annotations
@@ -9,36 +9,36 @@
 from collections.abc import Callable
 from typing import Final
 
-SWEEP_DELAY_S_MAX: Final = 0.04  # a sweep later than this shows that the CPU cannot keep up
+SWEEP_DELAY_S_MAX: Final = 0.04  # a longer delay of a sweep indicates CPU overload
 _ACCEPTED_PER_SHED: Final = 250.0
-_SHED_SAVED_MAX: Final = 2.0  # connections that may be shed at a time, having been saved up
-_BUSY_MIN: Final = 32.0  # connections with work that are always tolerated
-_DECREASE_RATIO: Final = 0.8  # of the tolerated connections with work, after a late sweep
-_INCREASE_RATIO: Final = 1.1  # after a sweep in time
+_SHED_ALLOWANCE_MAX: Final = 2.0  # connections; limits a burst after a period without shedding
+_BUSY_MIN: Final = 32.0  # connections with work; below this number nothing is shed
+_DECREASE_RATIO: Final = 0.8  # applied to `busy_max` after a late sweep
+_INCREASE_RATIO: Final = 1.1  # applied to `busy_max` after a sweep on time
 
 
 class ConnectionShedding:
-    """Tolerates fewer connections with work while sweeps are late, and sheds new ones beyond that number."""
+    """Lowers the limit on connections with work while sweeps are late, and sheds new connections above it."""
 
     def __init__(self, max_connections: int) -> None:
         self._max_connections = max_connections
-        self.busy_max = float(max_connections)  # connections with work that are tolerated now
-        self.shed_saved = 0.0  # connections that may be shed now
+        self.busy_max = float(max_connections)  # current limit on connections with work
+        self.shed_allowance = 0.0  # number of connections that may be shed now
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Tolerate no more connections than `max_connections` from now on."""
+        """Set the upper bound of `busy_max`."""
         self._max_connections = max_connections
         self.busy_max = min(self.busy_max, float(max_connections))
 
-    def sweep_ran(self, late: bool) -> None:
-        """Adapt to whether a periodic sweep ran late."""
-        self.busy_max *= _DECREASE_RATIO if late else _INCREASE_RATIO
+    def record_sweep(self, is_late: bool) -> None:
+        """Adjust `busy_max` after a periodic sweep."""
+        self.busy_max *= _DECREASE_RATIO if is_late else _INCREASE_RATIO
         self.busy_max = max(_BUSY_MIN, min(self.busy_max, self._max_connections))
 
-    def sheds(self, count_busy: Callable[[], int]) -> bool:
-        """Whether to close a connection just accepted, unread; `count_busy`: how many others have work."""
-        self.shed_saved = min(self.shed_saved + 1.0 / _ACCEPTED_PER_SHED, _SHED_SAVED_MAX)
-        if self.shed_saved < 1.0 or count_busy() < self.busy_max:
+    def should_shed(self, count_busy: Callable[[], int]) -> bool:
+        """Whether to close a newly accepted connection unread; `count_busy`: counts other connections with work."""
+        self.shed_allowance = min(self.shed_allowance + 1.0 / _ACCEPTED_PER_SHED, _SHED_ALLOWANCE_MAX)
+        if self.shed_allowance < 1.0 or count_busy() < self.busy_max:
             return False
-        self.shed_saved -= 1.0
+        self.shed_allowance -= 1.0
         return True
--- a/topazbank/core/connection_table.py
+++ b/topazbank/core/connection_table.py
@@ -1,6 +1,6 @@
-"""The client connections of this process by state: which have passed a limit, and which may be closed to make room.
+"""The client connections of this process by state; enforces their limits and evicts connections to make room.
 
-Protocols are not known here; `connection_states` has the limits.  All times are seconds of the event loop's clock.
+Independent of the protocol; `connection_states` defines the limits.  All times are seconds of the event loop's clock.
 """
 
 from __future__ import annotations
@@ -21,11 +21,13 @@
 
 log = logging.getLogger(__name__)
 
-_RECENT_S: Final = 0.1  # a connection that was active so lately may have a request on the way
-_UNUSED_S: Final = 1.0  # one that has sent nothing for so long was hardly opened for a request
-_STALLED_S: Final = 2.2  # a head without progress for so long is hardly completed: a client may take 2 s
-_STALLED_IN_DRAIN_S: Final = 0.3  # the same, while the process is drained
-_EVICTION_CANDIDATES_MAX: Final = 4  # connections of a state that are looked at for one that can be evicted
+_RECENT_S: Final = 0.1  # a connection active more recently may have a request in transit
+_UNUSED_S: Final = 1.0  # a new connection without bytes for this long is unlikely to carry a request
+_STALLED_S: Final = (
+    2.2  # a head without progress for this long is unlikely to complete: the platform allows 2 s
+)
+_STALLED_IN_DRAIN_S: Final = 0.3  # the same during a drain
+_EVICTION_CANDIDATES_MAX: Final = 4  # connections examined per state
 
 _IDLE_STATES: Final = (ConnectionState.IDLE, ConnectionState.IDLE_PERSISTENT)
 CLOSABLE_STATES: Final = (ConnectionState.NEW, ConnectionState.READING_HEAD, *_IDLE_STATES)
@@ -38,14 +40,14 @@
 
 
 class _EvictionRule(NamedTuple):
-    """Connections of a state may be evicted once they have been in it, or without progress, for so long."""
+    """Connections in `state` may be evicted after `min_age_s` in it, or without progress."""
 
     state: ConnectionState
     min_age_s: float
 
 
-# First those that have their last answer, then those that have long sent nothing or made no progress, then idle ones,
-# whose clients open another when they need one.  Those active a moment ago come late: a request may be on its way.
+# Connections with their last response come first, then those without bytes or progress for long, then idle ones, whose
+# clients can reconnect.  Recently active connections come late, because a request may be in transit.
 _EVICTION_ORDER: Final = (
     _EvictionRule(ConnectionState.CLOSING, 0.0),
     _EvictionRule(ConnectionState.NEW, _UNUSED_S),
@@ -63,7 +65,7 @@
 
 
 class ConnectionTable:
-    """All client connections, and what they share."""
+    """All client connections and their shared state."""
 
     def __init__(
         self,
@@ -72,22 +74,22 @@
         request_classes: RequestClasses,
         counters: Counters,
     ) -> None:
-        """`max_connections`: the bound that the listener keeps; a third of it may be idle."""
+        """`max_connections`: the limit enforced by the listener; at most a third of it may be idle."""
         self.callbacks = callbacks
         self.request_classes = request_classes
         self.counters = counters
-        self.draining = False  # whether connections end after their answer
-        self.rejects_new = False  # whether requests on connections that have carried none are rejected
+        self.draining = False  # whether connections are closed after their response
+        self.rejects_new = False  # whether the first request on a connection is rejected
         self._numbers = itertools.count(1)
         self._max_idle = 1
-        # By state, each with the time since when it is in that state, the longest first.
+        # Connections by state, each with the time at which it entered the state, oldest first.
         self._by_state: dict[ConnectionState, dict[ClientConnection, float]] = {
             state: {} for state in ConnectionState
         }
         self.set_max_connections(max_connections)
 
     def __len__(self) -> int:
-        """How many connections are open."""
+        """The number of open connections."""
         return sum(map(len, self._by_state.values()))
 
     @property
@@ -96,25 +98,25 @@
         return [connection for state in self._by_state.values() for connection in state]
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Bound idle connections to a third of `max_connections`: clients may never close what they do not use."""
+        """Limit idle connections to a third of `max_connections`: clients may never close unused connections."""
         self._max_idle = max(max_connections // 3, 1)
 
     def next_number(self) -> int:
-        """A connection's number for the log, unique in this process."""
+        """Return a connection number for the log, unique in this process."""
         return next(self._numbers)
 
     def count_with_work(self) -> int:
-        """How many connections may be carrying a request that costs CPU."""
+        """The number of connections that may have a request that uses CPU time."""
         return len(self) - sum(len(self._by_state[state]) for state in _STATES_WITHOUT_WORK)
 
     # -- States ---------------------------------------------------------------------------------------
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Add a connection in its present state, which begins now."""
+        """Add a connection; its current state begins now."""
         self._by_state[connection.state][connection] = asyncio.get_running_loop().time()
 
     def set_state(self, connection: ClientConnection, state: ConnectionState, restart: bool = False) -> None:
-        """Move a connection to a state; `restart`: its time there begins anew where it was in it already."""
+        """Move a connection to a state; `restart`: reset its time in the state if it is already there."""
         if (restart or connection.state is not state) and self._by_state[connection.state].pop(
             connection, None
         ) is not None:
@@ -127,22 +129,22 @@
                     oldest.close()
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Remove a connection, if it is there."""
+        """Remove a connection if it is in the table."""
         self._by_state[connection.state].pop(connection, None)
 
     # -- Limits ---------------------------------------------------------------------------------------
 
     def end_overdue(self, now: float) -> None:
-        """End each connection that has passed its limit."""
+        """End each connection that has exceeded its limit."""
         for connection in list(self._overdue(now)):
             self._end_overdue(connection)
 
     def _overdue(self, now: float) -> Iterator[ClientConnection]:
-        """Connections whose state has lasted too long, or whose client has stalled in the middle of a request."""
+        """Connections that have exceeded the limit of their state, or whose partial request is overdue."""
         for state, limit_s in STATE_LIMITS_S.items():
             for connection, since in self._by_state[state].items():
                 if since + limit_s > now:
-                    break  # those behind it came later
+                    break  # the following connections entered the state later
                 yield connection
         for state in PARTIAL_STATES:
             for connection in self._by_state[state]:
@@ -156,8 +158,10 @@
     def _end_overdue(self, connection: ClientConnection) -> None:
         try:
             connection.limit_reached()
-        except Exception:  # a defect: it ends this connection, and keeps no other from its limit
-            log.exception("%s could not be ended in order", connection.describe())
+        except (
+            Exception
+        ):  # a defect ends only this connection, and does not keep the limits of others from being enforced
+            log.exception("%s: error while enforcing its time limit", connection.describe())
             self.counters.violation(Violation.LIMIT_CHECK_FAILED, connection.describe())
             self.connection_closed(connection)
             connection.abort()
@@ -165,7 +169,7 @@
     # -- Making room ----------------------------------------------------------------------------------
 
     def evict(self) -> bool:
-        """Close one connection that holds no request, by `_EVICTION_ORDER`; return whether there was one."""
+        """Close the first evictable connection in `_EVICTION_ORDER`; return whether there was one."""
         now = asyncio.get_running_loop().time()
         for rule in _EVICTION_ORDER:
             connection = self._oldest_evictable(rule.state, now - rule.min_age_s)
@@ -177,17 +181,17 @@
         return False
 
     def _oldest_evictable(self, state: ConnectionState, since_max: float) -> ClientConnection | None:
-        """The connection that is in a state for longest, and since `since_max` at least, whose end loses nothing."""
+        """The oldest evictable connection that entered `state` at `since_max` or earlier."""
         for connection, since in itertools.islice(self._by_state[state].items(), _EVICTION_CANDIDATES_MAX):
             if since <= since_max and connection.can_be_evicted():
                 return connection
         return None
 
     def close_idle(self, only_used: bool) -> None:
-        """Close what is idle in a drain; `only_used`: spare what was just opened for a request still on its way.
+        """Close idle connections in a drain; `only_used`: keep new ones, whose first request may be in transit.
 
-        Otherwise a head without progress is closed too.  Guards against one that would hold up the end of a drain until
-        its limit: its request was never accepted, and its client comes again, where others are served.
+        Without `only_used`, connections whose head makes no progress are closed too, since they would delay the end of
+        the drain until their limit.  Their requests were never accepted, and the clients can retry elsewhere.
         """
         stalled_since = asyncio.get_running_loop().time() - _STALLED_IN_DRAIN_S
         for state in _IDLE_STATES if only_used else CLOSABLE_STATES:
@@ -197,6 +201,6 @@
                 )
                 if stalled:
                     self.counters.count(ClientEvent.REQUEST_TIMED_OUT)
-                    log.info("%s: closed by the drain, its request incomplete", connection.describe())
+                    log.info("%s: closed during drain with an incomplete request", connection.describe())
                 if stalled or connection.is_idle():
                     connection.close()
--- a/topazbank/core/listener.py
+++ b/topazbank/core/listener.py
@@ -1,4 +1,4 @@
-"""Accepts client connections within a bound, whatever protocol they speak, and sweeps them for their limits."""
+"""Accepts a bounded number of client connections of any protocol, and periodically enforces their time limits."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 log = logging.getLogger(__name__)
 
 _BACKLOG: Final = 512
-_ACCEPTS_PER_TURN: Final = 64  # connections, before the event loop turns to others
-_ACCEPT_PAUSE_S: Final = 0.05  # after a failed accept, where descriptors lack: prevents spinning
+_ACCEPTS_PER_TURN: Final = 64  # connections accepted per event loop iteration
+_ACCEPT_PAUSE_S: Final = 0.05  # pause after a failed accept; prevents a busy loop when descriptors run out
 
 
 def listening_socket(address: Address) -> socket.socket:
-    """Listen at an address; another process of the same user may listen there too, for the time of an upgrade."""
+    """Listen on an address; during an upgrade, another process of the same user may listen on it too."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     try:
         return socket.create_server(address, family=family, backlog=_BACKLOG, reuse_port=True)
-    except ValueError:  # a platform without reuse_port
+    except ValueError:  # the platform does not support reuse_port
         return socket.create_server(address, family=family, backlog=_BACKLOG)
 
 
 class Listener:
-    """Listens for clients and holds a bounded number of their connections."""
+    """Listens for clients and keeps a bounded number of their connections open."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         sock: socket.socket | None = None,
         counters: Counters | None = None,
     ) -> None:
-        """`msgpack_rpc`: None where only HTTP is spoken.  `sock`: a listening socket at `address`, handed over."""
+        """`msgpack_rpc`: None if only HTTP is supported.  `sock`: an inherited socket that listens on `address`."""
         self.callbacks = callbacks
         self.table = ConnectionTable(max_connections, callbacks, request_classes, counters or Counters())
         self.shedding = ConnectionShedding(max_connections)
@@ -57,14 +57,14 @@
         self._msgpack_rpc = msgpack_rpc
         self._next_sweep_at = 0.0
         self._accepting = False
-        self._starting: set[asyncio.Task[None]] = set()  # accepted, and not in the table yet
+        self._starting: set[asyncio.Task[None]] = set()  # accepted connections that are not in the table yet
         self._sock = sock or listening_socket(address)
         self._sock.setblocking(False)
         self.address: Address = self._sock.getsockname()[:2]
 
     @property
     def sock(self) -> socket.socket:
-        """The listening socket, for the process that replaces this one."""
+        """The listening socket, which is handed over to the process that replaces this one."""
         return self._sock
 
     @property
@@ -74,33 +74,33 @@
 
     @property
     def open_connections(self) -> int:
-        """How many connections are open, or about to be."""
+        """The number of connections that are open or being set up."""
         return len(self.table) + len(self._starting)
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Hold at most `max_connections` from now on; those that are open stay."""
+        """Change the connection limit; connections that are already open stay open."""
         self._max_connections = max_connections
         self.table.set_max_connections(max_connections)
         self.shedding.set_max_connections(max_connections)
 
     def start(self) -> None:
-        """Begin to accept and to sweep."""
+        """Start accepting connections and sweeping them for exceeded limits."""
         self._resume_accepting()
         self._schedule_sweep()
 
-    def apply(self, orders: DrainDecision) -> None:
-        """Carry out what a drain, or its end, orders now."""
-        self.table.draining, self.table.rejects_new = orders.closes_idle, orders.closes_unused
-        if not orders.accepts_connections:
-            self.stop(orders.ready)
-        if orders.closes_idle:
-            self.table.close_idle(only_used=not orders.closes_unused)
+    def apply(self, decision: DrainDecision) -> None:
+        """Apply the current decision of the drain."""
+        self.table.draining, self.table.rejects_new = decision.closes_idle, decision.closes_unused
+        if not decision.accepts_connections:
+            self.stop(decision.ready)
+        if decision.closes_idle:
+            self.table.close_idle(only_used=not decision.closes_unused)
 
     def stop(self, has_successor: bool = False) -> None:
-        """Listen no more; accept what waits first, unless another process accepts from the same queue.
+        """Stop listening; first accept the queued connections, unless another process accepts from the same queue.
 
-        Where there is no room for what waits, listening goes on until the next step of the drain.  Guards against the
-        reset that closing the socket would be for those clients.
+        Closing the socket would reset queued connections.  If there is no room to accept them all, the socket therefore
+        stays open until the next step of the drain.
         """
         if self._sock.fileno() < 0 or (not has_successor and not self._accept(_BACKLOG)):
             return
@@ -116,12 +116,12 @@
             asyncio.get_running_loop().add_reader(self._sock, self._accept)
 
     def _pause_accepting(self) -> None:
-        """Leave new connections in the kernel's queue for now."""
+        """Stop accepting for now; new connections wait in the kernel's queue."""
         self._accepting = False
         asyncio.get_running_loop().remove_reader(self._sock)
 
     def _accept(self, count_max: int = _ACCEPTS_PER_TURN) -> bool:
-        """Accept connections that wait; return whether none waits any more."""
+        """Accept queued connections; return whether the queue is empty."""
         for _ in range(count_max):
             if self.open_connections >= self._max_connections and not self.table.evict():
                 self._retry_accepting()
@@ -133,10 +133,10 @@
             except (InterruptedError, ConnectionAbortedError):
                 continue
             except OSError as error:
-                log.error("accept: %s", error)
+                log.error("accept failed: %s", error)
                 self._retry_accepting()
                 return False
-            if peer_has_closed(sock) or self._sheds():  # closed: it waited for longer than its client did
+            if peer_has_closed(sock) or self._should_shed():  # the client gave up while queued
                 sock.close()
             else:
                 self._start_connection(sock)
@@ -146,9 +146,9 @@
         self._pause_accepting()
         asyncio.get_running_loop().call_later(_ACCEPT_PAUSE_S, self._resume_accepting)
 
-    def _sheds(self) -> bool:
-        """Whether a connection just accepted is to be closed unread."""
-        if not self.shedding.sheds(self._count_busy):
+    def _should_shed(self) -> bool:
+        """Whether to close a newly accepted connection without reading from it."""
+        if not self.shedding.should_shed(self._count_busy):
             return False
         self.table.counters.count(ClientEvent.CONNECTION_SHED_UNREAD)
         return True
@@ -176,12 +176,12 @@
     # -- Sweeping -------------------------------------------------------------------------------------
 
     def _sweep(self) -> None:
-        """End connections that have passed their limit, and note whether this process keeps up."""
+        """End connections that have exceeded their limits, and record whether this sweep ran late."""
         now = asyncio.get_running_loop().time()
-        late = now > self._next_sweep_at + SWEEP_DELAY_S_MAX
-        self._schedule_sweep()  # first: whatever fails below, limits are checked again
+        is_late = now > self._next_sweep_at + SWEEP_DELAY_S_MAX
+        self._schedule_sweep()  # scheduled first, so that a failure below does not stop the sweeps
         self.table.end_overdue(now)
-        self.shedding.sweep_ran(late)
+        self.shedding.record_sweep(is_late)
 
     def _schedule_sweep(self) -> None:
         loop = asyncio.get_running_loop()
--- a/topazbank/core/loop_lag.py
+++ b/topazbank/core/loop_lag.py
@@ -1,4 +1,4 @@
-"""Logs when the event loop lags: everything that this process does is late then."""
+"""Logs event loop lag, which delays everything this process does."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 log = logging.getLogger(__name__)
 
-_INTERVAL_S: Final = 0.25  # between two checks
-_LOGGED_LAG_S: Final = 0.05  # a lag from which on it is logged
+_CHECK_INTERVAL_S: Final = 0.25
+_LAG_WARNING_THRESHOLD_S: Final = 0.05
 
 
 async def log_loop_lag() -> None:
-    """Check until cancelled."""
+    """Check the event loop's lag periodically until cancelled."""
     loop = asyncio.get_running_loop()
     while True:
-        due_at = loop.time() + _INTERVAL_S
-        await asyncio.sleep(_INTERVAL_S)
+        due_at = loop.time() + _CHECK_INTERVAL_S
+        await asyncio.sleep(_CHECK_INTERVAL_S)
         lag_s = loop.time() - due_at
-        if lag_s > _LOGGED_LAG_S:
-            log.warning("the event loop was %.0f ms late", lag_s * 1000)
+        if lag_s > _LAG_WARNING_THRESHOLD_S:
+            log.warning("event loop lag: %.0f ms", lag_s * 1000)
--- a/topazbank/core/net.py
+++ b/topazbank/core/net.py
@@ -1,4 +1,4 @@
-"""Addresses, the state of sockets, and the one read buffer."""
+"""Addresses, socket state, and the shared read buffer."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 Address = tuple[str, int]
 
-_TCP_ESTABLISHED: Final = 1  # the first byte of tcp_info (Linux, tcp.h) while neither side has closed
+_TCP_ESTABLISHED: Final = 1  # first byte of tcp_info (Linux, tcp.h) while neither side has closed
 
 
 def parse_address(text: str) -> Address:
-    """Read host:port; raise ValueError on anything else."""
+    """Parse host:port; raise ValueError if it is invalid."""
     host, colon, port = text.rpartition(":")
     if not host or not colon or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise ValueError(f"an address host:port is needed, not {text!r:.60}")
+        raise ValueError(f"expected host:port, got {text!r:.60}")
     return host.strip("[]"), int(port)
 
 
 def has_nothing_unread(sock: socket.socket) -> bool:
-    """Whether a connection is open and holds no unread byte."""
+    """Whether a connection is open and has no unread bytes."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except (BlockingIOError, InterruptedError):
@@ -32,7 +32,7 @@
 
 
 def is_connected(sock: socket.socket) -> bool:
-    """Whether connecting a socket has succeeded."""
+    """Whether a socket is connected."""
     try:
         sock.getpeername()
     except OSError:
@@ -41,35 +41,35 @@
 
 
 def peer_has_closed(sock: socket.socket) -> bool:
-    """Whether the other side has closed a connection, even if what it sent before is unread."""
+    """Whether the peer has closed a connection, even if data it sent before is still unread."""
     try:
         return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] != _TCP_ESTABLISHED
-    except OSError:  # no TCP
+    except OSError:  # not a TCP socket
         poll = select.poll()
         poll.register(sock, select.POLLRDHUP)
         return bool(poll.poll(0))
 
 
 def new_socket(address: Address) -> socket.socket:
-    """A TCP socket of an address's family."""
+    """Return a TCP socket of the address's family."""
     return socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
 
 
-# All connections of the process read into it, and copy what came at once.
+# Shared by all connections of the process, which copy the received data immediately.
 _READ_BUFFER = memoryview(bytearray(64 * 1024))
 
 
 class SharedBufferProtocol(asyncio.BufferedProtocol):
-    """A connection that reads through one buffer: by default each read allocates 256 KiB, which fragments the heap."""
+    """A connection that reads into a shared buffer: asyncio allocates 256 KiB per read, which fragments the heap."""
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """The buffer to read into (called by asyncio)."""
+        """Return the buffer to read into (called by asyncio)."""
         return _READ_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Bytes were read (called by asyncio)."""
+        """Pass on the bytes that were read (called by asyncio)."""
         self.data_received(bytes(_READ_BUFFER[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
-        """Handle what came."""
+        """Handle received data."""
         raise NotImplementedError
--- a/topazbank/core/sidecar.py
+++ b/topazbank/core/sidecar.py
@@ -1,4 +1,4 @@
-"""One sidecar: its components put together, and its steps from start to end."""
+"""A sidecar: assembles its components and runs them from startup to shutdown."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
 
 log = logging.getLogger(__name__)
 
-_DRAIN_STEP_S: Final = 0.02  # between two steps of a drain
-_HEALTH_CHECK_CONNECT_TIMEOUTS: Final = 4.0  # a health check may take this many connect timeouts
-# Left for discovery, operators, logs and the runtime, of the two processes of an upgrade.
+_DRAIN_STEP_S: Final = 0.02  # interval between the steps of a drain
+_HEALTH_CHECK_CONNECT_TIMEOUTS: Final = 4.0  # time limit of a health check, in connect timeouts
+# Reserved for discovery, the admin API, logs and the runtime, for both processes during an upgrade.
 _RESERVED_DESCRIPTORS: Final = 48
 
 
 class Sidecar:
-    """A balancer and the sockets around it."""
+    """A balancer with its sockets."""
 
     def __init__(
         self,
@@ -55,10 +55,10 @@
         gossip_socket: socket.socket | None = None,
         cluster_state: Mapping[str, Any] | None = None,
     ) -> None:
-        """Put it together; raise OSError where the address can't be listened at.
+        """Assemble the sidecar; raise OSError if it can't listen on the configured address.
 
-        `client_socket`, `gossip_socket`: bound already, from the process that this one replaces.  `cluster_state`: what
-        that process knew of the cluster.
+        `client_socket`, `gossip_socket`: bound sockets, inherited from the process that this one replaces.
+        `cluster_state`: the cluster state that the replaced process handed over.
         """
         self._config = config
         self._settings = settings = config.settings
@@ -77,15 +77,15 @@
         self.endpoint_watcher = self._make_watcher(components)
         self._membership: ClusterMembership | None = None
         self._gossip = self._make_gossip(components, gossip_socket, cluster_state or {})
-        self.drain = Drain(max(each.deadline_us for each in settings.classes) / 1e6)
-        self._drain_step: asyncio.TimerHandle | None = None
-        self._drained = asyncio.Event()
+        self.drain = Drain(max(request_class.deadline_us for request_class in settings.classes) / 1e6)
+        self._drain_timer: asyncio.TimerHandle | None = None
+        self._drain_finished = asyncio.Event()
         self._spool = Spool(config.handover_folder)
         self.listener = self._make_listener(components, client_socket)
         self._driver.register(WatchEndpoints, self._watch_endpoints)
         self._driver.register(SendGossip, self._send_gossip)
 
-    # -- Putting together -----------------------------------------------------------------------------
+    # -- Assembly -------------------------------------------------------------------------------------
 
     def _make_endpoint_table(self, components: Components) -> EndpointTable:
         connect_timeout_s = self._settings.limits.connect_timeout_us / 1e6
@@ -110,7 +110,7 @@
         sock: socket.socket | None,
         cluster_state: Mapping[str, Any],
     ) -> GossipTransport | None:
-        """The transport of messages between sidecars, with the cluster's membership on it; None where they are off."""
+        """Make the gossip transport, which also carries cluster membership; return None if gossip is off."""
         if self._config.gossip is None or not self._settings.limits.gossip:
             return None
         on_other_datagram = None
@@ -122,7 +122,7 @@
         return GossipTransport(self._config.gossip, self._gossip_received, sock, on_other_datagram)
 
     def _make_listener(self, components: Components, sock: socket.socket | None) -> Listener:
-        page = StatusPage(
+        status_page = StatusPage(
             self.counters, self._endpoint_table, self.endpoint_watcher, self._observer, self._membership
         )
         callbacks = RequestCallbacks(
@@ -130,7 +130,7 @@
             on_disconnect=self._requests.on_disconnect,
             is_in_flight=self._requests.is_in_flight,
             is_ready=self.drain.is_ready,
-            status_page=page.render if components.has_status_page else None,
+            status_page=status_page.render if components.has_status_page else None,
             spool=self._spool,
         )
         return Listener(
@@ -147,7 +147,7 @@
     def _with_fleet_size(self, config: SidecarConfig) -> SidecarConfig:
         return replace(config, fleet_size=self._balancer.fleet_size)
 
-    # -- Steps ----------------------------------------------------------------------------------------
+    # -- Life cycle -----------------------------------------------------------------------------------
 
     async def run(
         self,
@@ -155,18 +155,18 @@
         on_started: Callable[[], None] = lambda: None,
         has_successor: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Serve until `stop`, then answer all requests in progress and return.
+        """Serve until `stop` is set, then answer all requests in progress and return.
 
-        `on_started` is called once requests are accepted; `has_successor`: whether another process accepts new ones.
+        `on_started`: called once requests are accepted.  `has_successor`: whether another process accepts new requests.
         """
         self._log_start()
         await self._start()
         lag = asyncio.get_running_loop().create_task(log_loop_lag())
         on_started()
         self.drain.mark_started()
-        self.apply_drain()  # an operator may have ordered one already
+        self.apply_drain()  # an operator may already have requested a drain
         await stop.wait()
-        await self._drain_all(has_successor())
+        await self._drain_requests(has_successor())
         lag.cancel()
         await self._stop()
 
@@ -174,11 +174,12 @@
         settings = self._settings
         if self._trace is not None:
             classes = [
-                (each.name, each.priority_weight, each.latency_objective_us) for each in settings.classes
+                (request_class.name, request_class.priority_weight, request_class.latency_objective_us)
+                for request_class in settings.classes
             ]
             self._trace.record_start(self._clock.now(), classes, settings.fleet_size)
         log.info(
-            "endpoint list at the start: version %d, %d servers; polled within %.1f s, drain grace %.2f s, %d sidecars",
+            "initial endpoint list: version %d, %d servers; polled within %.1f s, drain grace %.2f s, %d sidecars",
             self._config.cached_endpoints.version,
             len(self._config.cached_endpoints.entries),
             settings.rules.poll_within_us / 1e6,
@@ -198,12 +199,12 @@
             generations = membership.generations if membership is not None else lambda: None
             self._observer.start(lambda: [server.name for server in self._balancer.ejected], generations)
 
-    async def _drain_all(self, has_successor: bool) -> None:
-        """Answer all requests in progress, in the time that the platform gives."""
+    async def _drain_requests(self, has_successor: bool) -> None:
+        """Answer all requests in progress within the time that the platform allows."""
         log.info("draining: %d requests in progress", self._requests.unanswered_count)
         self.drain.terminate(asyncio.get_running_loop().time(), has_successor)
         self.apply_drain()
-        await self._drained.wait()
+        await self._drain_finished.wait()
         self._requests.fail_unanswered()
         log.info("drained; counters %s", json.dumps(self.counters.as_mapping()))
 
@@ -220,27 +221,27 @@
         self._spool.close()
 
     def apply_drain(self) -> None:
-        """Carry out what the drain orders now, and again at short intervals until it is over."""
-        orders = self.drain.decide(asyncio.get_running_loop().time(), self.listener.open_connections)
-        self.listener.apply(orders)
-        if self._drain_step is not None:
-            self._drain_step.cancel()
-            self._drain_step = None
-        if orders.finished:
-            self._drained.set()
-        elif orders.closes_idle:
-            self._drain_step = asyncio.get_running_loop().call_later(_DRAIN_STEP_S, self.apply_drain)
-
-    # -- Replacement, of this process or of its source ------------------------------------------------
+        """Apply the current decision of the drain, and repeat at short intervals until the drain has finished."""
+        decision = self.drain.decide(asyncio.get_running_loop().time(), self.listener.open_connections)
+        self.listener.apply(decision)
+        if self._drain_timer is not None:
+            self._drain_timer.cancel()
+            self._drain_timer = None
+        if decision.finished:
+            self._drain_finished.set()
+        elif decision.closes_idle:
+            self._drain_timer = asyncio.get_running_loop().call_later(_DRAIN_STEP_S, self.apply_drain)
+
+    # -- Replacement of this process or of the endpoint source ----------------------------------------
 
     def pause_membership(self) -> None:
-        """Leave the cluster's datagrams to another process, which is this member from now on."""
+        """Stop acting as a cluster member; another process acts as this member from now on."""
         if self._membership is not None and self._gossip is not None:
             self._membership.suspend()
             self._gossip.pause()
 
     def resume_membership(self) -> None:
-        """Be the member again: that process has ended."""
+        """Act as the cluster member again after the other process has ended."""
         if self._membership is not None and self._gossip is not None:
             asyncio.get_running_loop().create_task(self._resume(self._gossip, self._membership))
 
@@ -251,37 +252,37 @@
 
     @property
     def cluster_state(self) -> dict[str, Any]:
-        """What the process that replaces this one needs to know of the cluster."""
+        """The cluster state to hand over to the process that replaces this one."""
         return self._membership.handover_state() if self._membership is not None else {}
 
     @property
     def listening_sockets(self) -> list[socket.socket]:
-        """The sockets for the process that replaces this one: for clients, and for gossip if there is any."""
+        """The sockets to hand over to the process that replaces this one: for clients, and for gossip if it is on."""
         gossip = self._gossip.sock if self._gossip is not None else None
         return [self.listener.sock, *([gossip] if gossip is not None else [])]
 
     @property
     def endpoint_list(self) -> EndpointList:
-        """The endpoint list as applied so far."""
+        """The endpoint list with all updates applied so far."""
         return self.endpoint_watcher.snapshot
 
     @property
     def open_connections(self) -> tuple[int, int]:
-        """Open connections: of clients, and to servers."""
+        """The numbers of open connections from clients and to servers."""
         return self.listener.open_connections, self._endpoint_table.connection_limit.open_count
 
     def set_max_connections(self, clients: int | None, servers: int | None) -> None:
-        """Bound connections of clients and to servers from now on; None: by the descriptors only."""
+        """Set the limits on connections from clients and to servers; None: limited by file descriptors only."""
         self.listener.set_max_connections(clients or self.max_connections)
         self._endpoint_table.connection_limit.max_open = servers or self.max_connections
 
     def move_discovery(self, address: Address) -> None:
-        """Use the discovery service at an address; if it is the present one, poll it anew."""
+        """Switch to the discovery service at `address`; if it is the current one, poll it again."""
         self.endpoint_watcher.move(address)
 
     def replace_source(self, config: SidecarConfig, components: Components) -> None:
-        """Use another source of the endpoint list; the present list holds until the new source has given a snapshot."""
-        log.info("the endpoint list comes from other sources now")
+        """Replace the endpoint source; the current list stays in use until the new source has delivered a snapshot."""
+        log.info("endpoint sources replaced")
         source = partial(components.endpoint_source, self._with_fleet_size(config))
         self.endpoint_watcher.set_source(source, components.protocol_defaults)
         self.endpoint_watcher.source_replaced()
