--- a/tests/test_connection_shedding.py
+++ b/tests/test_connection_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding of new connections: only while sweeps are late, and only a few."""
+"""Load shedding of new connections: only while sweeps are late, and only a small share."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     shedding = ConnectionShedding(1000)
     for _ in range(50):
         shedding.record_sweep(is_late=True)
-    assert shedding.busy_max == 32  # so few are always tolerated
+    assert shedding.busy_max == 32  # the minimum
     assert shed_count(shedding, 31, 10_000) == 0
     for _ in range(50):
         shedding.record_sweep(is_late=False)
@@ -35,7 +35,7 @@
     assert shed_count(shedding, 500, 249) == 0
     assert shed_count(shedding, 500, 10_000) <= 10_249 / 250
     assert shed_count(shedding, 0, 10_000) == 0
-    assert shed_count(shedding, 500, 10) == 2  # saved up
+    assert shed_count(shedding, 500, 10) == 2  # the accumulated allowance
 
 
 def test_a_lower_bound_on_connections_holds_at_once() -> None:
--- a/tests/test_connection_states.py
+++ b/tests/test_connection_states.py
@@ -1,4 +1,4 @@
-"""The time that a request may take to come: whoever stops hears in time, whoever goes on is left alone."""
+"""Time limits of incoming requests: stalled clients are ended in time, and steadily sending clients never are."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
     PartialRequest,
 )
 
-NOW, RATE, HELD_UP_S = 50.0, 64_000, 0.15
+NOW, BODY_BYTES_PER_S, SCHEDULING_DELAY_S = 50.0, 64_000, 0.15
 
 
 def test_every_state_but_that_of_a_request_in_progress_has_one_limit() -> None:
     limited = [*STATE_LIMITS_S, *PARTIAL_STATES]
-    assert sorted(each.name for each in limited) == sorted(
-        each.name for each in ConnectionState if each is not ConnectionState.AWAITING_ANSWER
+    assert sorted(state.name for state in limited) == sorted(
+        state.name for state in ConnectionState if state is not ConnectionState.AWAITING_ANSWER
     )
 
 
 def test_the_limits_leave_time_for_a_sweep_and_a_scheduling_delay() -> None:
-    assert max(STALL_LIMIT_S, HEAD_LIMIT_S) + SWEEP_INTERVAL_S + HELD_UP_S <= STALL_ANSWER_S
+    assert max(STALL_LIMIT_S, HEAD_LIMIT_S) + SWEEP_INTERVAL_S + SCHEDULING_DELAY_S <= STALL_ANSWER_S
 
 
 @pytest.mark.parametrize("in_body", [False, True])
-@pytest.mark.parametrize("went_on_s", [0.0, 0.4, 1.9])
-def test_a_stalled_client_is_overdue_in_time_for_its_answer(in_body: bool, went_on_s: float) -> None:
+@pytest.mark.parametrize("progress_s", [0.0, 0.4, 1.9])
+def test_a_stalled_client_is_overdue_in_time_for_its_answer(in_body: bool, progress_s: float) -> None:
     partial = PartialRequest(NOW)
     if in_body:
         partial.head_completed(NOW)
-    stopped = NOW + went_on_s
-    partial.received(stopped, 100_000_000)
-    assert not partial.is_overdue(stopped)
-    assert partial.is_overdue(stopped + STALL_LIMIT_S) and partial.deadline() <= stopped + STALL_LIMIT_S
-    assert not partial.answer_is_late(stopped + STALL_ANSWER_S) and partial.answer_is_late(
-        stopped + STALL_ANSWER_S + 0.01
+    stalled_at = NOW + progress_s
+    partial.received(stalled_at, 100_000_000)
+    assert not partial.is_overdue(stalled_at)
+    assert partial.is_overdue(stalled_at + STALL_LIMIT_S) and partial.deadline() <= stalled_at + STALL_LIMIT_S
+    assert not partial.answer_is_late(stalled_at + STALL_ANSWER_S) and partial.answer_is_late(
+        stalled_at + STALL_ANSWER_S + 0.01
     )
 
 
@@ -53,7 +53,7 @@
     for second in range(1, 501):  # 32 MB
         now = NOW + 2.0 + second
         assert not partial.is_overdue(now)
-        partial.received(now, RATE)
+        partial.received(now, BODY_BYTES_PER_S)
 
 
 def test_a_dripping_body_is_overdue_soon_though_it_never_stalls() -> None:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect while their request waits: nothing of it is sent, by the servers' own logs."""
+"""Clients that disconnect while their request waits: the servers' logs must show no request sent for them."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 from topazbank.msgpackrpc import server as rpc_server
 
 Disconnect = Callable[[Client], None]
-AFTER_S = 0.4  # a request that arrives so long after its client disconnected was sent for nobody
-FULL = answer(503, b"", X_Rejected="1")
+LATE_REQUEST_WAIT_S = 0.4  # how long to wait for requests that are wrongly sent after the disconnect
+REJECTED_ANSWER = answer(503, b"", X_Rejected="1")
 
 
-def close(one: Client) -> None:
-    one.writer.close()
+def close(test_client: Client) -> None:
+    test_client.writer.close()
 
 
-def reset_connection(one: Client) -> None:
-    wire.reset_connection(one.writer)
+def reset_connection(test_client: Client) -> None:
+    wire.reset_connection(test_client.writer)
 
 
 @pytest.fixture(params=[close, reset_connection])
@@ -45,28 +45,28 @@
     return request.param  # type: ignore[no-any-return]
 
 
-def silent(*_: object) -> None:
+def no_answer(*_: object) -> None:
     return None
 
 
 async def assert_no_more_than(w: World, count: int) -> None:
-    """Check that the servers have logged `count` requests, and log no more."""
-    await asyncio.sleep(AFTER_S)
+    """Check that the servers have logged `count` requests, and receive no more."""
+    await asyncio.sleep(LATE_REQUEST_WAIT_S)
     assert len(w.sent()) == count
     await until(lambda: not w.sidecar._requests.live)
 
 
-async def send_and_fill(w: World, one: Client) -> None:
-    """Send a request that waits at a server, and so much behind it that its connection is not read any further."""
-    one.send(request("pay", body=b"x"))
+async def send_and_fill(w: World, test_client: Client) -> None:
+    """Send a request that a server holds, and enough data behind it that the sidecar stops reading."""
+    test_client.send(request("pay", body=b"x"))
     await until(w.sent)
     if pair().client == HTTP:
-        one.send(
+        test_client.send(
             request("pay", body=b"y" * BUFFERED_BODY_BYTES_MAX, X_Call_Id="behind")
             + bytes(BUFFERED_BODY_BYTES_MAX)
         )
     else:
-        one.send(request("pay", body=b"y", X_Call_Id="behind"))
+        test_client.send(request("pay", body=b"y", X_Call_Id="behind"))
     connection = next(iter(w.sidecar.listener.connections))
     await until(lambda: connection._transport is not None and not connection._transport.is_reading())
 
@@ -75,17 +75,17 @@
 def test_no_retry_is_sent_for_a_client_whose_disconnect_is_unread(
     disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Its connection is not read any further, so its end goes unnoticed; then the server rejects the attempt.
+    # The sidecar has stopped reading, so it misses the disconnect; then the server rejects the attempt.
     monkeypatch.setattr(rpc_server, "CALLS_MAX", 1)
 
     async def scenario() -> None:
-        async with world(silent, silent) as w:
-            one = await client(w.sidecar.listener.address)
-            await send_and_fill(w, one)
-            disconnect(one)
+        async with world(no_answer, no_answer) as w:
+            test_client = await client(w.sidecar.listener.address)
+            await send_and_fill(w, test_client)
+            disconnect(test_client)
             await asyncio.sleep(0.05)
             for server in w.servers:
-                server.answer_held(FULL)
+                server.answer_held(REJECTED_ANSWER)
             await assert_no_more_than(w, 1)
             await until(lambda: not w.sidecar.listener.connections)
 
@@ -93,23 +93,23 @@
 
 
 @pytest.mark.usefixtures("each_pair")
-@pytest.mark.parametrize("unseen", [False, True])
+@pytest.mark.parametrize("reading_stopped", [False, True])
 def test_a_pipelined_request_is_not_sent_for_a_client_that_disconnected(
-    unseen: bool, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
+    reading_stopped: bool, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(rpc_server, "CALLS_MAX", 1)
 
     async def scenario() -> None:
-        async with world(silent) as w:
-            one = await client(w.sidecar.listener.address)
-            if unseen:
-                await send_and_fill(w, one)
+        async with world(no_answer) as w:
+            test_client = await client(w.sidecar.listener.address)
+            if reading_stopped:
+                await send_and_fill(w, test_client)
             else:
-                one.send(request("pay", body=b"x"))
+                test_client.send(request("pay", body=b"x"))
                 await until(w.sent)
-                if pair().client == HTTP:  # MessagePack-RPC would not be read any further
-                    one.send(request("pay", body=b"y", X_Call_Id="behind"))
-            disconnect(one)
+                if pair().client == HTTP:  # over MessagePack-RPC the sidecar would stop reading
+                    test_client.send(request("pay", body=b"y", X_Call_Id="behind"))
+            disconnect(test_client)
             await asyncio.sleep(0.05)
             w.servers[0].answer_held(answer(200, b"done"))
             await assert_no_more_than(w, 1)
@@ -121,16 +121,16 @@
 @pytest.mark.parametrize("kind", ["look", "amend", "pay"])
 def test_no_retry_is_sent_for_a_client_that_disconnected(kind: str, disconnect: Disconnect) -> None:
     async def scenario() -> None:
-        async with world(silent, silent) as w:
-            one = await client(w.sidecar.listener.address)
-            one.send(request(kind, body=b"" if kind == "look" else b"x"))
+        async with world(no_answer, no_answer) as w:
+            test_client = await client(w.sidecar.listener.address)
+            test_client.send(request(kind, body=b"" if kind == "look" else b"x"))
             await until(w.sent)
-            disconnect(one)
+            disconnect(test_client)
             for server in w.servers:
-                server.answer_held(FULL)  # it may come before the client's end, or after
+                server.answer_held(REJECTED_ANSWER)  # may arrive before or after the disconnect
             count = len(w.sent())
             await until(lambda: not w.sidecar._requests.live)
-            count = max(count, min(len(w.sent()), 2))  # a retry before the disconnect came is no fault
+            count = max(count, min(len(w.sent()), 2))  # a retry before the disconnect is allowed
             await assert_no_more_than(w, count)
 
     play(scenario())
@@ -144,21 +144,21 @@
     async def scenario() -> None:
         limits = {"max_attempts": 3, "cancellation": True, "connect_timeout_us": 60 * S}
         with full_listener() as (listener, fillers):
-            async with world(silent, limits=limits) as w:
+            async with world(no_answer, limits=limits) as w:
                 address = listener.getsockname()
                 w.sidecar._endpoint_table.update("s-0", address, None, ServerState.READY, pair().nodes)
-                one = await client(w.sidecar.listener.address)
-                one.send(request("pay", body=b"x"))
+                test_client = await client(w.sidecar.listener.address)
+                test_client.send(request("pay", body=b"x"))
                 await until(lambda: w.sidecar._endpoint_table.connection_limit.open_count == 1)
                 if unread:
                     connection = next(iter(w.sidecar.listener.connections))
                     assert connection._transport is not None
                     connection._transport.pause_reading()
-                disconnect(one)
+                disconnect(test_client)
                 await asyncio.sleep(0.05)
                 assert not await received_at(listener, fillers)
                 await until(lambda: not w.sidecar._requests.live)
-                # A connection that other requests may share stays open.
+                # A connection shared with other requests stays open.
                 assert not w.sent() and w.sidecar._endpoint_table.connection_limit.open_count <= (
                     pair().nodes != HTTP
                 )
@@ -170,19 +170,22 @@
 def test_a_queued_request_of_an_ordered_key_is_not_sent_for_a_client_that_disconnected(
     disconnect: Disconnect,
 ) -> None:
-    # It waits in the balancer for the one before it, and its connection is not read any further.
-    ordered = [each | {"deadline_us": 600 * S, "ordered_by_key": True} for each in (SAFE, UNSAFE, KEYED)]
+    # The request waits in the balancer for the previous one, and the sidecar has stopped reading its connection.
+    ordered = [
+        request_class | {"deadline_us": 600 * S, "ordered_by_key": True}
+        for request_class in (SAFE, UNSAFE, KEYED)
+    ]
 
     async def scenario() -> None:
-        async with world(silent, classes=ordered) as w:
+        async with world(no_answer, classes=ordered) as w:
             first, second = [await client(w.sidecar.listener.address) for _ in range(2)]
             first.send(request("pay", body=b"x", X_Call_Id="first"))
             await until(w.sent)
             second.send(request("pay", body=b"y", X_Call_Id="second"))
             await until(lambda: len(w.sidecar._requests.live) == 2)
-            for each in w.sidecar.listener.connections:
-                if each._transport is not None:
-                    each._transport.pause_reading()
+            for connection in w.sidecar.listener.connections:
+                if connection._transport is not None:
+                    connection._transport.pause_reading()
             disconnect(second)
             await asyncio.sleep(0.05)
             w.servers[0].answer_held(answer(200, b"done"))
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts and stops it, in a process of its own."""
+"""Start, signals and shutdown of the program in its own process."""
 
 from __future__ import annotations
 
@@ -49,12 +49,14 @@
 
 def config(**changes: Any) -> dict[str, Any]:
     known = {"index": 1, "snapshot": True, "endpoints": []}
-    given = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "8c1f"}
-    return given | {"known": known, "settings": SETTINGS} | changes
+    defaults = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "8c1f"}
+    return defaults | {"known": known, "settings": SETTINGS} | changes
 
 
-async def launch(path: Path, given: object) -> asyncio.subprocess.Process:
-    path.write_text(given if isinstance(given, str) else json.dumps(given), encoding="utf-8")
+async def launch(path: Path, configuration: object) -> asyncio.subprocess.Process:
+    path.write_text(
+        configuration if isinstance(configuration, str) else json.dumps(configuration), encoding="utf-8"
+    )
     return await launch_at(path)
 
 
@@ -64,7 +66,7 @@
         sys.executable,
         *(
             ["-P"] if sys.flags.safe_path else []
-        ),  # the copy that these tests run on, and not what lies beside them
+        ),  # import the copy under test, not the one in the working directory
         "-m",
         "topazbank",
         "--operator",
@@ -76,7 +78,7 @@
 
 
 @pytest.mark.parametrize(
-    "given",
+    "configuration",
     [
         "not json",
         "[]",
@@ -90,9 +92,9 @@
         config(limits={"sockets": "many"}),
     ],
 )
-def test_an_invalid_configuration_ends_the_start_with_one_line(given: object, tmp_path: Path) -> None:
+def test_an_invalid_configuration_ends_the_start_with_one_line(configuration: object, tmp_path: Path) -> None:
     async def scenario() -> None:
-        process = await launch(tmp_path / "config.json", given)
+        process = await launch(tmp_path / "config.json", configuration)
         _, err = await asyncio.wait_for(process.communicate(), PATIENCE_S)
         assert process.returncode == 2
         assert len(err.decode().strip().splitlines()) == 1 and err.startswith(b"bad configuration: ")
@@ -122,13 +124,13 @@
 
 
 def test_a_flood_of_log_lines_is_limited() -> None:
-    flood = LogRateLimiter(3)
-    lines = [logging.makeLogRecord({"created": at}) for at in (7.0, 7.1, 7.2, 7.3, 7.9, 8.0)]
-    assert [flood.filter(each) for each in lines] == [True, True, True, False, False, True]
+    limiter = LogRateLimiter(3)
+    records = [logging.makeLogRecord({"created": at}) for at in (7.0, 7.1, 7.2, 7.3, 7.9, 8.0)]
+    assert [limiter.filter(record) for record in records] == [True, True, True, False, False, True]
 
 
-def says_close(headers: dict[str, str]) -> bool:
-    """Whether an answer tells that its connection ends, where its protocol can tell."""
+def announces_close(headers: dict[str, str]) -> bool:
+    """Whether a response announces the close of its connection; always true if the protocol cannot express it."""
     return pair().client != HTTP or headers["connection"] == "close"
 
 
@@ -136,16 +138,16 @@
 async def program(
     tmp_path: Path, server: FakeServer, discovery: FakeDiscovery | None = None, **changes: Any
 ) -> AsyncIterator[tuple[Any, Address]]:
-    """The program, ready, with one server behind it; `changes` of its configuration."""
+    """Run the program with one server until it is ready; `changes` override its configuration."""
     discovery = discovery or FakeDiscovery()
     await discovery.start()
     await server.start()
     known = {"index": 1, "snapshot": True, "endpoints": [server.entry()]}
-    where = "{}:{}".format(*discovery.address)
-    (listen,) = free_addresses(private_loopback_host(), 1)  # port 0 is no address to be told
+    discovery_address = "{}:{}".format(*discovery.address)
+    (listen,) = free_addresses(private_loopback_host(), 1)  # with port 0 the test would not know the port
     process = await launch(
         tmp_path / "config.json",
-        config(listen="{}:{}".format(*listen), discovery=where, known=known, **changes),
+        config(listen="{}:{}".format(*listen), discovery=discovery_address, known=known, **changes),
     )
     try:
         async with asyncio.timeout(PATIENCE_S):
@@ -180,10 +182,10 @@
             assert await idle.is_closed()
             server.answer_held(answer(200, b"held"))
             status, headers, body = await in_progress.answer()
-            assert (status, body) == (200, b"held") and says_close(headers)
+            assert (status, body) == (200, b"held") and announces_close(headers)
             assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
-            for each in (idle, in_progress):
-                each.close()
+            for connection in (idle, in_progress):
+                connection.close()
 
     play(scenario())
 
@@ -195,8 +197,8 @@
             in_progress = await client(listen)
             in_progress.send(request("pay", body=b"x"))
             await until(lambda: server.requests)
-            for each in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
-                process.send_signal(each)
+            for signum in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
+                process.send_signal(signum)
                 await asyncio.sleep(0.02)
             server.answer_held(answer(200, b"held"))
             assert (await in_progress.answer())[::2] == (200, b"held")
@@ -209,9 +211,9 @@
 
 @pytest.mark.usefixtures("each_pair")
 def test_connections_queued_in_the_kernel_are_served_when_listening_ends() -> None:
-    # Guards against closing a listener over connections that were accepted by the kernel alone: they would be reset.
+    # Closing the listening socket would reset connections that only the kernel has accepted so far.
     async def scenario() -> None:
-        async with world(lambda *_: None, sockets=50) as w:  # one of them for clients
+        async with world(lambda *_: None, sockets=50) as w:  # room for one client
             in_progress = await client(w.sidecar.listener.address)
             in_progress.send(request("pay", body=b"x"))
             await until(w.sent)
@@ -219,12 +221,12 @@
             waiting.send(request("pay", body=b"y", X_Call_Id="waiting"))
             w.stop.set()
             await until(lambda: w.sidecar.listener.table.rejects_new)
-            await asyncio.sleep(0.05)  # a few steps of the drain
+            await asyncio.sleep(0.05)  # several steps of the drain
             w.servers[0].script = lambda *_: answer(200, b"served")
             w.servers[0].answer_held(answer(200, b"held"))
             assert (await in_progress.answer())[2] == b"held"
             in_progress.close()
-            # Over MessagePack-RPC calls that come so late are rejected: their clients keep their connections.
+            # Over MessagePack-RPC, calls this late are rejected, because clients keep their connections.
             assert (await waiting.answer())[0] == (200 if pair().client == HTTP else 503)
             waiting.close()
             await asyncio.wait_for(w.sidecar._drain_finished.wait(), PATIENCE_S)
@@ -252,7 +254,7 @@
 def test_a_drain_still_accepts_connections_and_serves_those_just_opened(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards the 0.4 s in which connections still come; longer here, so that a slow machine does not miss them.
+    # Connections are accepted for another 0.4 s in a drain; extended here so that slow machines pass.
     monkeypatch.setattr(drain, "ACCEPT_AFTER_DRAIN_S", 600.0)
 
     async def scenario() -> None:
@@ -264,16 +266,16 @@
             opened = await client(listen)
             await until(lambda: len(w.sidecar.listener.connections) == 2)
             w.stop.set()
-            # Idle connections are closed while a request that crosses the close can still come again.
+            # Idle connections are closed while clients can still retry a request that crosses the close.
             assert await idle.is_closed()
             assert (await ask(listen, request(path="/health/ready")))[0] == 503
-            # What was just opened keeps its request, and so does what is opened now.
-            for each in (opened, await client(listen)):
-                each.send(request())
-                status, headers, body = await each.answer()
-                assert (status, body) == (200, b"served") and says_close(headers)
-                assert await each.is_closed()
-                each.close()
+            # Connections opened shortly before or during the drain are still served.
+            for connection in (opened, await client(listen)):
+                connection.send(request())
+                status, headers, body = await connection.answer()
+                assert (status, body) == (200, b"served") and announces_close(headers)
+                assert await connection.is_closed()
+                connection.close()
             idle.close()
 
     play(scenario())
@@ -288,17 +290,17 @@
         path, pipe = tmp_path / "config.json", tmp_path / "config.pipe"
         os.mkfifo(pipe)
         path.symlink_to(pipe)
-        places = [
-            json.dumps(config(listen="{}:{}".format(*listen), discovery="{}:{}".format(*each.address)))
-            for each in (old, new)
+        configurations = [
+            json.dumps(config(listen="{}:{}".format(*listen), discovery="{}:{}".format(*discovery.address)))
+            for discovery in (old, new)
         ]
         process = await launch_at(path)
-        writer = await asyncio.to_thread(open, pipe, "w")  # it is open once the program reads
+        writer = await asyncio.to_thread(open, pipe, "w")  # blocks until the program opens the pipe to read
         path.unlink()
-        path.write_text(places[1], encoding="utf-8")
+        path.write_text(configurations[1], encoding="utf-8")
         process.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.2)
-        writer.write(places[0])
+        writer.write(configurations[0])
         writer.close()
         await until(lambda: new.targets)
         process.send_signal(signal.SIGTERM)
@@ -319,27 +321,27 @@
         server = FakeServer("s-0", lambda *_: answer(200, b"served"))
         path = tmp_path / "config.json"
 
-        def replaced(discovery: FakeDiscovery) -> str:
+        def config_with(discovery: FakeDiscovery) -> str:
             return json.dumps(config(discovery="{}:{}".format(*discovery.address)))
 
         async with program(tmp_path, server, old) as (process, listen):
             await until(lambda: old.targets)
-            begun = await asyncio.wait_for(process.stderr.readline(), PATIENCE_S)
-            assert b"initial endpoint list" in begun
-            for junk in ("not json", json.dumps(config(discovery="nowhere"))):
-                path.write_text(junk, encoding="utf-8")
+            first_line = await asyncio.wait_for(process.stderr.readline(), PATIENCE_S)
+            assert b"initial endpoint list" in first_line
+            for invalid_configuration in ("not json", json.dumps(config(discovery="nowhere"))):
+                path.write_text(invalid_configuration, encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
                 line = await asyncio.wait_for(process.stderr.readline(), PATIENCE_S)
                 assert b"the configuration stays as it was" in line
-            for number, now in enumerate((first, second), start=1):
-                path.write_text(replaced(now), encoding="utf-8")
+            for number, discovery in enumerate((first, second), start=1):
+                path.write_text(config_with(discovery), encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
-                # A snapshot is asked for: what came from elsewhere may be behind, or ahead.
-                await until(partial(now.called, 1))
-                assert now.targets == ["/registry/instances"]
-                now.say(number, [server.entry()], snapshot=True)
-                await until(partial(now.called, 2))
-                assert now.targets[1].startswith(f"/registry/instances?after={number}&wait_ms=")
+                # The sidecar requests a snapshot: updates from the previous service may be older or newer.
+                await until(partial(discovery.called, 1))
+                assert discovery.targets == ["/registry/instances"]
+                discovery.say(number, [server.entry()], snapshot=True)
+                await until(partial(discovery.called, 2))
+                assert discovery.targets[1].startswith(f"/registry/instances?after={number}&wait_ms=")
             assert (await ask(listen, request()))[0] == 200
             assert len(old.targets) == 1 and len(first.targets) == 2
             process.send_signal(signal.SIGTERM)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""Clients' connections over loopback: invalid input, reuse, defects, bounds."""
+"""Client connections over loopback: invalid input, reuse, defects, limits."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 BIG = bytes(64 * 1024 + 1)
 
 
-# Guards servers against requests that this sidecar could not answer for: none of these may be forwarded.
+# Invalid requests must be rejected by the sidecar and never reach a server.
 @pytest.mark.parametrize(
     ("data", "status"),
     [
@@ -88,9 +88,9 @@
             writer.write(data)
             head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
             assert head.startswith(b"HTTP/1.1 %d " % status)
-            await asyncio.wait_for(reader.read(), PATIENCE_S)  # to the end of the connection
+            await asyncio.wait_for(reader.read(), PATIENCE_S)  # until the connection is closed
             writer.close()
-            assert (await w.ask())[0] == 200  # and the sidecar goes on
+            assert (await w.ask())[0] == 200  # the sidecar still serves
             assert len(w.sent()) == 1
 
     play(scenario())
@@ -133,9 +133,9 @@
     async def scenario() -> None:
         async with world() as w:
             loop = asyncio.get_running_loop()
-            began = loop.time()
+            started_at = loop.time()
             assert (await w.ask(budget="30"))[0] == 503
-            assert loop.time() - began < 15.0
+            assert loop.time() - started_at < 15.0
             assert (await ask(w.sidecar.listener.address, request(path="/health/ready")))[0] == 200
 
     play(scenario())
@@ -143,14 +143,14 @@
 
 @pytest.mark.usefixtures("each_client")
 def test_a_connection_goes_on_after_an_immediate_rejection(caplog: pytest.LogCaptureFixture) -> None:
-    # Guards against mistaking a request that is answered while it is accepted for a defect, which ended its connection.
+    # A request answered while it is accepted must not be treated as a defect, which closed its connection.
     async def scenario() -> None:
         async with world() as w:
-            one = await client(w.sidecar.listener.address)
+            test_client = await client(w.sidecar.listener.address)
             for number in range(3):
-                one.send(request(X_Call_Id=f"refused-{number}"))
-                assert (await one.answer())[0] == 503
-            one.close()
+                test_client.send(request(X_Call_Id=f"refused-{number}"))
+                assert (await test_client.answer())[0] == 503
+            test_client.close()
 
     play(scenario())
     assert "could not be handled" not in caplog.text
@@ -170,18 +170,18 @@
     play(scenario())
 
 
-# Guards against a defect that would end the process or leave its request unanswered.
+# A defect must neither end the process nor leave its request unanswered.
 @pytest.mark.usefixtures("each_pair")
 @pytest.mark.interpreted
 def test_a_defect_fails_its_request_and_nothing_else(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         async with world(served) as w:
-            real = w.sidecar._balancer.handle
+            original = w.sidecar._balancer.handle
 
             def faulty(now: int, event: Event) -> list[Action]:
                 if isinstance(event, RequestArrived) and event.request_class == "pay":
                     raise ZeroDivisionError
-                return real(now, event)
+                return original(now, event)
 
             monkeypatch.setattr(w.sidecar._balancer, "handle", faulty)
             assert (await w.ask(kind="pay", body=b"x"))[0] == 500
@@ -227,7 +227,7 @@
 
 @pytest.mark.usefixtures("each_pair")
 def test_clients_beyond_the_bound_replace_idle_ones() -> None:
-    # Guards the descriptors: 50 of them leave one for clients.
+    # With 50 descriptors, the limit is one client connection.
     async def scenario() -> None:
         async with world(served, sockets=50) as w:
             first = await client(w.sidecar.listener.address)
@@ -242,7 +242,7 @@
 
 
 async def slow_reader(w: World) -> tuple[socket.socket, bytes]:
-    """A client that has read one byte of an answer, of which small buffers take little, and that byte."""
+    """Return a client that has read one byte of its response, and that byte; buffers hold little of the rest."""
     w.sidecar.listener.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     slow = socket.socket()
     slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -264,15 +264,15 @@
 
 
 def test_a_connection_whose_answer_is_not_all_written_is_not_evicted() -> None:
-    # Guards rule 1: a client that reads its answer slowly gets the rest of it, however many others come.
+    # A client that reads its response slowly must receive all of it, however many other clients connect.
     async def scenario() -> None:
         whole = bytes(60_000) + b"end"
-        async with world(lambda *_: answer(200, whole), sockets=50) as w:  # one of them for clients
+        async with world(lambda *_: answer(200, whole), sockets=50) as w:  # room for one client
             slow, first = await slow_reader(w)
-            asking = asyncio.create_task(w.ask(X_Call_Id="other"))
-            await asyncio.sleep(0.2)  # by now the other's connection is in the kernel's queue
+            other_request = asyncio.create_task(w.ask(X_Call_Id="other"))
+            await asyncio.sleep(0.2)  # the other connection is in the kernel's queue by now
             assert (first + await read_rest(slow)).endswith(whole)
-            assert (await asking)[0] == 200  # and then there is room
+            assert (await other_request)[0] == 200  # now there is room
             slow.close()
 
     play(scenario())
@@ -282,23 +282,23 @@
 def test_a_connection_with_a_pipelined_request_is_not_evicted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Its connection is idle for one turn of the event loop, between the answer before it and its reading.
+    # The connection is idle for one event loop iteration, between the first response and reading the second request.
     async def scenario() -> None:
         async with world(served, sockets=50) as w:
             evicted: list[bool] = []
-            over = HttpConnection._answer_sent
+            answer_sent = HttpConnection._answer_sent
 
-            def crossed(connection: HttpConnection, *args: Any) -> None:
-                over(connection, *args)
+            def answer_sent_then_evict(connection: HttpConnection, *args: Any) -> None:
+                answer_sent(connection, *args)
                 evicted.append(w.sidecar.listener.table.evict())
 
-            monkeypatch.setattr(HttpConnection, "_answer_sent", crossed)
-            one = await client(w.sidecar.listener.address)
-            one.send(request() + request(X_Call_Id="ahead"))
+            monkeypatch.setattr(HttpConnection, "_answer_sent", answer_sent_then_evict)
+            test_client = await client(w.sidecar.listener.address)
+            test_client.send(request() + request(X_Call_Id="ahead"))
             for _ in range(2):
-                assert (await one.answer())[0] == 200
+                assert (await test_client.answer())[0] == 200
             assert evicted[0] is False
-            one.close()
+            test_client.close()
 
     play(scenario())
 
@@ -307,17 +307,17 @@
     class FailingSocket:
         """A listening socket whose first accepts fail."""
 
-        def __init__(self, real: socket.socket) -> None:
-            self.real, self.failures = real, 3
+        def __init__(self, original: socket.socket) -> None:
+            self.original, self.failures = original, 3
 
         def accept(self) -> object:
             if self.failures:
                 self.failures -= 1
                 raise OSError(errno.EMFILE, "Too many open files")
-            return self.real.accept()
+            return self.original.accept()
 
         def fileno(self) -> int:
-            return self.real.fileno()
+            return self.original.fileno()
 
     async def scenario() -> None:
         taken = FinalAnswer(Verdict.SERVED, b"taken")
@@ -326,11 +326,11 @@
         )
         rules = RequestClasses(settings(classes=CLASSES))
         listener = Listener(("127.0.0.1", 0), 5, callbacks, rules, HttpConnection)
-        real = listener._sock
-        listener._sock = FailingSocket(real)  # type: ignore[assignment]
+        original = listener._sock
+        listener._sock = FailingSocket(original)  # type: ignore[assignment]
         listener.start()
         assert (await ask(listener.address, request()))[2] == b"taken"
-        listener._sock = real
+        listener._sock = original
         listener.stop()
         await until(lambda: not listener.open_connections)
 
@@ -338,7 +338,7 @@
 
 
 def test_a_connection_with_an_unread_request_is_not_idle() -> None:
-    # Guards against closing a connection under a request that the kernel has received and this process has not read.
+    # A connection must not be closed while the kernel holds a request that this process has not read yet.
     async def scenario() -> None:
         async with world(served) as w:
             _, writer = await asyncio.open_connection(*w.sidecar.listener.address)
@@ -347,7 +347,7 @@
             assert connection.is_idle()
             peer = writer.get_extra_info("socket")
             peer_fd = socket.socket(fileno=socket.dup(peer.fileno()))
-            peer_fd.send(request())  # within one step of the event loop
+            peer_fd.send(request())  # within one iteration of the event loop
             assert not connection.is_idle()
             peer_fd.close()
             writer.close()
@@ -356,7 +356,7 @@
 
 
 def test_a_rejection_arrives_though_the_body_is_still_being_sent() -> None:
-    # Guards against closing on unread bytes, which resets the connection and the answer with it.
+    # Closing a socket with unread bytes resets the connection, which discards the response.
     async def scenario() -> None:
         async with world(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
@@ -404,7 +404,7 @@
             assert (await first.answer())[2] == b"the first's"
             assert [body for _, _, body in w.sent()] == [b"first"]
             w.servers[0].script = served
-            assert (await w.ask(kind="pay"))[0] == 200  # once it is over the id is free
+            assert (await w.ask(kind="pay"))[0] == 200  # the ID is free once the first request has finished
             first.close()
 
     play(scenario())
@@ -415,8 +415,8 @@
         async with world(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
             writer.write(request(path="/elsewhere", method="HEAD"))
-            got = await asyncio.wait_for(reader.read(), PATIENCE_S)
-            assert got.startswith(b"HTTP/1.1 404 ") and got.endswith(b"\r\n\r\n")
+            response = await asyncio.wait_for(reader.read(), PATIENCE_S)
+            assert response.startswith(b"HTTP/1.1 404 ") and response.endswith(b"\r\n\r\n")
             writer.close()
 
     play(scenario())
@@ -452,10 +452,10 @@
             writer.write(request("pay", body=b"held"))
             await until(w.sent)
             writer.write(behind)
-            # The request that was read is answered; it may have been executed, so it is failed.
-            got = await asyncio.wait_for(reader.read(), PATIENCE_S)
-            assert got.startswith(b"HTTP/1.1 500 ") and got.count(b"HTTP/1.1 ") == 1
-            await until(lambda: w.servers[0].closed == 1)  # nothing waits for the attempt
+            # The request in progress fails with 500, because it may have been executed.
+            response = await asyncio.wait_for(reader.read(), PATIENCE_S)
+            assert response.startswith(b"HTTP/1.1 500 ") and response.count(b"HTTP/1.1 ") == 1
+            await until(lambda: w.servers[0].closed == 1)  # its attempt is aborted
             assert (await w.ask(kind="look", path="/health/ready"))[0] == 200
             writer.close()
 
@@ -479,19 +479,19 @@
 
 @pytest.mark.usefixtures("each_pair")
 def test_idle_connections_are_bounded_to_a_third() -> None:
-    # Guards clients with few connections: those that others keep without use would be all there are.
+    # Unused connections of some clients must not take all the room from clients with few connections.
     async def scenario() -> None:
         async with world(served, sockets=72) as w:
-            staying = []
+            idle_clients = []
             for number in range(8):
-                one = await client(w.sidecar.listener.address)
-                one.send(request(X_Call_Id=f"{number}"))
-                assert (await one.answer())[0] == 200
-                staying.append(one)
-            assert len(w.sidecar.listener.connections) <= 4  # a third of the twelve allowed
-            assert await staying[0].is_closed()
-            for one in staying:
-                one.close()
+                test_client = await client(w.sidecar.listener.address)
+                test_client.send(request(X_Call_Id=f"{number}"))
+                assert (await test_client.answer())[0] == 200
+                idle_clients.append(test_client)
+            assert len(w.sidecar.listener.connections) <= 4  # a third of the limit of 12
+            assert await idle_clients[0].is_closed()
+            for test_client in idle_clients:
+                test_client.close()
 
     play(scenario())
 
@@ -501,25 +501,25 @@
     async def scenario() -> None:
         async with world(lambda *_: None) as w:
             address = w.sidecar.listener.address
-            held = [await client(address) for _ in range(40)]
-            for number, one in enumerate(held):
-                one.send(request(X_Call_Id=f"held-{number}"))
-            await until(lambda: len(w.sent()) == len(held))
+            busy_clients = [await client(address) for _ in range(40)]
+            for number, test_client in enumerate(busy_clients):
+                test_client.send(request(X_Call_Id=f"held-{number}"))
+            await until(lambda: len(w.sent()) == len(busy_clients))
 
-            def lags() -> bool:
-                time.sleep(0.15)  # longer than it takes to the next sweep
+            def is_overloaded() -> bool:
+                time.sleep(0.15)  # longer than the sweep interval
                 return w.sidecar.listener.shedding.busy_max < 33
 
-            await until(lags)
+            await until(is_overloaded)
             w.sidecar.listener.shedding.shed_allowance = 1.0
             reader, _ = await asyncio.open_connection(*address)
             assert await is_closed(reader)
-            for _ in range(20):  # and no more than one in 200
-                w.sidecar.listener.shedding.busy_max = 0.0  # it lags as before
+            for _ in range(20):  # no more than one in 200 is shed
+                w.sidecar.listener.shedding.busy_max = 0.0  # still overloaded
                 assert (await ask(address, request(path="/health/ready")))[0] == 200
             w.sidecar.listener.shedding.shed_allowance = 1.0
-            for one in held:
-                one.close()
+            for test_client in busy_clients:
+                test_client.close()
             table, shedding = w.sidecar.listener.table, w.sidecar.listener.shedding
             await until(lambda: table.count_with_work() < shedding.busy_max)
             assert (await ask(address, request(path="/health/ready")))[0] == 200
@@ -533,18 +533,18 @@
         ("127.0.0.1", 0), 5, callbacks, RequestClasses(settings(classes=CLASSES)), HttpConnection
     )
     listener.shedding.busy_max = 0.0
-    ended = [listener._should_shed() for _ in range(1000)]
-    assert not any(ended[:200]) and sum(ended) <= 4  # from the start on no more than one in 200
+    shed = [listener._should_shed() for _ in range(1000)]
+    assert not any(shed[:200]) and sum(shed) <= 4  # at most one in 200, also right after the start
     listener.shedding.busy_max = 5.0
     assert not any(listener._should_shed() for _ in range(2000))
     listener.shedding.busy_max = 0.0
-    assert sum(listener._should_shed() for _ in range(200)) <= 2  # saved up, and bounded
+    assert sum(listener._should_shed() for _ in range(200)) <= 2  # the accumulated allowance is bounded
     listener.stop()
 
 
 @pytest.mark.usefixtures("each_node")
 def test_idle_connections_are_evicted_before_one_with_a_slow_head() -> None:
-    # Guards honest clients under a crowd: eviction goes by what a connection has done, not by age alone.
+    # Many other clients must not displace a slow one: eviction depends on a connection's state, not only its age.
     async def scenario() -> None:
         async with world(served, sockets=56) as w:
             slow = await client(w.sidecar.listener.address)
