--- a/tests/test_connection_states.py
+++ b/tests/test_connection_states.py
@@ -56,7 +56,7 @@
         partial.received(now, BODY_BYTES_PER_S)
 
 
-def test_a_dripping_body_is_overdue_soon_though_it_never_stalls() -> None:
+def test_a_body_below_the_minimum_rate_is_overdue_without_a_stall() -> None:
     partial = PartialRequest(NOW, has_head=False)
     now = NOW
     while not partial.is_overdue(now):
@@ -65,7 +65,7 @@
     assert now <= NOW + STALL_ANSWER_S
 
 
-def test_the_clock_of_a_request_stands_still_while_this_process_does_not_read() -> None:
+def test_the_clock_of_a_request_is_paused_while_this_process_does_not_read() -> None:
     partial = PartialRequest(NOW)
     partial.received(NOW + 1.0, 10)
     partial.pause(NOW + 1.0)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -207,7 +207,7 @@
 
 @pytest.mark.usefixtures("each_pair")
 @pytest.mark.interpreted
-def test_a_request_that_the_balancer_forgets_is_failed_at_its_deadline() -> None:
+def test_a_request_without_a_decision_of_the_balancer_fails_at_its_deadline() -> None:
     async def scenario() -> None:
         async with world(served) as w:
             w.sidecar._balancer.handle = lambda now, event: []  # type: ignore[method-assign]
@@ -432,7 +432,7 @@
     ],
     ids=["silent", "idle", "half a head", "half a body"],
 )
-def test_a_connection_that_falls_silent_is_closed(sent: bytes, received: bytes) -> None:
+def test_a_connection_without_progress_is_closed(sent: bytes, received: bytes) -> None:
     async def scenario() -> None:
         async with world(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
@@ -463,7 +463,7 @@
 
 
 @pytest.mark.usefixtures("each_pair")
-def test_silent_clients_do_not_keep_others_out() -> None:
+def test_clients_that_send_nothing_do_not_block_others() -> None:
     async def scenario() -> None:
         async with world(served, sockets=64) as w:
             address = w.sidecar.listener.address
