--- a/topazbank/core/client_connection.py
+++ b/topazbank/core/client_connection.py
@@ -43,13 +43,13 @@
 
     # -- Queries --------------------------------------------------------------------------------------
 
-    def is_quiet(self) -> bool:
+    def has_no_unread_bytes(self) -> bool:
         """Whether the connection is open and has no unread bytes."""
         return has_nothing_unread(self._sock)
 
     def is_idle(self) -> bool:
         """Whether the connection may be closed: no request is in progress, incomplete or unread."""
-        return self.state in CLOSABLE_STATES and self.is_quiet()
+        return self.state in CLOSABLE_STATES and self.has_no_unread_bytes()
 
     def can_be_evicted(self) -> bool:
         """Whether aborting the connection loses no data: no response is unsent and no request unread or in progress.
@@ -59,7 +59,7 @@
         if self._transport is not None and self._transport.get_write_buffer_size():
             return False
         idle = self.state in (ConnectionState.IDLE, ConnectionState.IDLE_PERSISTENT)
-        return self.is_idle() if idle else self.is_quiet()
+        return self.is_idle() if idle else self.has_no_unread_bytes()
 
     def has_disconnected(self) -> bool:
         """Whether the client has disconnected, according to the kernel, since reading may be paused.
--- a/topazbank/core/connection_table.py
+++ b/topazbank/core/connection_table.py
@@ -197,7 +197,9 @@
         for state in _IDLE_STATES if only_used else CLOSABLE_STATES:
             for connection, since in list(self._by_state[state].items()):
                 stalled = (
-                    state is ConnectionState.READING_HEAD and since < stalled_since and connection.is_quiet()
+                    state is ConnectionState.READING_HEAD
+                    and since < stalled_since
+                    and connection.has_no_unread_bytes()
                 )
                 if stalled:
                     self.counters.count(ClientEvent.REQUEST_TIMED_OUT)
--- a/topazbank/http/server.py
+++ b/topazbank/http/server.py
@@ -352,7 +352,7 @@
         elif self.is_idle():
             self._counters.count(ClientEvent.CONNECTION_TIMED_OUT)
             self.close()
-        elif self.partial is not None and self.is_quiet():
+        elif self.partial is not None and self.has_no_unread_bytes():
             self._request_timed_out()
 
     def _request_timed_out(self) -> None:
--- a/topazbank/msgpackrpc/server.py
+++ b/topazbank/msgpackrpc/server.py
@@ -267,7 +267,7 @@
         elif self._failed:
             self._fail_in_progress()
         elif self.partial is not None:
-            if self.is_quiet():
+            if self.has_no_unread_bytes():
                 self._message_timed_out()
         elif self.is_idle():
             self._counters.count(ClientEvent.CONNECTION_TIMED_OUT)
