--- a/topazbank/quota/__init__.py
+++ b/topazbank/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Fleet-wide quotas, divided among the sidecars in leases: docs/design/quotas.md."""
+"""Fleet-wide quotas that are divided among the sidecars by leases.  See docs/design/quotas.md."""
--- a/topazbank/quota/fleet_quota.py
+++ b/topazbank/quota/fleet_quota.py
@@ -1,4 +1,4 @@
-"""What the balancer may use of fleet-wide quotas: `topazbank.balancing.fleet.FleetQuota` by this process's leases."""
+"""Implements `topazbank.balancing.fleet.FleetQuota` with this process's leases."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class LeasedFleetQuota:
-    """Acquires units of the limiters of this process's lease clients."""
+    """Acquires units from the limiters of this process's lease clients."""
 
     def __init__(self, clients: Iterable[tuple[QuotaBinding, LeaseClient]], clock_offset_us: int) -> None:
-        """`clock_offset_us`: by how much the balancer's clock is ahead of the lease clients'."""
+        """`clock_offset_us`: the balancer's clock minus the lease clients' clock."""
         self._by_resource = {}
         self._by_tenant = {}
         for binding, client in clients:
@@ -24,7 +24,7 @@
         self._clock_offset_us = clock_offset_us
 
     def acquire(self, resource: str, tenant: str | None, now: int) -> bool:
-        """Take one unit of a resource at the balancer's time `now`; True where no quota limits it."""
+        """Take one unit of a resource at the balancer's time `now`.  Return True if no quota limits the resource."""
         if resource == TENANT_REQUESTS:
             limiter = self._by_tenant.get(tenant)
         else:
--- a/topazbank/quota/lease.py
+++ b/topazbank/quota/lease.py
@@ -1,12 +1,12 @@
-"""A client's lease from one lease server, and the messages between them; no I/O.
+"""A client's lease from one lease server, and the messages between them.  Performs no I/O.
 
-Guarantee: an allocation is used only before `expires_at`, which is before the server that granted it stops counting it,
-whatever messages were lost, duplicated or late.  The client counts the lease from when it sent the request, the server
-from when it granted it, and for longer by the drift of two clocks.  A grant is accepted once, and only for a request
-later than that of the grant held.
+Guarantee: the client stops using an allocation at `expires_at`, before the server that granted it stops counting it,
+even if messages are lost, duplicated or late.  The client counts the lease from when it sends the request.  The server
+counts it from when it grants the lease, and for longer, by the maximum drift between two clocks.  A grant is accepted
+once, and only if its request is later than that of the grant held.
 
-Times are microseconds of the client's monotonic clock.  Each message from a client to a server has a number of its own
-that only grows during the client's generation.
+Times are in microseconds of the client's monotonic clock.  Each message from a client to a server has its own number;
+the numbers increase within a client generation.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 from topazbank.quota.rules import NO_ALLOCATION, Allocation
 
-PENDING_REQUESTS_MAX = 8  # requests that may still be answered
+PENDING_REQUESTS_MAX = 8  # per server; an answer to an older request is ignored
 
 
 class ClientId(NamedTuple):
-    """One generation of a lease client: both processes of an upgrade have the same `ident`."""
+    """One generation of a lease client.  Both processes of an upgrade have the same `ident`."""
 
     ident: int
     generation: int
@@ -28,36 +28,37 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """A client's message to a lease server: a request for a lease, or the release of one."""
+    """A message from a client to a lease server that requests or releases a lease."""
 
     number: int
-    held_number: int  # the request whose grant is held: earlier grants are never used again
-    held: Allocation  # by that grant
-    wanted: int  # the amount that the client could use, what it holds included
+    held_number: int  # number of the request whose grant is held; earlier grants are not used again
+    held: Allocation  # the allocation of the grant held
+    wanted: int  # the total amount that the client could use, `held` included
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """A lease server's answer: an allocation, for `lease_us` from when it was requested."""
+    """A lease server's answer: an allocation for `lease_us`, from the time of the request."""
 
-    number: int  # of the request
+    number: int  # number of the answered request
     allocation: Allocation
     lease_us: int
 
 
 @dataclass(slots=True)
 class Lease:
-    """What a client holds from one lease server."""
+    """A client's lease from one lease server, and its pending requests."""
 
-    last_number: int = 0  # of the latest message to the server
+    last_number: int = 0  # number of the latest message to the server
     held_number: int = 0
     allocation: Allocation = NO_ALLOCATION
     expires_at: int = 0
     answered_at: int | None = None
-    requested_at: dict[int, int] = field(default_factory=dict)  # by number; at most PENDING_REQUESTS_MAX
+    # Times of the pending requests by number; at most PENDING_REQUESTS_MAX entries.
+    requested_at: dict[int, int] = field(default_factory=dict)
 
     def request(self, now: int, wanted: int) -> LeaseRequest:
-        """Make the next request."""
+        """Create the next request and record it as pending."""
         self.last_number += 1
         self.requested_at[self.last_number] = now
         if len(self.requested_at) > PENDING_REQUESTS_MAX:
@@ -66,7 +67,7 @@
         return LeaseRequest(self.last_number, self.held_number, self.allocation_at(now), wanted)
 
     def accept(self, now: int, grant: LeaseGrant) -> bool:
-        """Accept a grant; False if it answers no pending request of this generation, or has expired already."""
+        """Accept a grant.  Return False if it has expired or answers no pending request of this generation."""
         requested_at = self.requested_at.get(grant.number)
         if requested_at is None or grant.number <= self.held_number:
             return False
@@ -79,7 +80,7 @@
         return True
 
     def release(self, now: int) -> LeaseRequest:
-        """Give the lease up; no grant for an earlier request is accepted from now on."""
+        """Release the lease.  Grants for earlier requests are not accepted any more."""
         self.last_number += 1
         self.held_number, self.allocation, self.expires_at = self.last_number, NO_ALLOCATION, now
         self._discard_superseded_requests()
@@ -87,9 +88,11 @@
 
     def _discard_superseded_requests(self) -> None:
         self.requested_at = {
-            number: at for number, at in self.requested_at.items() if number > self.held_number
+            number: requested_at
+            for number, requested_at in self.requested_at.items()
+            if number > self.held_number
         }
 
     def allocation_at(self, now: int) -> Allocation:
-        """What may be used at this time."""
+        """The allocation that may be used at `now`."""
         return self.allocation if now < self.expires_at else NO_ALLOCATION
--- a/topazbank/quota/lease_client.py
+++ b/topazbank/quota/lease_client.py
@@ -1,10 +1,10 @@
-"""The lease client's side of one quota: its demand, when it requests leases and of whom, and its limiter; no I/O.
+"""The client side of one quota: measures demand, requests leases and updates the limiter.  Performs no I/O.
 
-A client requests an equal share of its demand from each of its lease servers, while it has demand or holds a lease: a
-process that needs no more than its floor sends nothing.  With many lease servers a client uses few of them, chosen by
-its name, so that each server has a bounded number of clients.
+A client requests an equal share of its demand from each of its lease servers while it has demand or holds a lease.  A
+process that needs no more than its floor sends nothing.  A client uses at most SERVERS_PER_CLIENT_MAX lease servers,
+chosen by its name, to bound the number of clients per server.
 
-Times are microseconds of the client's monotonic clock.
+Times are in microseconds of the client's monotonic clock.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 from topazbank.quota.token_bucket import ConcurrencyLimiter, ExpiringAllocation, TokenBucket
 
 SERVERS_PER_CLIENT_MAX = 3
-DEMAND_HEADROOM_RATIO = 1.25  # requested beyond the demand: growth is met before the next renewal
-DEMAND_HALF_LIFE_RATIO = 0.15  # of a lease: past demand counts half after it
-EARLY_REQUESTS_PER_RENEWAL_MAX = 4  # while units are rejected
-ANSWERING_LEASES = 2  # a server that has not answered for so many leases is not counted on
+DEMAND_HEADROOM_RATIO = 1.25  # requests exceed the demand to cover growth until the next renewal
+DEMAND_HALF_LIFE_RATIO = 0.15  # half-life of past demand, as a fraction of the lease
+EARLY_REQUESTS_PER_RENEWAL_MAX = 4  # while units are rejected, requests per renewal period
+ANSWERING_LEASES = 2  # a server without an answer for this many leases counts as silent
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingMessage:
-    """A message to be sent to a lease server."""
+    """A message for a lease server."""
 
     lease_server: str
     request: LeaseRequest
@@ -35,10 +35,10 @@
 
 
 class LeaseClient:
-    """What one generation of a process holds of one quota."""
+    """The leases and the limiter of one process generation for one quota."""
 
     def __init__(self, quota: Quota, name: str, now: int) -> None:
-        """`name`: of this process's member."""
+        """`name`: the name of this process's cluster member."""
         self.quota = quota
         self.limiter: TokenBucket | ConcurrencyLimiter = (
             TokenBucket(now, quota.floor, quota.drift_ppm)
@@ -46,14 +46,15 @@
             else ConcurrencyLimiter(quota.floor)
         )
         self.leases = {server: Lease() for server in _assigned_servers(name, quota.lease_servers)}
-        self._demand = 0.0  # units a second, or units
-        self._counted_acquired = self._counted_rejected = 0  # when the demand was last measured
+        self._demand = 0.0  # units per second, or units
+        # The limiter's counters at the last measurement of demand.
+        self._counted_acquired = self._counted_rejected = 0
         self._measured_at = now
         self._requested_at = now - quota.lease_us
         self._renewal_period_us = quota.lease_us // RENEWALS_PER_LEASE
 
     def is_due(self, now: int) -> bool:
-        """Whether it is time to send requests: each renewal period, and earlier if units were rejected since."""
+        """Whether to send requests: once per renewal period, and earlier if units were rejected since the last."""
         elapsed = now - self._requested_at
         if elapsed >= self._renewal_period_us:
             return True
@@ -61,7 +62,7 @@
         return may_be_early and self.limiter.rejected > self._counted_rejected
 
     def due_requests(self, now: int) -> list[OutgoingMessage]:
-        """The requests to send now."""
+        """Return the requests to send at `now`, one for each lease server."""
         if not self.is_due(now) or not self.leases:
             return []
         self._measure_demand(now)
@@ -78,7 +79,10 @@
         return MILLIUNITS_PER_UNIT if self.quota.kind == QuotaKind.RATE else 1
 
     def _share_per_server(self, now: int, wanted: int) -> int:
-        """What to request of each server: silent ones get requests too, but the others cover the whole demand."""
+        """The amount to request from each server.
+
+        Silent servers get requests too, but the shares of the other servers cover the whole demand.
+        """
         silence_max = ANSWERING_LEASES * self.quota.lease_us
         answering = sum(
             lease.answered_at is not None and now - lease.answered_at < silence_max
@@ -87,7 +91,7 @@
         return -(-wanted // (answering or len(self.leases)))
 
     def _measure_demand(self, now: int) -> None:
-        """Follow the demand since the last time: up at once, down by exponential decay."""
+        """Update the demand: it rises immediately and decays exponentially."""
         elapsed = max(now - self._measured_at, 1)
         acquired, rejected = self.limiter.acquired, self.limiter.rejected
         if isinstance(self.limiter, TokenBucket):
@@ -102,7 +106,7 @@
         self._measured_at = now
 
     def accept(self, now: int, lease_server: str, grant: LeaseGrant) -> bool:
-        """Accept a grant; False if it has no effect."""
+        """Accept a grant.  Return False if it has no effect."""
         lease = self.leases.get(lease_server)
         if lease is None or not lease.accept(now, grant):
             return False
@@ -110,7 +114,7 @@
         return True
 
     def release(self, now: int) -> list[OutgoingMessage]:
-        """Give up all leases; if a message is lost, that lease expires by itself."""
+        """Release all leases.  If a message is lost, its lease expires."""
         messages = [
             OutgoingMessage(server, lease.release(now), is_release=True)
             for server, lease in self.leases.items()
@@ -126,12 +130,15 @@
         self.limiter.set_allocations(now, allocations)
 
     def allocated_amount(self, now: int) -> int:
-        """The amount that may be used at this time, the floor included."""
+        """The amount that may be used at `now`, floor included."""
         return self.quota.floor + sum(lease.allocation_at(now).amount for lease in self.leases.values())
 
 
 def _assigned_servers(name: str, lease_servers: Iterable[str]) -> list[str]:
-    """The servers of a client by rendezvous hashing: few clients move when a server is added or removed."""
+    """Assign lease servers to a client.
+
+    Rendezvous hashing moves few clients when a server is added or removed.
+    """
 
     def rank(lease_server: str) -> bytes:
         return hashlib.blake2b(f"{name}\0{lease_server}".encode(), digest_size=8).digest()
--- a/topazbank/quota/lease_server.py
+++ b/topazbank/quota/lease_server.py
@@ -1,12 +1,12 @@
-"""The lease server's side of one quota: its slice, granted to clients in leases; no I/O.
+"""The server side of one quota: grants leases on a slice of the quota.  Performs no I/O.
 
-Guarantee: at every instant the allocations that any client may use by this server's grants add up to its slice or less.
-A grant is outstanding until the client has said that it holds a later one, or until its lease has expired by any clock.
+Guarantee: at any time, the allocations that clients may use under this server's grants add up to at most its slice.  A
+grant is outstanding until the client reports that it holds a later one, or until its lease has expired on any clock.
 
-A server that does not know its former grants has a grace period as long as any lease may run: it renews what clients
-say they hold, which its former process had granted, and grants nothing new.
+A server that does not know the grants of its previous process starts with a grace period, until all of their leases
+have expired.  In this period it renews the allocations that clients report, and grants nothing new.
 
-Times are microseconds of the server's monotonic clock.
+Times are in microseconds of the server's monotonic clock.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from topazbank.quota.lease import ClientId, LeaseGrant, LeaseRequest
 from topazbank.quota.rules import NO_ALLOCATION, Allocation, Quota, total_allocation
 
-CLIENTS_MAX = 8192  # client generations; one beyond gets no answer
-GRANTS_PER_CLIENT_MAX = 4  # beyond it the two oldest are merged: the larger allocation, the later expiry
-REDISTRIBUTIONS_PER_LEASE = 20  # how often the slice is divided anew
-SMALL_DECREASE_RATIO = 100  # a decrease below 1/100 of the slice is made at once
+CLIENTS_MAX = 8192  # client generations; requests of further ones get no answer
+GRANTS_PER_CLIENT_MAX = 4  # above this, the two oldest grants are merged
+REDISTRIBUTIONS_PER_LEASE = 20  # recalculations of the clients' targets
+SMALL_DECREASE_DIVISOR = 100  # a decrease of up to 1/100 of the slice is made in one step
 
 
 class StoredGrant(NamedTuple):
-    """A grant that was made before a restart and may still be used."""
+    """A grant that was made before a restart and may still be in use."""
 
     client: ClientId
     number: int
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class OutstandingGrant:
-    """A grant that may still be used; `expires_at` is when the server stops counting it."""
+    """A grant that may still be in use.  The server stops counting it at `expires_at`."""
 
     number: int
     allocation: Allocation
@@ -45,39 +45,39 @@
 
 @dataclass(slots=True)
 class ClientRecord:
-    """What the server knows of one client generation."""
+    """The server's state for one client generation."""
 
-    last_number: int = 0  # of its latest message
+    last_number: int = 0  # number of the client's latest message
     grants: list[OutstandingGrant] = field(default_factory=list)  # at most GRANTS_PER_CLIENT_MAX
     wanted: int = 0
-    outstanding: Allocation = NO_ALLOCATION  # the largest of its grants: it uses one of them
-    demand_expires_at: int = 0  # `wanted` is ignored from then on
+    outstanding: Allocation = NO_ALLOCATION  # largest of `grants`, as the client uses only one
+    demand_expires_at: int = 0  # `wanted` is ignored from this time
 
 
 class LeaseServer:
-    """One quota's slice at one lease server."""
+    """Grants leases on one lease server's slice of one quota."""
 
     def __init__(
         self, quota: Quota, slice_: Allocation, now: int, stored: Iterable[StoredGrant] | None = None
     ) -> None:
-        """`stored`: all grants made before; None: they are not known, and a grace period begins."""
+        """`stored`: all earlier grants, or None if they are unknown, which starts the grace period."""
         self.quota = quota
         self.slice = slice_
         self.clients: dict[ClientId, ClientRecord] = {}  # at most CLIENTS_MAX
-        self.outstanding = NO_ALLOCATION  # of all clients
+        self.outstanding = NO_ALLOCATION  # sum over all clients
         self.grace_until = now + quota.grace_period_us if stored is None else now
         self._targets: dict[ClientId, int] = {}
         self._redistribute_at = now
-        self._next_expiry = 0  # 0: no grant is outstanding
+        self._next_expiry = 0  # 0: no outstanding grants
         for grant in stored or ():
             client = self.clients.setdefault(grant.client, ClientRecord(last_number=grant.number))
             client.last_number = max(client.last_number, grant.number)
             self._add_grant(client, OutstandingGrant(grant.number, grant.allocation, grant.expires_at))
 
-    # -- Messages of clients ---------------------------------------------------------------------------
+    # -- Client messages -------------------------------------------------------------------------------
 
     def handle_request(self, now: int, client_id: ClientId, request: LeaseRequest) -> LeaseGrant | None:
-        """Answer a request; None if it is out of date, or CLIENTS_MAX is reached."""
+        """Answer a request.  Return None if it is out of date or CLIENTS_MAX is reached."""
         self.expire(now)
         client = self._accept_message(client_id, request)
         if client is None:
@@ -94,7 +94,7 @@
         return LeaseGrant(request.number, allocation, self.quota.lease_us)
 
     def handle_release(self, now: int, client_id: ClientId, release: LeaseRequest) -> bool:
-        """Free all that a client held; False if the message is out of date."""
+        """Free a client's grants.  Return False if the message is not accepted."""
         self.expire(now)
         client = self._accept_message(client_id, release)
         if client is None:
@@ -104,7 +104,10 @@
         return True
 
     def _accept_message(self, client_id: ClientId, message: LeaseRequest) -> ClientRecord | None:
-        """Drop the grants that the client says are superseded; None for a duplicate or reordered message."""
+        """Drop the grants that the client no longer uses.
+
+        Returns None for a duplicate or reordered message, and for a new client beyond CLIENTS_MAX.
+        """
         client = self.clients.get(client_id)
         if client is None:
             if len(self.clients) >= CLIENTS_MAX:
@@ -117,10 +120,10 @@
         self._update_outstanding(client)
         return client
 
-    # -- Amounts of grants -----------------------------------------------------------------------------
+    # -- Grant amounts ---------------------------------------------------------------------------------
 
     def _renew(self, client: ClientRecord, request: LeaseRequest) -> Allocation:
-        """In the grace period: what the client holds, within the slice, and no more than it wants."""
+        """The allocation in the grace period: what the client holds, limited by its demand and the slice."""
         available = self._available_to(client)
         amount = min(request.held.amount, request.wanted, available.amount)
         if amount <= 0:
@@ -134,16 +137,18 @@
             self._redistribute(now)
         available = self._available_to(client)
         target = self._targets.get(client_id)
-        if target is None:  # new since the last redistribution: what is free, until the next one
+        if target is None:  # a new client uses free capacity until the next redistribution
             target = self._targets[client_id] = min(request.wanted, available.amount)
-        min_halving = max(self.slice.amount // SMALL_DECREASE_RATIO, 1)
-        amount = next_amount(request.held.amount, min(target, request.wanted), available.amount, min_halving)
+        halving_threshold = max(self.slice.amount // SMALL_DECREASE_DIVISOR, 1)
+        amount = next_amount(
+            request.held.amount, min(target, request.wanted), available.amount, halving_threshold
+        )
         if amount <= 0:
             return NO_ALLOCATION
         return Allocation(amount, self._burst_of(amount, available.burst))
 
     def _burst_of(self, amount: int, available: int) -> int:
-        """The burst that goes with an amount: in proportion, so that all bursts stay within the slice's."""
+        """The burst for an amount.  It is proportional, so that all bursts add up to at most the slice's."""
         return min(self.slice.burst * amount // max(self.slice.amount, 1), available)
 
     def _redistribute(self, now: int) -> None:
@@ -158,7 +163,7 @@
     # -- Outstanding grants ----------------------------------------------------------------------------
 
     def _available_to(self, client: ClientRecord) -> Allocation:
-        """The slice less what all other clients may use."""
+        """The slice minus the outstanding allocations of all other clients."""
         others_amount = self.outstanding.amount - client.outstanding.amount
         others_burst = self.outstanding.burst - client.outstanding.burst
         return Allocation(max(self.slice.amount - others_amount, 0), max(self.slice.burst - others_burst, 0))
@@ -173,8 +178,8 @@
     def _update_outstanding(self, client: ClientRecord) -> None:
         allocations = [grant.allocation for grant in client.grants]
         after = Allocation(
-            max((each.amount for each in allocations), default=0),
-            max((each.burst for each in allocations), default=0),
+            max((allocation.amount for allocation in allocations), default=0),
+            max((allocation.burst for allocation in allocations), default=0),
         )
         before = client.outstanding
         client.outstanding = after
@@ -184,7 +189,7 @@
         )
 
     def expire(self, now: int) -> None:
-        """Drop grants whose lease has expired by any clock, and clients that have neither grants nor demand."""
+        """Drop grants whose lease has expired on any clock, and clients without grants or demand."""
         if now < self._next_expiry or not self._next_expiry:
             return
         self._next_expiry = 0
@@ -196,19 +201,20 @@
             if expiries:
                 self._next_expiry = min([self._next_expiry or expiries[0], *expiries])
             elif now >= client.demand_expires_at:
-                # A late message of this client may be accepted again: it can't claim what another client has.
+                # Forgetting the last number is safe: a late message can be accepted again, but only gets capacity
+                # that no other client has.
                 del self.clients[client_id]
                 self._targets.pop(client_id, None)
 
     def check_invariants(self) -> None:
-        """Assert that the totals are right and within the slice."""
+        """Assert that the totals are correct and within the slice."""
         assert self.outstanding == total_allocation(client.outstanding for client in self.clients.values())
         assert self.outstanding.amount <= self.slice.amount
         assert self.outstanding.burst <= self.slice.burst
 
 
 def _merge(older: OutstandingGrant, newer: OutstandingGrant) -> OutstandingGrant:
-    """One grant that covers both: the newer number, the larger allocation, the later expiry."""
+    """Combine two grants into one that covers both: newer number, larger allocation, later expiry."""
     largest = Allocation(
         max(older.allocation.amount, newer.allocation.amount),
         max(older.allocation.burst, newer.allocation.burst),
--- a/topazbank/quota/token_bucket.py
+++ b/topazbank/quota/token_bucket.py
@@ -1,10 +1,10 @@
-"""Limits one process's use of a quota to what it has been allocated; no I/O, integers only, no messages.
+"""Limits one process's use of a quota to its allocations.  Integer arithmetic only; performs no I/O.
 
-Guarantee: over any span of time a token bucket grants no more than its allocations' rates over the time that each was
-valid, and the tokens it held when the span began; it holds no more than the bursts of the valid allocations and one
-unit.  Expiry is checked at each use, so an allocation that expired while the process was paused is never used.
+Guarantee: over any period, a token bucket grants at most the tokens it held at the start, plus those added at the rates
+of the floor and of each allocation while valid.  It holds at most one unit plus the bursts of the valid allocations.
+Each use checks expiry, so an allocation that expired while the process was paused is never used.
 
-Times are microseconds, rates milliunits a second.
+Times are in microseconds, rates in milliunits per second.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 from topazbank.quota.rules import Allocation
 
-_NANOUNITS_PER_UNIT = 1_000_000_000  # milliunits a second times microseconds are whole nanounits
+_NANOUNITS_PER_UNIT = 1_000_000_000  # milliunits per second times microseconds give whole nanounits
 _NEVER_US = 1 << 62
 
 
 class ExpiringAllocation(NamedTuple):
-    """An allocation and the time from which it may not be used."""
+    """An allocation that may be used before `expires_at`."""
 
     expires_at: int
     allocation: Allocation
 
 
 class TokenBucket:
-    """A rate limit: it fills at the floor's rate and that of each allocation until its expiry; it starts empty."""
+    """A rate limiter that starts empty and fills at the rates of the floor and of all valid allocations."""
 
     __slots__ = (
         "_allocations",
@@ -42,19 +42,19 @@
     )
 
     def __init__(self, now: int, floor: int, drift_ppm: int) -> None:
-        """`floor`: milliunits a second that never expire; `drift_ppm`: by how much this clock may run fast."""
+        """`floor`: a rate that never expires; `drift_ppm`: by how much this process's clock may run fast."""
         self._floor = floor
         self._drift_ppm = drift_ppm
         self._updated_at = now
         self._tokens = 0  # nanounits
-        self._allocations: list[ExpiringAllocation] = []  # one a lease server
+        self._allocations: list[ExpiringAllocation] = []  # one per lease server
         self._rate = floor
         self._capacity = _NANOUNITS_PER_UNIT
         self._next_expiry = _NEVER_US
         self.acquired = self.rejected = 0  # units since the start
 
     def acquire(self, now: int) -> bool:
-        """Take one unit; False if there is none."""
+        """Take one unit.  Return False if none is available."""
         self.advance(now)
         if self._tokens >= _NANOUNITS_PER_UNIT:
             self._tokens -= _NANOUNITS_PER_UNIT
@@ -66,14 +66,16 @@
     def set_allocations(self, now: int, allocations: Sequence[ExpiringAllocation]) -> None:
         """Replace all allocations."""
         self.advance(now)
-        self._allocations = [each for each in allocations if each.expires_at > now]
+        self._allocations = [expiring for expiring in allocations if expiring.expires_at > now]
         self._update_rate()
 
     def advance(self, now: int) -> None:
-        """Fill the bucket up to `now`, span by span between the expiries in between."""
+        """Fill the bucket up to `now`, with a separate step for each expiry before it."""
         while self._next_expiry <= now:
             self._fill(self._next_expiry)
-            self._allocations = [each for each in self._allocations if each.expires_at > self._updated_at]
+            self._allocations = [
+                expiring for expiring in self._allocations if expiring.expires_at > self._updated_at
+            ]
             self._update_rate()
         self._fill(now)
 
@@ -85,21 +87,21 @@
             self._tokens = tokens if tokens < self._capacity else self._capacity
 
     def _update_rate(self) -> None:
-        amount = sum(each.allocation.amount for each in self._allocations)
-        burst = sum(each.allocation.burst for each in self._allocations)
+        amount = sum(expiring.allocation.amount for expiring in self._allocations)
+        burst = sum(expiring.allocation.burst for expiring in self._allocations)
         self._rate = self._floor + amount
         self._capacity = _NANOUNITS_PER_UNIT * (1 + burst)
-        self._next_expiry = min((each.expires_at for each in self._allocations), default=_NEVER_US)
+        self._next_expiry = min((expiring.expires_at for expiring in self._allocations), default=_NEVER_US)
         self._tokens = min(self._tokens, self._capacity)
 
     @property
     def rate(self) -> int:
-        """Milliunits a second, as of the last use."""
+        """The fill rate in milliunits per second, as of the last use."""
         return self._rate
 
 
 class ConcurrencyLimiter:
-    """A limit on the units in use at one time."""
+    """Limits the units that are in use at the same time."""
 
     __slots__ = ("_allocations", "_floor", "acquired", "in_use", "rejected")
 
@@ -110,7 +112,7 @@
         self.acquired = self.rejected = 0  # units since the start
 
     def acquire(self, now: int) -> bool:
-        """Take one unit into use; False if the capacity is reached."""
+        """Take one unit into use.  Return False if the capacity is reached."""
         if self.in_use >= self.capacity(now):
             self.rejected += 1
             return False
@@ -124,10 +126,10 @@
 
     def set_allocations(self, now: int, allocations: Sequence[ExpiringAllocation]) -> None:
         """Replace all allocations."""
-        self._allocations = [each for each in allocations if each.expires_at > now]
+        self._allocations = [expiring for expiring in allocations if expiring.expires_at > now]
 
     def capacity(self, now: int) -> int:
-        """How many units may be in use at this time."""
+        """The number of units that may be in use at `now`."""
         return self._floor + sum(
-            each.allocation.amount for each in self._allocations if each.expires_at > now
+            expiring.allocation.amount for expiring in self._allocations if expiring.expires_at > now
         )
