--- a/tests/quota/test_fair_share.py
+++ b/tests/quota/test_fair_share.py
@@ -1,4 +1,4 @@
-"""How a capacity is divided, how an amount moves to its target, and what lease servers' slices add up to."""
+"""Division of a capacity, steps of an amount towards its target, and the sum of the lease servers' slices."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @given(st.integers(0, 20_000), demand_maps, st.dictionaries(st.integers(0, 50), st.integers(1, 9)))
-def test_shares_are_within_the_capacity_and_the_demands_and_no_wanted_capacity_is_left(
+def test_shares_use_all_capacity_that_the_demands_need_and_no_more(
     capacity: int, demands: dict[int, int], weights: dict[int, int]
 ) -> None:
     shares = divide(capacity, demands, weights)
@@ -22,7 +22,7 @@
 
 
 @given(st.integers(0, 20_000), demand_maps)
-def test_a_client_that_gets_less_than_its_demand_gets_no_less_than_any_other(
+def test_client_with_unmet_demand_gets_at_least_as_much_as_any_other(
     capacity: int, demands: dict[int, int]
 ) -> None:
     shares = divide(capacity, demands)
@@ -30,17 +30,17 @@
     assert not unmet or min(unmet) >= max(shares.values()) - 1
 
 
-def test_a_client_with_endless_demand_gets_its_fair_share_only() -> None:
+def test_client_with_unlimited_demand_gets_only_its_fair_share() -> None:
     assert divide(100, {"greedy": 10**9, "a": 20, "b": 40}) == {"greedy": 40, "a": 20, "b": 40}
     assert divide(90, {"greedy": 10**9, "a": 50, "b": 40}) == {"greedy": 30, "a": 30, "b": 30}
 
 
-def test_a_capacity_smaller_than_the_number_of_clients_is_divided_all_the_same() -> None:
+def test_capacity_smaller_than_the_number_of_clients_is_fully_divided() -> None:
     assert sorted(divide(3, dict.fromkeys(range(10), 1)).values()) == [0] * 7 + [1] * 3
 
 
 @given(st.integers(0, 10_000), st.integers(0, 10_000), st.integers(0, 10_000))
-def test_an_amount_goes_up_at_once_down_by_half_within_what_is_available_and_ignores_noise(
+def test_amount_rises_in_one_step_falls_by_half_at_most_and_ignores_noise(
     current: int, target: int, available: int
 ) -> None:
     after = next_amount(current, target, available)
@@ -70,7 +70,7 @@
     assert not quota.slice_of("not a lease server")
 
 
-def test_a_concurrency_quotas_lease_is_counted_until_all_units_in_use_have_ended() -> None:
+def test_concurrency_lease_is_counted_until_all_units_in_use_have_ended() -> None:
     quota = Quota(
         "b",
         QuotaKind.CONCURRENCY,
