--- a/tests/discovery/test_registration_view.py
+++ b/tests/discovery/test_registration_view.py
@@ -1,4 +1,4 @@
-"""The view of registrations, state by state: removed, draining, unknown, empty, and changes between two reads."""
+"""RegistrationView in each state (removed, draining, unknown, empty), and changes between two reads."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Receiver:
-    """A view, and the endpoint list of a receiver of its changes."""
+    """A receiver of a view's changes, with the endpoint list that results from them."""
 
     def __init__(self) -> None:
         self.view = RegistrationView()
@@ -64,7 +64,7 @@
         return self.apply(self.view.node_read(self.now, name, data, czxid, mzxid, NOW_MS))
 
     def register(self, *names: str) -> None:
-        """Nodes on ports from 80 on."""
+        """List and read nodes, with consecutive ports from 80."""
         self.list_names(*names)
         for number, name in enumerate(names):
             self.read_node(name, registration_at(80 + number), czxid=self.zxid)
@@ -78,7 +78,7 @@
     assert receiver.states == {"a": READY, "b": READY}
 
 
-def test_a_node_is_removed_when_a_quorum_does_not_list_it_any_more() -> None:
+def test_a_node_that_a_quorum_no_longer_lists_is_removed() -> None:
     receiver = Receiver()
     receiver.register("a", "b")
     receiver.list_names("b")
@@ -87,14 +87,14 @@
     assert not receiver.states
 
 
-def test_a_node_whose_record_says_that_it_leaves_is_draining() -> None:
+def test_a_node_whose_record_has_the_state_leaving_is_draining() -> None:
     receiver = Receiver()
     receiver.register("a")
     receiver.read_node("a", registration_at(80, draining=True))
     assert receiver.states == {"a": DRAINING}
 
 
-def test_a_lost_quorum_changes_nothing_but_the_age() -> None:
+def test_losing_the_quorum_changes_only_the_age_of_the_list() -> None:
     receiver = Receiver()
     receiver.register("a", "b")
     receiver.now += 300
@@ -108,7 +108,7 @@
     assert receiver.snapshots == 1
 
 
-def test_a_quorum_s_empty_list_removes_every_node() -> None:
+def test_an_empty_list_from_a_quorum_removes_every_node() -> None:
     receiver = Receiver()
     receiver.list_names()
     assert receiver.snapshots == 1
@@ -118,14 +118,14 @@
     assert not receiver.states
 
 
-def test_a_list_of_names_older_than_a_former_one_is_ignored() -> None:
+def test_a_list_of_names_older_than_the_newest_is_ignored() -> None:
     receiver = Receiver()
     receiver.register("a")
     assert not receiver.apply(receiver.view.names_listed(receiver.now, (), 5)).updates
     assert receiver.states == {"a": READY}
 
 
-def test_data_older_than_a_former_read_is_ignored() -> None:
+def test_data_older_than_the_last_read_is_ignored() -> None:
     receiver = Receiver()
     receiver.register("a")
     receiver.read_node("a", registration_at(80, draining=True), mzxid=500)
@@ -133,7 +133,7 @@
     assert receiver.states == {"a": DRAINING}
 
 
-def test_a_node_created_again_between_two_reads_gets_its_new_address_and_start() -> None:
+def test_a_node_recreated_between_two_reads_gets_its_new_address_and_start_time() -> None:
     receiver = Receiver()
     receiver.register("a")
     assert receiver.apply(receiver.view.node_changed("a")).nodes_to_read == ["a"]
@@ -143,7 +143,7 @@
     assert receiver.endpoints["a"].server.started_at == NOW_MS * 1000
 
 
-def test_the_same_incarnation_in_a_new_session_keeps_its_start_and_another_does_not() -> None:
+def test_a_new_session_of_the_same_incarnation_keeps_the_start_time_and_a_new_incarnation_does_not() -> None:
     receiver = Receiver()
     receiver.register("a")
     started_at = receiver.endpoints["a"].server.started_at
@@ -170,7 +170,7 @@
     assert receiver.endpoints["a"].server.started_at == NOW_MS * 1000
 
 
-def test_of_two_nodes_at_one_address_the_later_registration_is_ready_until_it_is_removed() -> None:
+def test_the_later_of_two_registrations_at_one_address_is_ready_until_it_is_removed() -> None:
     receiver = Receiver()
     receiver.list_names("old", "new")
     receiver.read_node("old", registration_at(80), czxid=5)
@@ -180,7 +180,7 @@
     assert receiver.states == {"old": READY}
 
 
-def test_a_node_that_changes_its_address_leaves_the_former_one_to_the_other_claimant() -> None:
+def test_a_node_that_changes_its_address_releases_the_previous_one_to_the_other_claimant() -> None:
     receiver = Receiver()
     receiver.list_names("a", "b")
     receiver.read_node("a", registration_at(80), czxid=9)
@@ -190,29 +190,29 @@
     assert receiver.states == {"a": READY, "b": READY}
 
 
-VALID = {"v": 1, "state": "active", "address": "a:1", "incarnation": "x"}
-UNREADABLE = {
-    "": "JSON",
-    "nonsense": "JSON",
-    "[" * 3000: "JSON",
-    "[]": "an object",
-    "{}": "v: 1 is wanted",
-    '{"v": 2}': "v: 1 is wanted",
-    json.dumps({"v": 1, "state": "resting"}): "state: active or leaving",
+VALID_RECORD = {"v": 1, "state": "active", "address": "a:1", "incarnation": "x"}
+INVALID_RECORDS = {
+    "": "record: expected JSON",
+    "nonsense": "record: expected JSON",
+    "[" * 3000: "record: expected JSON",
+    "[]": "expected a JSON object",
+    "{}": "v: expected 1, not None",
+    '{"v": 2}': "v: expected 1, not 2",
+    json.dumps({"v": 1, "state": "resting"}): "state: expected active or leaving",
     json.dumps({"v": 1, "state": "active", "address": "nowhere"}): "address",
     json.dumps({"v": 1, "state": "active", "address": "a:1"}): "incarnation",
-    json.dumps(VALID | {"pod": "y"}): "pod",
-    json.dumps(VALID | {"weight": -1}): "weight",
-    json.dumps(VALID | {"started_ms": -1}): "started_ms",
-    json.dumps({"v": 1, "pad": "x" * 5000}): "at most",
+    json.dumps(VALID_RECORD | {"pod": "y"}): "pod",
+    json.dumps(VALID_RECORD | {"weight": -1}): "weight",
+    json.dumps(VALID_RECORD | {"started_ms": -1}): "started_ms",
+    json.dumps({"v": 1, "pad": "x" * 5000}): "exceeds 4096 bytes",
 }
 
 
-@pytest.mark.parametrize("data", UNREADABLE, ids=range(len(UNREADABLE)))
-def test_an_unreadable_record_leaves_out_only_its_node_with_one_log_line(
+@pytest.mark.parametrize("data", INVALID_RECORDS, ids=range(len(INVALID_RECORDS)))
+def test_an_invalid_record_omits_only_its_node_and_is_logged_once(
     data: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    with pytest.raises(RegistrationError, match=UNREADABLE[data]):
+    with pytest.raises(RegistrationError, match=INVALID_RECORDS[data]):
         decode_registration(data.encode())
     receiver = Receiver()
     receiver.list_names("bad", "good")
@@ -221,10 +221,12 @@
     receiver.read_node("good", registration_at(81))
     assert receiver.states == {"good": READY}
     assert receiver.snapshots == 1
-    assert len([record for record in caplog.records if "left out" in record.message]) == 1
+    assert (
+        len([record for record in caplog.records if "node bad has an invalid record" in record.message]) == 1
+    )
 
 
-def test_a_listed_node_whose_record_becomes_unreadable_is_draining() -> None:
+def test_a_listed_node_whose_record_becomes_invalid_is_draining() -> None:
     receiver = Receiver()
     receiver.register("a")
     receiver.read_node("a", b"\xff")
@@ -233,13 +235,13 @@
     assert receiver.states == {"a": READY}
 
 
-def test_a_record_is_decoded_as_it_was_encoded() -> None:
+def test_decoding_an_encoded_record_restores_it() -> None:
     other = registration_at(9, draining=True, weight=2.5, protocol="msgpack-rpc", pod=-3)
     for registration in (BASE, other):
         assert decode_registration(registration.encode()) == registration
 
 
-def test_a_flapping_node_is_held_until_it_has_stayed() -> None:
+def test_a_flapping_node_is_held_until_it_has_stayed_registered() -> None:
     receiver = Receiver()
     receiver.register("a")
     for number in range(FLAP_RETURNS):
@@ -258,7 +260,7 @@
     assert receiver.view.next_release_at() is None
 
 
-def test_after_an_expired_session_every_node_is_to_be_read_again() -> None:
+def test_after_an_expired_session_every_node_must_be_read_again() -> None:
     receiver = Receiver()
     receiver.register("a", "b")
     receiver.view.watches_lost()
@@ -279,7 +281,9 @@
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(st.lists(STEPS, max_size=40))
-def test_no_history_keeps_a_removed_node_ready_or_removes_one_for_a_lost_quorum(history: list[Any]) -> None:
+def test_no_history_keeps_a_removed_node_or_removes_a_node_when_the_quorum_is_lost(
+    history: list[Any],
+) -> None:
     receiver = Receiver()
     receiver.register("a", "b", "c")
     registered = {"a", "b", "c"}
--- a/topazbank/discovery/address_claims.py
+++ b/topazbank/discovery/address_claims.py
@@ -1,4 +1,4 @@
-"""Which node listens at an address that several claim: the one that registered last; no I/O."""
+"""Ownership of addresses claimed by several nodes: the last node to register owns the address; no I/O."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class AddressClaims:
-    """Claims by address; a change of one node costs the same however many others there are."""
+    """Claims by address; the cost of one node's change is independent of the number of nodes."""
 
     def __init__(self) -> None:
-        self._claims: dict[Address, dict[str, int]] = {}  # each claimant's czxid, which orders registrations
+        self._claims: dict[Address, dict[str, int]] = {}  # czxid by claimant; it orders registrations
         self._owners: dict[Address, str] = {}
 
     def is_owner(self, address: Address, name: str) -> bool:
-        """Whether this node is the one that listens at the address."""
+        """Whether the node owns the address."""
         return self._owners.get(address) == name
 
     def claim(self, address: Address, name: str, czxid: int) -> str | None:
-        """A node says that it listens at an address; return the node that was its owner until now, if any."""
+        """Add or update a node's claim to an address; return the previous owner if it was displaced."""
         claimants = self._claims.setdefault(address, {})
         claimants[name] = czxid
         owner = self._owners.get(address)
@@ -30,7 +30,7 @@
         return owner
 
     def release(self, address: Address, name: str) -> str | None:
-        """A node does not listen at an address any more; return the claimant that owns it instead, if any."""
+        """Remove a node's claim to an address; return the new owner if the ownership changed to another claimant."""
         claimants = self._claims[address]
         del claimants[name]
         if not claimants:
--- a/topazbank/discovery/list_format.py
+++ b/topazbank/discovery/list_format.py
@@ -1,4 +1,4 @@
-"""The endpoint list in the platform's JSON form, as the registry serves it and processes hand it over."""
+"""The platform's JSON encoding of the endpoint list, as served by the registry and passed between processes."""
 
 from __future__ import annotations
 
@@ -14,48 +14,43 @@
 
 log = logging.getLogger(__name__)
 
-_INTEGER_LIMIT = 2**52  # multiplied by 1000 (ms to µs) it still fits 64 bits
+_INTEGER_LIMIT = 2**52  # times 1000 (ms to µs), an integer still fits in 64 bits
 _SURROGATE = re.compile("[\ud800-\udfff]")
-_ENTRY_ERRORS = (
-    ValueError,
-    TypeError,
-    KeyError,
-    AttributeError,
-    OverflowError,
-)  # raised by malformed entries
+# Errors that malformed entries raise.
+_ENTRY_ERRORS = (ValueError, TypeError, KeyError, AttributeError, OverflowError)
 _STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.REMOVED}
 _STATUSES = {state: status for status, state in _STATES.items()}
 
 
 def parse_list(document: object) -> EndpointList:
-    """Read a list from decoded JSON; skip malformed entries with a log line, raise ValueError for a malformed list."""
+    """Parse a decoded JSON list; log and skip malformed entries, raise ValueError for a malformed list."""
     if not isinstance(document, Mapping) or not isinstance(document.get("endpoints"), list):
-        raise ValueError("a list of servers is an object with endpoints")
+        raise ValueError("endpoint list: expected an object with an endpoints array")
     version = document.get("index")
     if type(version) is not int:
-        raise ValueError("index: a whole number is needed")
+        raise ValueError(f"index: expected an integer, not {version!r:.40}")
     endpoints = []
     for entry in document["endpoints"]:
         try:
             endpoints.append(_parse_entry(entry))
         except _ENTRY_ERRORS as error:
-            log.warning("list entry skipped: %r: %.120r", error, entry)
+            log.warning("endpoint list: skipped invalid entry: %r: %.120r", error, entry)
     return EndpointList(version, document.get("snapshot") is True, endpoints)
 
 
 def _parse_entry(entry: Mapping[str, Any]) -> DiscoveredServer:
     name = entry["name"]
     if not _is_encodable_text(name) or not name:
-        raise ValueError("name must be a text")
-    # A server of an unknown status receives nothing new.
+        raise ValueError(f"name: expected a non-empty string, not {name!r:.40}")
+    # A server with an unknown status receives no new requests.
     state = _STATES.get(entry["status"], ServerState.DRAINING)
     try:
         return _parse_endpoint(entry, name, state)
     except _ENTRY_ERRORS as error:
         if state is ServerState.READY:
             raise
-        # Guards a drain: were the entry skipped, its server would stay in use.
-        log.warning("of a list entry only the status is taken: %r: %.120r", error, entry)
+        # Skipping the entry would leave a draining or removed server in use.
+        log.warning("endpoint list: invalid entry, using only its name and status: %r: %.120r", error, entry)
         return DiscoveredServer(ServerDescription(name, state=state), None, None)
 
 
@@ -63,19 +58,19 @@
     zone, kind, protocol = entry.get("zone", ""), entry.get("type", ""), entry.get("protocol")
     group, weight, since_ms = entry.get("group", 0), entry.get("weight", 1.0), entry.get("since_ms", 0)
     if not _is_encodable_text(zone) or not _is_encodable_text(kind):
-        raise ValueError("zone and type must be texts")
+        raise ValueError(f"zone, type: expected strings, not {zone!r:.40}, {kind!r:.40}")
     if protocol is not None and not _is_encodable_text(protocol):
-        raise ValueError("protocol must be a text")
+        raise ValueError(f"protocol: expected a string, not {protocol!r:.40}")
     if not _is_integer(group) or not _is_integer(since_ms) or since_ms < 0:
-        raise ValueError("group and since_ms must be whole numbers")
+        raise ValueError(f"group, since_ms: expected integers, not {group!r:.40}, {since_ms!r:.40}")
     if isinstance(weight, bool) or not isinstance(weight, int | float) or not math.isfinite(weight):
-        raise ValueError("weight must be a number")
+        raise ValueError(f"weight: expected a finite number, not {weight!r:.40}")
     server = ServerDescription(name, zone, kind, group, state, float(weight), since_ms * 1000 or None)
     return DiscoveredServer(server, _parse_address(entry.get("address"), state), protocol)
 
 
 def _is_encodable_text(value: object) -> bool:
-    """Whether this is a text that UTF-8 can encode: JSON may escape single surrogates."""
+    """Whether the value is a string that UTF-8 can encode: JSON allows escaped lone surrogates, UTF-8 does not."""
     return isinstance(value, str) and _SURROGATE.search(value) is None
 
 
@@ -84,7 +79,7 @@
 
 
 def _parse_address(value: object, state: ServerState) -> Address | None:
-    """Where the server listens; None for a malformed address, unless the server is ready and needs one."""
+    """The server's address, or None if it is malformed; raise ValueError for a ready server, which needs an address."""
     try:
         return parse_address(str(value))
     except ValueError:
@@ -94,8 +89,12 @@
 
 
 def encode_list(version: int, endpoints: Iterable[DiscoveredServer]) -> dict[str, Any]:
-    """A snapshot as a JSON object that `parse_list` reads."""
-    return {"index": version, "snapshot": True, "endpoints": [_encode_entry(line) for line in endpoints]}
+    """Encode a snapshot as a JSON object that `parse_list` accepts."""
+    return {
+        "index": version,
+        "snapshot": True,
+        "endpoints": [_encode_entry(endpoint) for endpoint in endpoints],
+    }
 
 
 def _encode_entry(endpoint: DiscoveredServer) -> dict[str, Any]:
--- a/topazbank/discovery/registration.py
+++ b/topazbank/discovery/registration.py
@@ -1,4 +1,4 @@
-"""The record that a node stores in its znode: encoded, decoded and checked; no I/O."""
+"""Encoding, decoding and validation of the record that a node stores in its znode; no I/O."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 from topazbank.core.net import Address, parse_address
 
-RECORD_VERSION = 1  # a record of another version is rejected: its fields may mean something else
+RECORD_VERSION = 1  # other versions are rejected: their fields may have other meanings
 RECORD_BYTES_MAX = 4 * 1024
-NAME_CHARS_MAX = 200  # of a znode's name, and of each text field
+NAME_CHARS_MAX = 200  # limit for a znode's name and for each string field
 _POD_MIN = -(2**31)
 _INTEGER_LIMIT = 2**53
 _WEIGHT_LIMIT = 1e9
 
 
 class RegistrationError(Exception):
-    """A record that can't be read; the text names the field and what was expected."""
+    """A record is invalid; the message names the field and the expected value."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,12 +31,12 @@
     zone: str
     protocol: str
     weight: float
-    incarnation: str  # of its process: the same after an expired session, another after a restart
-    started_ms: int  # Unix time at which the process started; 0: long ago
+    incarnation: str  # identifies the process: unchanged after an expired session, new after a restart
+    started_ms: int  # Unix time at which the process started; 0: started long ago
     draining: bool = False
 
     def encode(self) -> bytes:
-        """The record as stored in the znode."""
+        """Encode the record as stored in the znode."""
         record = {
             "v": RECORD_VERSION,
             "address": f"{self.address[0]}:{self.address[1]}",
@@ -53,13 +53,13 @@
 
 
 def decode_registration(data: bytes) -> Registration:
-    """Read a record; raise RegistrationError naming the field."""
+    """Decode a record; raise RegistrationError for an invalid field."""
     record = _parse(data)
     if record.get("v") != RECORD_VERSION:
-        raise RegistrationError(f"v: {RECORD_VERSION} is wanted, not {record.get('v')!r:.20}")
+        raise RegistrationError(f"v: expected {RECORD_VERSION}, not {record.get('v')!r:.20}")
     state = _text(record, "state")
     if state not in ("active", "leaving"):
-        raise RegistrationError(f"state: active or leaving is wanted, not {state!r:.20}")
+        raise RegistrationError(f"state: expected active or leaving, not {state!r:.20}")
     try:
         address = parse_address(_text(record, "address"))
     except ValueError as error:
@@ -79,32 +79,38 @@
 
 def _parse(data: bytes) -> Mapping[str, Any]:
     if len(data) > RECORD_BYTES_MAX:
-        raise RegistrationError(f"{len(data)} bytes: {RECORD_BYTES_MAX} at most are wanted")
+        raise RegistrationError(f"record: size {len(data)} exceeds {RECORD_BYTES_MAX} bytes")
     try:
         record = json.loads(data)
     except (ValueError, RecursionError):
-        raise RegistrationError("JSON is wanted") from None
+        raise RegistrationError("record: expected JSON") from None
     if not isinstance(record, Mapping):
-        raise RegistrationError("an object is wanted")
+        raise RegistrationError(f"record: expected a JSON object, not {type(record).__name__}")
     return record
 
 
 def _text(record: Mapping[str, Any], field: str, default: str | None = None) -> str:
     value = record.get(field, default)
     if not isinstance(value, str) or (not value and default is None) or len(value) > NAME_CHARS_MAX:
-        raise RegistrationError(f"{field}: a text is wanted, not {value!r:.40}")
+        raise RegistrationError(
+            f"{field}: expected a string of at most {NAME_CHARS_MAX} characters, not {value!r:.40}"
+        )
     return value
 
 
 def _integer(record: Mapping[str, Any], field: str, minimum: int) -> int:
     value = record.get(field, 0)
     if type(value) is not int or not minimum <= value < _INTEGER_LIMIT:
-        raise RegistrationError(f"{field}: a whole number from {minimum} is wanted, not {value!r:.40}")
+        raise RegistrationError(
+            f"{field}: expected an integer from {minimum} to {_INTEGER_LIMIT - 1}, not {value!r:.40}"
+        )
     return value
 
 
 def _weight(record: Mapping[str, Any]) -> float:
     value = record.get("weight", 1.0)
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < _WEIGHT_LIMIT:
-        raise RegistrationError(f"weight: a number from 0 is wanted, not {value!r:.40}")
+        raise RegistrationError(
+            f"weight: expected a number from 0 to below {_WEIGHT_LIMIT:g}, not {value!r:.40}"
+        )
     return float(value)
--- a/topazbank/discovery/registration_view.py
+++ b/topazbank/discovery/registration_view.py
@@ -1,8 +1,11 @@
-"""The endpoint list as an ensemble's registrations give it; no I/O, time is an argument (seconds, monotonic).
+"""The endpoint list built from a ZooKeeper ensemble's registrations.
 
-Four situations are distinguished (the state table is in docs/design/discovery.md): a node is *removed* when a quorum
-does not list it any more, *draining* when its own record says so, *unknown* while no quorum is connected, and the list
-is *empty* when a quorum lists no node.  Unknown changes nothing: the last list stays in force, and ages.
+There is no I/O here, and time is an argument (seconds, monotonic).
+
+Four situations are distinguished (the state table is in docs/design/discovery.md).  A node is *removed* when a quorum
+no longer lists it, *draining* when its own record says so, and *unknown* while no quorum is connected.  The list is
+*empty* when a quorum lists no node.  Losing the quorum changes no endpoint: the last list stays in use, and its age
+grows.
 """
 
 from __future__ import annotations
@@ -25,7 +28,7 @@
 
 log = logging.getLogger(__name__)
 
-REMOVED_NAMES_MAX = 10_000  # former nodes that are remembered, to recognise their return
+REMOVED_NAMES_MAX = 10_000  # limit of the removed nodes remembered to detect their return
 _NEVER_LISTED_ZXID = -1
 
 
@@ -33,7 +36,7 @@
 class Connectivity(Enum):
     """Whether the ensemble's state can be read."""
 
-    UNKNOWN = "unknown"  # no quorum is connected: the last list stays in force
+    UNKNOWN = "unknown"  # no quorum is connected: the last list stays in use
     CONNECTED = "connected"
 
 
@@ -42,65 +45,64 @@
     """One registered node."""
 
     name: str
-    czxid: int = 0  # of its znode: another value is another registration
-    mzxid: int = 0  # of its data
-    registration: Registration | None = None  # None: not read yet, or not readable
+    czxid: int = 0  # creation zxid of the znode: a new value is a new registration
+    mzxid: int = 0  # zxid of the last change of the znode's data
+    registration: Registration | None = None  # None: not yet read, or invalid
     updated_at: float = 0.0
 
 
 @dataclass(slots=True)
 class ViewChange:
-    """What one event leads to."""
+    """The effects of one event on the endpoint list."""
 
     updates: list[DiscoveredServer] = field(default_factory=list)
-    is_snapshot: bool = False  # whether `updates` is the complete list: a node that is missing is removed
-    nodes_to_read: list[str] = field(default_factory=list)  # whose data is to be read, with a watch
+    is_snapshot: bool = False  # whether `updates` is the complete list: a missing node is removed
+    nodes_to_read: list[str] = field(default_factory=list)  # nodes whose data must be read, with a watch
 
 
 class RegistrationView:
-    """The registered nodes below one path; the cost of one node's change does not depend on their number."""
+    """The registered nodes below one path; the cost of one node's change is independent of their number."""
 
     def __init__(self) -> None:
         self.connectivity = Connectivity.UNKNOWN
-        self.last_contact_at: float | None = None  # with a quorum; None: never
+        self.last_contact_at: float | None = None  # last contact with a quorum; None: never
         self.nodes: dict[str, RegisteredNode] = {}
-        self.version = 0  # of the published list
-        self._children_zxid = _NEVER_LISTED_ZXID  # pzxid of the newest list of names
+        self.version = 0  # version of the published list
+        self._children_zxid = _NEVER_LISTED_ZXID  # pzxid of the newest list of children
         self._snapshot_published = False
         self._published: dict[str, DiscoveredServer] = {}
-        self._unread: set[str] = set()  # nodes whose data is to be read
+        self._unread: set[str] = set()  # nodes whose data must be read
         self._claims = AddressClaims()
         self._flaps = FlapDamper()
-        self._known_names: set[str] = set()  # registered now or before; bounded by REMOVED_NAMES_MAX
-        self._reported_unreadable: dict[str, int] = {}  # mzxid of data that was logged as unreadable, by name
-        self._assumed_started_ms: dict[
-            str, int
-        ] = {}  # by incarnation, where the record's own time lies ahead
+        self._known_names: set[str] = set()  # current and former nodes; pruned at REMOVED_NAMES_MAX
+        self._reported_invalid: dict[str, int] = {}  # mzxid of the invalid data last logged, by name
+        # By incarnation, for records whose start is in the future.
+        self._assumed_started_ms: dict[str, int] = {}
 
     # -- Session ---------------------------------------------------------------------------------------
 
     def quorum_connected(self, now: float) -> None:
-        """A member of a quorum has answered."""
+        """Record that a member of a quorum has responded."""
         self.connectivity, self.last_contact_at = Connectivity.CONNECTED, now
 
     def quorum_lost(self, now: float) -> None:
-        """No quorum is connected; only the list's age changes."""
+        """Record that no quorum is connected; the list stays, only its age grows."""
         if self.connectivity is Connectivity.CONNECTED:
             self.last_contact_at = now
         self.connectivity = Connectivity.UNKNOWN
 
     def watches_lost(self) -> None:
-        """The session expired, and its watches with it: every node is to be read again."""
+        """Mark every node as unread: the session has expired, and its watches with it."""
         self._unread.update(self.nodes)
 
     def is_unread(self, name: str) -> bool:
-        """Whether a node's data is to be read."""
+        """Whether a node's data must be read."""
         return name in self._unread
 
     # -- Results of reads and watches ------------------------------------------------------------------
 
     def names_listed(self, now: float, names: Iterable[str], pzxid: int) -> ViewChange:
-        """A quorum's list of the names below the path; one that is older than a former one is ignored."""
+        """Process a quorum's list of the names below the path; ignore a list older than the newest one."""
         change = ViewChange()
         if pzxid < self._children_zxid:
             return change
@@ -111,7 +113,7 @@
         for name in removed:
             self._remove(name, change)
         if removed and not listed:
-            log.warning("zookeeper: the ensemble lists none of %d nodes any more", len(removed))
+            log.warning("zookeeper: the ensemble lists no nodes; all %d nodes removed", len(removed))
         for name in sorted(listed - self.nodes.keys()):
             self._add(name, now, change)
         self._publish(change)
@@ -120,7 +122,7 @@
     def node_read(
         self, now: float, name: str, data: bytes, czxid: int, mzxid: int, now_ms: int
     ) -> ViewChange:
-        """A node's data, as a quorum has it; `now_ms` is Unix time.  Data older than a former read is ignored."""
+        """Process a node's data from a quorum, ignoring data older than the last read; `now_ms` is Unix time."""
         change = ViewChange()
         node = self.nodes.get(name)
         if node is None or mzxid < node.mzxid:
@@ -130,15 +132,15 @@
             self._publish(change)
             return change
         node.czxid, node.mzxid, node.updated_at = czxid, mzxid, now
-        former = node.registration
+        previous = node.registration
         node.registration = self._decode(node, data, now_ms)
-        self._update_claim(node, former, change)
+        self._update_claim(node, previous, change)
         self._update(name, now, change)
         self._publish(change)
         return change
 
     def node_removed(self, name: str) -> ViewChange:
-        """A quorum says that a node's znode does not exist."""
+        """Process a quorum's response that a node's znode does not exist."""
         change = ViewChange()
         if name in self.nodes:
             self._remove(name, change)
@@ -146,7 +148,7 @@
         return change
 
     def node_changed(self, name: str) -> ViewChange:
-        """A watch reports that a node's data has changed."""
+        """Process a watch event: a node's data has changed."""
         change = ViewChange()
         if name in self.nodes:
             self._unread.add(name)
@@ -154,7 +156,7 @@
         return change
 
     def release_held(self, now: float) -> ViewChange:
-        """End the holds of flapping nodes that have stayed for long enough."""
+        """Release flapping nodes that have stayed registered for FLAP_HOLD_S."""
         change = ViewChange()
         for name in self._flaps.release(now):
             self._update(name, now, change)
@@ -162,17 +164,17 @@
         return change
 
     def next_release_at(self) -> float | None:
-        """When `release_held` has something to do; None: no node is held."""
+        """When `release_held` is next due; None: no node is held."""
         return self._flaps.next_release_at()
 
     # -- Publishing ------------------------------------------------------------------------------------
 
     def request_snapshot(self) -> None:
-        """Publish the next list as a snapshot: its receiver may hold another one."""
+        """Publish the next list as a snapshot, since its receiver may hold a different list."""
         self._snapshot_published = False
 
     def _publish(self, change: ViewChange) -> None:
-        """The first list is a snapshot, published once all of its nodes are read; from then on, deltas."""
+        """Publish a snapshot once all nodes have been read, then deltas."""
         if self._snapshot_published:
             if change.updates:
                 self.version += 1
@@ -186,7 +188,7 @@
         change.updates = list(self._published.values())
 
     def _update(self, name: str, now: float, change: ViewChange) -> None:
-        """Add a node's endpoint to the change, if it differs from the published one."""
+        """Add a node's endpoint to the change if it differs from the published endpoint."""
         endpoint = self._endpoint(self.nodes[name], now)
         if endpoint is None or self._published.get(name) == endpoint:
             return
@@ -194,7 +196,7 @@
         change.updates.append(endpoint)
 
     def _endpoint(self, node: RegisteredNode, now: float) -> DiscoveredServer | None:
-        """A node's endpoint as of now; None where its data was never readable."""
+        """A node's endpoint at `now`; None if the node has never had a valid record."""
         registration = node.registration
         if registration is None:
             published = self._published.get(node.name)
@@ -220,7 +222,7 @@
     def _add(self, name: str, now: float, change: ViewChange) -> None:
         if name in self._known_names and self._flaps.node_returned(name, now):
             log.warning(
-                "zookeeper: node %s is flapping: it is held until it has stayed for %g s", name, FLAP_HOLD_S
+                "zookeeper: node %s is flapping; draining until registered for %g s", name, FLAP_HOLD_S
             )
         self._remember(name)
         self.nodes[name] = RegisteredNode(name, updated_at=now)
@@ -238,27 +240,27 @@
             self._release_address(name, registration, change)
 
     def _remember(self, name: str) -> None:
-        """Bound the memory of former nodes: beyond the limit, only registered ones are remembered."""
+        """Remember a name; at the limit, first forget all nodes that are no longer registered."""
         if len(self._known_names) >= REMOVED_NAMES_MAX:
             known = self._known_names = set(self.nodes)
             self._flaps.prune(known)
-            self._reported_unreadable = {
-                former: mzxid for former, mzxid in self._reported_unreadable.items() if former in known
+            self._reported_invalid = {
+                reported: mzxid for reported, mzxid in self._reported_invalid.items() if reported in known
             }
         self._known_names.add(name)
 
     def _decode(self, node: RegisteredNode, data: bytes, now_ms: int) -> Registration | None:
-        """A node's record; None, with one log line for each version of the data, where it is not readable."""
+        """Decode a node's record; None if it is invalid, which is logged once per version of the data."""
         try:
             return self._with_plausible_start(decode_registration(data), now_ms)
         except RegistrationError as error:
-            if self._reported_unreadable.get(node.name) != node.mzxid:
-                self._reported_unreadable[node.name] = node.mzxid
-                log.warning("zookeeper: node %s is left out, its data can't be read: %s", node.name, error)
+            if self._reported_invalid.get(node.name) != node.mzxid:
+                self._reported_invalid[node.name] = node.mzxid
+                log.warning("zookeeper: node %s has an invalid record: %s", node.name, error)
             return None
 
     def _with_plausible_start(self, registration: Registration, now_ms: int) -> Registration:
-        """Replace a start in the future, which is a wrong clock, by when the incarnation was first read."""
+        """Replace a start in the future, caused by a wrong clock, by the time of the incarnation's first read."""
         if registration.started_ms <= now_ms:
             return registration
         if len(self._assumed_started_ms) >= REMOVED_NAMES_MAX:
@@ -266,16 +268,18 @@
         started_ms = self._assumed_started_ms.setdefault(registration.incarnation, now_ms)
         return replace(registration, started_ms=started_ms)
 
-    def _update_claim(self, node: RegisteredNode, former: Registration | None, change: ViewChange) -> None:
+    def _update_claim(self, node: RegisteredNode, previous: Registration | None, change: ViewChange) -> None:
         registration = node.registration
-        if former is not None and (registration is None or former.address != registration.address):
-            self._release_address(node.name, former, change)
+        if previous is not None and (registration is None or previous.address != registration.address):
+            self._release_address(node.name, previous, change)
         if registration is None:
             return
         displaced = self._claims.claim(registration.address, node.name, node.czxid)
         if displaced is not None:
             log.warning(
-                "zookeeper: %s and %s claim one address: the later one is taken", displaced, node.name
+                "zookeeper: nodes %s and %s claim the same address; using the later registration",
+                displaced,
+                node.name,
             )
             self._update(displaced, node.updated_at, change)
 
