--- a/tests/discovery/test_combined.py
+++ b/tests/discovery/test_combined.py
@@ -1,4 +1,4 @@
-"""Several sources combined: one that fails is retried at an interval while others answer."""
+"""CombinedSource: a source that fails is retried at an interval while others respond."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class IdleSource:
-    """A source that is in contact and publishes nothing."""
+    """A connected source that publishes nothing."""
 
     def __init__(self, on_update: Callable[[EndpointList | None], None]) -> None: ...
 
@@ -40,13 +40,14 @@
 
 
 @pytest.mark.parametrize("failure", [answer(503, b""), b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n{"])
-def test_a_registry_that_fails_is_retried_at_an_interval_while_another_source_is_in_contact(
+def test_a_failed_registry_is_retried_at_an_interval_while_another_source_is_connected(
     failure: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The registry answers with errors while ZooKeeper is in contact.
+    """The registry returns errors while another source is connected.
 
-    The receiver of the combined list learns of failures, and polls again, only when every source has failed.  Without a
-    retry of its own the registry would never be called again; without an interval it would be called in a busy loop.
+    The receiver of the combined list is notified of failures, and polls again, only when every source has failed.
+    Without a separate retry the registry would never be called again; without an interval it would be called in a busy
+    loop.
     """
     monkeypatch.setattr(combined, "_RETRY_S", RETRY_S)
 
--- a/tests/discovery/test_merge.py
+++ b/tests/discovery/test_merge.py
@@ -1,4 +1,4 @@
-"""Several sources by precedence: which source's endpoint is published, and that a removal lasts."""
+"""Merging sources by precedence: the source whose endpoint is published, and removals that stay in effect."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 def states(update: EndpointList | None) -> dict[str, ServerState]:
     assert update is not None
-    return {line.server.name: line.server.state for line in update.entries}
+    return {entry.server.name: entry.server.state for entry in update.entries}
 
 
-def test_the_first_source_s_empty_snapshot_does_not_remove_what_the_second_is_about_to_list() -> None:
-    """An operator moves from the registry to ZooKeeper, where no node has registered yet.
+def test_an_empty_snapshot_of_the_first_source_does_not_remove_nodes_of_the_second() -> None:
+    """An operator migrates from the registry to ZooKeeper, where no node has registered yet.
 
-    Published at once, ZooKeeper's empty snapshot would remove every node until the registry has answered.  The merged
-    list begins once every source has a snapshot or has failed.
+    If ZooKeeper's empty snapshot were published at once, every node would be removed until the registry responds.  The
+    first merged list is published only once every source has a snapshot or has failed.
     """
     merger = SourceMerger(["zookeeper", "registry"])
     assert merger.update("zookeeper", snapshot()) is None
@@ -62,7 +62,7 @@
     assert states(merger.update("zookeeper", delta(endpoint("a")))) == {"a": READY}
 
 
-def test_a_later_source_counts_only_for_nodes_that_the_first_has_never_listed() -> None:
+def test_the_second_source_is_used_only_for_nodes_that_the_first_has_never_listed() -> None:
     merger = SourceMerger(["zookeeper", "registry"])
     merger.update("zookeeper", snapshot(endpoint("a")))
     assert states(merger.update("registry", snapshot(endpoint("a", DRAINING)))) == {"a": READY}
--- a/topazbank/discovery/__init__.py
+++ b/topazbank/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Service discovery: the sources of the endpoint list, and the registration of a node."""
+"""Service discovery: sources of the endpoint list, and registration of this node."""
--- a/topazbank/discovery/registry.py
+++ b/topazbank/discovery/registry.py
@@ -1,6 +1,6 @@
-"""The platform's registry as an endpoint source, over HTTP: polls and watches.
+"""The endpoint source for the platform's registry: HTTP polls and watches.
 
-Which of them follows which is decided here; when a poll is due, by estimation/poll_schedule.py.
+This module decides the order of polls and watches; estimation/poll_schedule.py decides when a poll is due.
 """
 
 from __future__ import annotations
@@ -22,13 +22,16 @@
 
 log = logging.getLogger(__name__)
 
-# Beyond a watch's own wait.  Changes must be received 2 s after that wait, and most of this is left to the next call,
-# which may queue behind those of all sidecars whose watches timed out at the same moment.
+# Time allowed for a watch's response after the watch's own wait.  Changes must be received within 2 s of that wait.
+# Most of the 2 s is reserved for the next call, which may queue behind the calls of all sidecars whose watches timed
+# out at the same moment.
 _WATCH_MARGIN_S = 0.3
-_CALL_TIMEOUT_S = 5.0  # of a call that does not wait for changes
-_CONCURRENT_POLLS_MAX = 3  # beyond that the oldest is cancelled
-_POLL_INTERVAL_MIN_S = 0.15  # a poll begun more recently is not joined by another
-_IDLE_PAUSE_S = 0.1  # between watches that end at once without changes; within the 200 ms of one watch
+_CALL_TIMEOUT_S = 5.0  # for a call that does not wait for changes
+_CONCURRENT_POLLS_MAX = 3  # a further poll cancels the oldest
+_POLL_INTERVAL_MIN_S = 0.15  # minimum time between the starts of concurrent polls
+# Pause between watches that return at once without changes.  It is less than the 200 ms after which a watch counts as a
+# new one.
+_IDLE_PAUSE_S = 0.1
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,11 +41,11 @@
 
 
 class RegistrySource:
-    """Follows the list while that is wanted; each call has a connection of its own.
+    """Follows the registry's endpoint list; each call uses its own connection.
 
-    There are two kinds of calls: polls, which do not wait, until one is answered; from then on a watch, which waits for
-    changes.  A watch that fails or times out is followed by polls again.  `watch` starts another poll beside those
-    without an answer yet: one that is lost delays none of the others.
+    There are two kinds of calls.  Polls do not wait for changes and are sent until one is answered.  After that a
+    watch, which waits for changes, is repeated.  After a watch fails or times out, polls are sent again.  `watch`
+    starts a poll in addition to those still in flight, so that a lost poll does not delay the others.
     """
 
     def __init__(
@@ -53,25 +56,26 @@
         fleet_size: FleetSize | None = None,
         seed: int | None = None,
     ) -> None:
-        """`version`: of the list last held; `fleet_size`: sidecars of this registry; `seed`: of the watches' jitter."""
+        """`version`: of the last list; `fleet_size`: sidecars of this registry; `seed`: for the jitter of watches."""
         self._address = address
         self._fleet_size = fleet_size or FleetSize(1)
         self._random = random.Random(seed)
-        self._version: int | None = version  # None: a snapshot is needed
+        self._version: int | None = version  # None: the next call requests a snapshot
         self._on_update = on_update
         self._stopped = False
         self._last_contact_at: float | None = None
         self._last_call_failed = False
         self._watch: asyncio.Task[None] | None = None
-        # The oldest first, each with the version that it asked from; bounded by _CONCURRENT_POLLS_MAX.
+        # Polls in flight, oldest first, each with the version that it sent; at most _CONCURRENT_POLLS_MAX.
         self._polls: dict[asyncio.Task[None], int | None] = {}
         self._last_poll_at = -math.inf
-        self._fetches: set[asyncio.Task[None]] = set()  # one for each `fetch` within _CALL_TIMEOUT_S
+        # `fetch` calls in flight, each for at most _CALL_TIMEOUT_S.
+        self._fetches: set[asyncio.Task[None]] = set()
 
     # -- EndpointSource --------------------------------------------------------------------------------
 
     def watch(self, wanted: bool) -> None:
-        """Begin or end following the list; while no call has been answered, start another poll beside it."""
+        """Start or stop following the list; while no poll has been answered, start an additional one."""
         if not wanted:
             self._cancel_calls()
         elif not self._stopped and self._watch is None and not self._polled_recently():
@@ -84,10 +88,10 @@
         task.add_done_callback(self._fetches.discard)
 
     def move(self, address: Address) -> None:
-        """Request a snapshot at another address at once: what was received may be behind.
+        """Request a snapshot from `address` at once, since the current list may be stale.
 
-        Where the address is the same, requests for a snapshot go on: a slow registry keeps its time to answer,
-        however often it is named again.
+        If the address is unchanged, snapshot requests in flight continue: a slow registry keeps its full time to answer
+        even if its address is set repeatedly.
         """
         if address != self._address:
             for fetch in self._fetches:
@@ -100,10 +104,10 @@
             return
         if len(self._polls) < _CONCURRENT_POLLS_MAX:
             self._start_poll()
-        self._publish(None)  # so that the receiver asks for more polls until one is answered
+        self._publish(None)  # the receiver then starts further polls until one is answered
 
     def stop(self) -> None:
-        """End all calls but requested snapshots, for good."""
+        """Permanently stop all calls except `fetch` calls."""
         self._stopped = True
         self._cancel_calls()
 
@@ -130,25 +134,25 @@
         self._polls[loop.create_task(self._poll(self._version))] = self._version
 
     async def _poll(self, version: int | None) -> None:
-        """One poll; once it is answered, the other polls end and the watch begins, in the same task."""
+        """Poll once; on success, cancel the other polls and watch in this same task."""
         started_at = asyncio.get_running_loop().time()
         result = await self._call(list_target(version, 0.0), _CALL_TIMEOUT_S)
-        this = asyncio.current_task()
-        assert this is not None
-        self._polls.pop(this, None)
+        task = asyncio.current_task()
+        assert task is not None
+        self._polls.pop(task, None)
         if result.endpoints is None:
             self._publish(None)
             return
         self._cancel_polls()
-        self._watch = this
+        self._watch = task
         self._accept(result.endpoints)
         await self._pause_if_idle(version, started_at)
         await self._run_watch()
 
     async def _run_watch(self) -> None:
-        """Watch again as soon as a watch is answered: after more than 200 ms it would count as a new one.
+        """Repeat the watch as soon as it is answered: after more than 200 ms it would count as a new watch.
 
-        A watch that times out is followed by a poll at once, since the changes that it withheld are late already.
+        After a watch times out, a poll is sent at once, since the changes that the watch should have returned are late.
         """
         loop = asyncio.get_running_loop()
         while True:
@@ -167,7 +171,7 @@
             self.watch(True)
 
     async def _pause_if_idle(self, version: int | None, started_at: float) -> None:
-        """Guards against a busy loop with a registry that answers watches at once and without changes."""
+        """Pause to avoid a busy loop with a registry that answers watches at once without changes."""
         if self._version == version and asyncio.get_running_loop().time() < started_at + _IDLE_PAUSE_S:
             await asyncio.sleep(_IDLE_PAUSE_S)
 
@@ -185,7 +189,7 @@
             self._cancel_poll(poll)
 
     def _cancel_delta_polls(self) -> None:
-        """Cancel polls that asked for changes, and leave those for a snapshot."""
+        """Cancel polls that request changes; polls that request a snapshot continue."""
         for poll, version in list(self._polls.items()):
             if version is not None:
                 self._cancel_poll(poll)
@@ -208,9 +212,9 @@
         self._publish(endpoints)
 
     def _publish(self, endpoints: EndpointList | None) -> None:
-        """Pass on a call's result.
+        """Pass a call's result to the receiver.
 
-        Guards against an exception in the receiver: it would end the watch, and no other would begin.
+        An exception in the receiver is logged, since it would otherwise end the watch without starting another call.
         """
         self._last_call_failed = endpoints is None
         if endpoints is not None:
@@ -221,33 +225,38 @@
             log.exception("discovery: the receiver failed to process a list")
 
     async def _call(self, target: str, timeout_s: float) -> _CallResult:
-        """Make a call and log its result; failures are results, not exceptions."""
+        """Make a call and log its result; a failure is returned, not raised."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         try:
             endpoints = await registry_client.call(self._address, target, timeout_s)
         except RegistryError as error:
-            log.warning("discovery: %s after %.2f s to %s", error, loop.time() - started_at, target)
+            log.warning(
+                "discovery: call failed: %s; after %.2f s, request target %s",
+                error,
+                loop.time() - started_at,
+                target,
+            )
             return _CallResult(None, timed_out=isinstance(error, RegistryTimeoutError))
         except Exception:
-            # Guards against a defect in reading the response: it would end the watch, and no other would begin.
-            log.exception("discovery: a response could not be read")
+            # A defect in reading the response would otherwise end the watch without starting another call.
+            log.exception("discovery: unexpected error while reading a response")
             return _CallResult(None)
         self._log_result(endpoints, loop.time() - started_at)
         return _CallResult(endpoints)
 
-    def _log_result(self, endpoints: EndpointList, took_s: float) -> None:
-        """Log changes, and the first answer after a failed call; a watch that ended without changes is not logged."""
+    def _log_result(self, endpoints: EndpointList, elapsed_s: float) -> None:
+        """Log changes and the first response after a failed call, but not a watch that ended without changes."""
         if endpoints.version == self._version and not self._last_call_failed:
             return
         now = asyncio.get_running_loop().time()
         last_contact_at = self._last_contact_at
         age = "first" if last_contact_at is None else f"{now - last_contact_at:.2f} s after the last"
-        states = Counter(line.server.state.value for line in endpoints.entries)
+        states = Counter(entry.server.state.value for entry in endpoints.entries)
         counts = ", ".join(f"{count} {state}" for state, count in sorted(states.items())) or "none"
         kind = "snapshot" if endpoints.complete else "delta"
-        former = "nothing" if self._version is None else str(self._version)
+        previous_version = "nothing" if self._version is None else str(self._version)
         log.info(
             "discovery: %s, version %s to %d: %s; took %.2f s, %s",
-            kind, former, endpoints.version, counts, took_s, age,
+            kind, previous_version, endpoints.version, counts, elapsed_s, age,
         )  # fmt: skip
--- a/topazbank/discovery/registry_client.py
+++ b/topazbank/discovery/registry_client.py
@@ -1,4 +1,4 @@
-"""One HTTP call to the platform's registry, on a connection of its own."""
+"""HTTP calls to the platform's registry, each on its own connection."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from topazbank.http.messages import HttpResponse, format_message
 
 _LIST_PATH = "/registry/instances"
-_CONNECT_TIMEOUT_S = 1.5  # the kernel repeats a lost SYN after 1 s
+_CONNECT_TIMEOUT_S = 1.5  # the kernel retransmits a lost SYN after 1 s
 _LIST_BYTES_MAX = 8 * 1024 * 1024
 _HTTP_OK = 200
 
 
 class RegistryError(Exception):
-    """A call failed: no connection, no complete response, another status than 200 or a malformed list."""
+    """A call failed: no connection, an incomplete response, a status other than 200 or a malformed list."""
 
 
 class RegistryTimeoutError(RegistryError):
-    """A connection came up and no response arrived in time."""
+    """The connection was established, but no complete response arrived before the timeout."""
 
 
 def list_target(version: int | None, wait_s: float) -> str:
-    """The request target for changes after a version, which waits for them for `wait_s` at most.
+    """The request target for changes after `version`; the registry waits up to `wait_s` for a change.
 
-    Without a version it is that of a snapshot, which does not wait.
+    Without a version, it requests a snapshot, for which the registry does not wait.
     """
     if version is None:
         return _LIST_PATH
@@ -41,16 +41,16 @@
         async with asyncio.timeout(timeout_s):
             return _parse(await _get(address, target))
     except TimeoutError:
-        raise RegistryTimeoutError(f"no answer in {timeout_s:.1f} s") from None
+        raise RegistryTimeoutError(f"no response within {timeout_s:.1f} s") from None
     except (OSError, ValueError, RecursionError) as error:
         raise RegistryError(str(error) or type(error).__name__) from error
 
 
 def _parse(response: HttpResponse | None) -> EndpointList:
     if response is None:
-        raise RegistryError("the connection closed before the response was complete")
+        raise RegistryError("connection closed before the response was complete")
     if response.status != _HTTP_OK:
-        raise RegistryError(f"status {response.status}")
+        raise RegistryError(f"status: expected {_HTTP_OK}, not {response.status}")
     return parse_list(json.loads(response.body))
 
 
@@ -63,12 +63,15 @@
 
 
 async def _connect(address: Address) -> UpstreamConnection:
-    """A connection that can't be established is an error and not a timeout: the registry has withheld no change."""
+    """Connect to the registry.
+
+    A connect timeout is not a RegistryTimeoutError: no watch was sent, so no changes are overdue.
+    """
     try:
         async with asyncio.timeout(_CONNECT_TIMEOUT_S):
             return await connect(address, _LIST_BYTES_MAX)
     except TimeoutError:
-        raise RegistryError("the connection can't be established") from None
+        raise RegistryError(f"no connection within {_CONNECT_TIMEOUT_S} s") from None
 
 
 async def _exchange(connection: UpstreamConnection, address: Address, target: str) -> HttpResponse | None:
@@ -78,9 +81,9 @@
         b"GET %b HTTP/1.1" % target.encode(), [(b"Host", host), (b"Connection", b"close")]
     )
 
-    def response_received(received: HttpResponse | None) -> None:
+    def response_received(result: HttpResponse | None) -> None:
         if not response.done():
-            response.set_result(received)
+            response.set_result(result)
 
     connection.request(request, response_received)
     return await response
