--- a/tests/quota/test_audit.py
+++ b/tests/quota/test_audit.py
@@ -53,8 +53,8 @@
         usage_line("b", 5 * S, 8000, 10 * S),
     )
     assert len(result.violations) == 1
-    assert "16000 were held of 8000" in result.violations[0]
-    assert "a 8000 of k, b 8000 of k" in result.violations[0]
+    assert "held 16000 exceeds 8000" in result.violations[0]
+    assert "a 8000 from k, b 8000 from k" in result.violations[0]
 
 
 def test_use_ahead_of_the_limit_is_found() -> None:
@@ -62,24 +62,24 @@
     within = audit_lines(start_line("a"), *steady)
     assert not within.violations and within.acquired == 15
     result = audit_lines(start_line("a"), usage_line("a", S, 0, 0, 5), usage_line("a", S + 1000, 0, 0, 25))
-    assert "use was 25.0 ahead of the rate, 5 allowed" in result.violations[0]
+    assert "use 25.0 ahead of the rate exceeds burst 5" in result.violations[0]
 
 
 def test_an_incomplete_last_line_is_left_out_and_any_other_bad_line_is_an_error() -> None:
     good = json.dumps(start_line("a")) + "\n"
     assert len(read_ledgers([good, good[:20]])) == 1
-    with pytest.raises(BadLedger, match="is not complete"):
+    with pytest.raises(BadLedger, match="ledger of a is incomplete"):
         read_ledgers([good, json.dumps({"by": "a", "at": S, "what": "full"}) + "\n"])
-    with pytest.raises(BadLedger, match="of a later version"):
+    with pytest.raises(BadLedger, match="has an unsupported version"):
         read_ledgers([json.dumps(start_line("a") | {"v": 2}) + "\n"])
-    with pytest.raises(BadLedger, match="not a ledger's line"):
+    with pytest.raises(BadLedger, match="invalid ledger line"):
         read_ledgers([good, "junk\n"])
 
 
 def test_a_line_without_the_fields_of_its_kind_is_an_error() -> None:
     incomplete = start_line("a")
     del incomplete["floor"]
-    with pytest.raises(BadLedger, match="not a ledger's line"):
+    with pytest.raises(BadLedger, match="invalid ledger line"):
         read_ledgers([json.dumps(incomplete) + "\n"])
 
 
--- a/tests/quota/test_store.py
+++ b/tests/quota/test_store.py
@@ -97,7 +97,7 @@
     db.execute("UPDATE meta SET value = ? WHERE name = 'version'", (str(VERSION + 1),))
     db.commit()
     db.close()
-    with pytest.raises(IncompatibleStore, match="of version"):
+    with pytest.raises(IncompatibleStore, match="unsupported version 2, expected 1"):
         open_store(path)
 
 
--- a/topazbank/quota/audit.py
+++ b/topazbank/quota/audit.py
@@ -1,8 +1,7 @@
 """Checks from the ledgers of all processes whether a quota's limit was ever exceeded; no I/O.
 
-Two sums are compared with the limit.  What was *held*: at each instant the unexpired leases of all processes.  What was
-*used*: between two lines the units that were certainly used by then, so that the resolution of the ledgers never makes
-a false violation.
+Two sums are compared with the limit.  *Held*: the unexpired leases of all processes at each instant.  *Used*: the units
+that were certainly acquired by the time of each line, so that the ledgers' time resolution causes no false violation.
 
 Times are microseconds of the machine's monotonic clock.
 """
@@ -18,12 +17,12 @@
 from topazbank.quota.ledger_records import HeldLease, LedgerRecord, ProcessId, StartRecord, UsageRecord
 from topazbank.quota.rules import MILLIUNITS_PER_UNIT, QuotaKind
 
-VIOLATIONS_MAX = 20  # that are listed for a quota
-LEDGER_DELAY_S = 0.25  # a use is in the ledger by then: two periods of the ledger and some slack
+VIOLATIONS_MAX = 20  # listed for each quota
+LEDGER_DELAY_S = 0.25  # delay until a use is recorded: at most two ledger periods plus a margin
 
 
 class HeldSample(NamedTuple):
-    """What all processes together held of leases from this time on."""
+    """The sum of all processes' leases from this time on."""
 
     at: int
     amount: int
@@ -31,33 +30,33 @@
 
 @dataclass(slots=True)
 class QuotaAudit:
-    """What the ledgers say of one quota; amounts are milliunits a second, or units."""
+    """The audit result of one quota; amounts are milliunits per second, or units."""
 
     kind: QuotaKind = QuotaKind.RATE
     limit: int = 0
     burst: int = 0
     floor: int = 0
-    shared: int = 0  # the limit less the floors of all members
+    shared: int = 0  # the limit minus the floors of all members
     processes: set[ProcessId] = field(default_factory=set)
-    held_max: int = 0  # of `shared`
+    held_max: int = 0  # the maximum held at one time, to compare with `shared`
     acquired: int = 0  # units
     rejected: int = 0  # units
-    ahead_max: float = 0.0  # by how many units the use ran ahead of the limit's rate at the most
+    ahead_max: float = 0.0  # maximum units of use ahead of the limit's rate
     violations: list[str] = field(default_factory=list)  # at most VIOLATIONS_MAX
     held_samples: list[HeldSample] = field(default_factory=list)
 
     def add_violation(self, text: str) -> None:
-        """List a violation."""
+        """Add a violation, unless VIOLATIONS_MAX are listed already."""
         if len(self.violations) < VIOLATIONS_MAX:
             self.violations.append(text)
 
 
 def audit(records: Iterable[LedgerRecord]) -> dict[str, QuotaAudit]:
-    """Audit each quota by its name; `records` in the order of time."""
+    """Audit all quotas; `records` are sorted by time.  Returns the results by quota name."""
     by_quota: dict[str, list[LedgerRecord]] = defaultdict(list)
     for record in records:
         by_quota[record.quota].append(record)
-    return {quota: _audit_quota(of_quota) for quota, of_quota in by_quota.items()}
+    return {quota: _audit_quota(quota_records) for quota, quota_records in by_quota.items()}
 
 
 def _audit_quota(records: Sequence[LedgerRecord]) -> QuotaAudit:
@@ -69,12 +68,12 @@
     held = _HeldLeases(result)
     for record in usage:
         held.add(record)
-    _check_use(result, usage)
+    _check_usage(result, usage)
     return result
 
 
 def _add_definition(result: QuotaAudit, record: StartRecord) -> None:
-    """Of two versions of the operator file the larger limit counts: a change passes through no more than that."""
+    """Add a definition; the larger of two limits counts, as a change of the operator file stays within it."""
     result.kind, result.floor = record.kind, record.floor
     result.limit = max(result.limit, record.limit)
     result.burst = max(result.burst, record.burst)
@@ -87,20 +86,20 @@
     lease_server: str
 
 
-_NOT_HELD = HeldLease(0, 0)
+_NO_LEASE = HeldLease(0, 0)
 
 
 class _HeldLeases:
-    """The sum of all leases over time: each line replaces its process's leases, and each lease expires by itself."""
+    """The sum of all leases over time: a record replaces its process's leases, and each lease expires on its own."""
 
     def __init__(self, result: QuotaAudit) -> None:
         self._result = result
         self._leases: dict[_LeaseKey, HeldLease] = {}
-        self._expiries: list[tuple[int, _LeaseKey]] = []  # a heap
+        self._expiries: list[tuple[int, _LeaseKey]] = []  # a heap, by expiry time
         self._total = 0
 
     def add(self, record: UsageRecord) -> None:
-        """Bring the sum up to this record's time, and check it."""
+        """Update the sum to this record and check it against the limit."""
         self._expire(record.at)
         self._replace(record)
         result = self._result
@@ -108,38 +107,38 @@
         result.held_max = max(result.held_max, self._total)
         if self._total > result.shared:
             holders = ", ".join(
-                f"{key.process.member} {lease.amount} of {key.lease_server}"
+                f"{key.process.member} {lease.amount} from {key.lease_server}"
                 for key, lease in self._leases.items()
             )
             result.add_violation(
-                f"at {record.at / 1e6:.3f} s {self._total} were held of {result.shared}: {holders}"
+                f"at {record.at / 1e6:.3f} s: held {self._total} exceeds {result.shared}: {holders}"
             )
 
     def _expire(self, now: int) -> None:
         while self._expiries and self._expiries[0][0] <= now:
             expires_at, key = heapq.heappop(self._expiries)
-            lease = self._leases.get(key, _NOT_HELD)
-            if lease.expires_at == expires_at:  # it was not renewed meanwhile
+            lease = self._leases.get(key, _NO_LEASE)
+            if lease.expires_at == expires_at:  # not renewed in the meantime
                 self._total -= lease.amount
                 del self._leases[key]
                 self._result.held_samples.append(HeldSample(expires_at, self._total))
 
     def _replace(self, record: UsageRecord) -> None:
-        former = {key.lease_server for key in self._leases if key.process == record.process}
-        for lease_server in former | record.leases.keys():
+        previous_servers = {key.lease_server for key in self._leases if key.process == record.process}
+        for lease_server in previous_servers | record.leases.keys():
             key = _LeaseKey(record.process, lease_server)
-            before = self._leases.pop(key, _NOT_HELD)
-            after = record.leases.get(lease_server, _NOT_HELD)
-            self._total += after.amount - before.amount
-            if after.amount:
-                self._leases[key] = after
-                heapq.heappush(self._expiries, (after.expires_at, key))
+            old_lease = self._leases.pop(key, _NO_LEASE)
+            new_lease = record.leases.get(lease_server, _NO_LEASE)
+            self._total += new_lease.amount - old_lease.amount
+            if new_lease.amount:
+                self._leases[key] = new_lease
+                heapq.heappush(self._expiries, (new_lease.expires_at, key))
 
 
-def _check_use(result: QuotaAudit, usage: Sequence[UsageRecord]) -> None:
+def _check_usage(result: QuotaAudit, usage: Sequence[UsageRecord]) -> None:
     """Compare the use with a leaky bucket of the quota's burst and rate.
 
-    What a process used between two of its lines is in the second of them, so up to LEDGER_DELAY_S late.
+    Use between two lines of a process is recorded in the second line, up to LEDGER_DELAY_S late.
     """
     acquired: dict[ProcessId, int] = {}
     rejected: dict[ProcessId, int] = {}
@@ -156,6 +155,6 @@
         result.ahead_max = max(result.ahead_max, ahead)
         if ahead > allowed:
             result.add_violation(
-                f"by {at / 1e6:.3f} s use was {ahead:.1f} ahead of the rate, {result.burst} allowed"
+                f"by {at / 1e6:.3f} s: use {ahead:.1f} ahead of the rate exceeds burst {result.burst}"
             )
     result.acquired, result.rejected = sum(acquired.values()), sum(rejected.values())
--- a/topazbank/quota/grant_store.py
+++ b/topazbank/quota/grant_store.py
@@ -1,7 +1,8 @@
-"""Writes a lease server's grants to its store from one thread, in batches; the event loop never waits.
+"""Writes a lease server's grants to its store in batches on one thread, so that the event loop never blocks.
 
-A grant is sent once it is on the disk.  While the disk is slow or fails, grants wait and are then dropped, like lost
-datagrams: clients send their requests again, and leases expire if the failure lasts.
+A grant is sent after it is on disk.  While the disk is slow, grants are queued.  When a write fails or the queue is
+full, grants are dropped, which clients see as lost datagrams: they repeat their requests, and their leases expire if
+the failure lasts.
 """
 
 from __future__ import annotations
@@ -23,8 +24,8 @@
 log = logging.getLogger(__name__)
 
 _Result = TypeVar("_Result")
-REOPEN_DELAY_S = 5.0  # between two attempts to open a store
-PENDING_GRANTS_MAX = 4096  # a grant beyond it is dropped
+REOPEN_DELAY_S = 5.0  # delay between attempts to open a store
+PENDING_GRANTS_MAX = 4096  # further grants are dropped
 
 
 class _PendingGrant(NamedTuple):
@@ -33,31 +34,31 @@
 
 
 class GrantStore:
-    """The store of one process's lease servers."""
+    """Asynchronous access to the store of one process's lease servers."""
 
     def __init__(self, store: Store, now: Callable[[], int]) -> None:
-        """`now`: microseconds of the machine's monotonic clock."""
+        """`now`: the machine's monotonic clock in microseconds."""
         self._store = store
         self._now = now
-        self._thread = ThreadPoolExecutor(1, "quota-store")
+        self._executor = ThreadPoolExecutor(1, "quota-store")
         self._pending: list[_PendingGrant] = []  # at most PENDING_GRANTS_MAX
         self._is_writing = False
         self._timer: asyncio.TimerHandle | None = None
         self.is_closed = False
-        self.dropped = 0  # grants that were not written, and so not sent
+        self.dropped = 0  # grants not written and therefore not sent
 
     def open(self, on_open: Callable[[StoredGrants | None], None]) -> None:
-        """Open the store, with retries while the disk fails; `on_open` gets its grants, None if not trusted."""
+        """Open the store, with retries while the disk fails; `on_open` receives its grants, or None if not trusted."""
         asyncio.get_running_loop().create_task(self._open(on_open))
 
     async def _open(self, on_open: Callable[[StoredGrants | None], None]) -> None:
         try:
-            grants = await self._in_thread(lambda: self._store.open(self._now()))
+            grants = await self._run_in_executor(lambda: self._store.open(self._now()))
         except IncompatibleStore as error:
-            log.error("quota: no lease server here: %s", error)
+            log.error("quota: lease servers disabled: %s", error)
             return
         except OSError as error:
-            log.error("quota: no lease server here until the store opens: %s", error)
+            log.error("quota: lease servers not started until the store can be opened: %s", error)
             if not self.is_closed:
                 loop = asyncio.get_running_loop()
                 self._timer = loop.call_later(REOPEN_DELAY_S, self.open, on_open)
@@ -66,16 +67,16 @@
             on_open(grants)
             self._heartbeat()
 
-    async def _in_thread(self, function: Callable[[], _Result]) -> _Result:
-        return await asyncio.get_running_loop().run_in_executor(self._thread, function)
+    async def _run_in_executor(self, function: Callable[[], _Result]) -> _Result:
+        return await asyncio.get_running_loop().run_in_executor(self._executor, function)
 
     def _heartbeat(self) -> None:
-        """Record that this lease server is alive, so that the store is trusted after a quick restart."""
+        """Write a heartbeat periodically, so that the store is trusted after a quick restart."""
         self._flush(is_heartbeat=True)
         self._timer = asyncio.get_running_loop().call_later(HEARTBEAT_PERIOD_S, self._heartbeat)
 
     def save(self, record: GrantRecord, send: Callable[[], None]) -> None:
-        """Write a grant to the disk, then call `send`."""
+        """Queue a grant; `send` is called after the grant is on disk."""
         if len(self._pending) >= PENDING_GRANTS_MAX:
             self.dropped += 1
             return
@@ -91,10 +92,12 @@
         batch, self._pending = self._pending, []
         records = [grant.record for grant in batch]
         try:
-            await self._in_thread(lambda: self._store.write(self._now(), records))
+            await self._run_in_executor(lambda: self._store.write(self._now(), records))
         except OSError as error:
             self.dropped += len(batch)
-            log.warning("quota: %d grants dropped, not written: %s", len(batch), error)
+            log.warning(
+                "quota: dropped %d grants that could not be written to the store: %s", len(batch), error
+            )
         else:
             for grant in batch:
                 grant.send()
@@ -102,16 +105,16 @@
         self._flush()
 
     def close(self, on_closed: Callable[[], None]) -> None:
-        """Close the store after the write in progress, then call `on_closed` in the store's thread."""
+        """Close the store after the write in progress, then call `on_closed` on the store's thread."""
         if self._timer is not None:
             self._timer.cancel()
         if self.is_closed:
             return
         self.is_closed = True
 
-        def close() -> None:
+        def close_store() -> None:
             self._store.close()
             on_closed()
 
-        self._thread.submit(close)
-        self._thread.shutdown(wait=False)
+        self._executor.submit(close_store)
+        self._executor.shutdown(wait=False)
--- a/topazbank/quota/lease_server_host.py
+++ b/topazbank/quota/lease_server_host.py
@@ -1,9 +1,10 @@
-"""Runs the lease servers of one process: the lock that only one process of a member holds, and the grant store.
+"""Runs the lease servers of one process, guarded by a lock that only one process per member can hold.
 
-Failure guarded against: two processes of one member (an upgrade, or one that is stopped and later continues) both grant
-the same slice; `audit` then shows more held than the limit.  Why the lock prevents it: the kernel keeps it for a
-process, stopped or not, until that process ends, so the second starts its lease servers only once the first has ended
-or has stopped its own.  Assumption: all processes of a member are on one machine and have the same `lock_folder`.
+Without the lock, two processes of one member could grant the same slice: during an upgrade, or when a paused process
+(SIGSTOP) continues.  `audit` would then report more held than the limit.  The kernel holds the lock for a process,
+paused or not, until the process ends or releases it.  The second process therefore starts its lease servers only after
+the first has ended or stopped its own.  Assumption: all processes of a member run on one machine and use the same
+`lock_folder`.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class LeaseServerHost:
-    """The lease servers of the quotas that this process's member leases out."""
+    """The lease servers of all quotas for which this member is a lease server."""
 
     def __init__(
         self,
@@ -35,22 +36,22 @@
         lock_folder: str | None,
         store_folder: str,
     ) -> None:
-        """`name`: of the member; `quotas`: all, by id; `now`: monotonic microseconds; `store_folder`: "" for none."""
-        self.servers: dict[int, LeaseServer] = {}  # by quota id; empty while another process has the lock
+        """`name`: the member; `quotas`: all, by id; `now`: monotonic microseconds; `store_folder`: "" for none."""
+        self.servers: dict[int, LeaseServer] = {}  # by quota id; empty unless this process holds the lock
         self._name = name
         self._quotas = {quota_id: quota for quota_id, quota in quotas.items() if name in quota.lease_servers}
         self._now = now
         self._lock_folder = lock_folder
         self._store_folder = store_folder
         self._lock: BinaryIO | None = None
-        self._grant_store: GrantStore | None = None  # while the lock is held
+        self._grant_store: GrantStore | None = None  # set only while the lock is held
         if self._quotas and lock_folder is None:
             log.warning(
-                "quota: no lease server here: without TMPDIR no lock shows a second process of this name"
+                "quota: lease servers disabled: TMPDIR is not set, so a second process of this member can't be detected"
             )
 
     def start_if_unlocked(self) -> None:
-        """Start the lease servers, unless they run or another process of this member has the lock."""
+        """Start the lease servers unless they are running or another process of this member holds the lock."""
         if not self._quotas or self._lock is not None or self._lock_folder is None:
             return
         file_name = f"topazbank-keeps-{self._name.replace('/', '_')}"
@@ -70,16 +71,16 @@
         self._grant_store.open(self._start_servers)
 
     def _start_servers(self, stored: StoredGrants | None) -> None:
-        """Start with the stored grants; None: they are not known."""
+        """Start the lease servers with the stored grants; None: earlier grants are unknown."""
         now = self._now()
         for quota_id, quota in self._quotas.items():
             grants = None if stored is None else stored.get(quota_id, [])
             self.servers[quota_id] = LeaseServer(quota, quota.slice_of(self._name), now, grants)
-        how = "with a grace period" if stored is None else "with the stored grants"
-        log.info("quota: lease servers of %d slices start, %s", len(self._quotas), how)
+        start_mode = "with a grace period" if stored is None else "with the stored grants"
+        log.info("quota: started lease servers of %d slices %s", len(self._quotas), start_mode)
 
     def stop(self) -> None:
-        """Stop the lease servers; the lock is released once all grants are on the disk."""
+        """Stop the lease servers; the lock is released after the store is closed."""
         self.servers.clear()
         lock, self._lock = self._lock, None
         grant_store, self._grant_store = self._grant_store, None
@@ -89,7 +90,7 @@
             lock.close()
 
     def send_when_stored(self, message: Message, grant: LeaseGrant, send: Callable[[], None]) -> None:
-        """Call `send` once the grant that answers this request is on the disk, or at once without a store."""
+        """Call `send` after the grant for this request is on disk, or immediately if there is no store."""
         if self._grant_store is None or not grant.allocation:
             send()
             return
--- a/topazbank/quota/ledger.py
+++ b/topazbank/quota/ledger.py
@@ -1,8 +1,8 @@
-"""Writes what one process was allocated, used and granted of each quota, as lines of JSON: the input of `audit`.
+"""Records one process's allocations, usage and grants of each quota as JSON lines, the input of `audit`.
 
 Times are microseconds of the machine's monotonic clock, which all its processes share.  A line is written only when
-something has changed.  A file ends at FILE_BYTES_MAX, and its last line says so.  The keys and values of the lines are
-those of the file format, version 1 (`ledger_records.py` reads them).
+the recorded state has changed.  When a file reaches FILE_BYTES_MAX, a last line marks it as full.  The keys and values
+of the lines belong to the file format, version 1 (`ledger_records.py` reads them).
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 
 class Ledger:
-    """One process's file."""
+    """The ledger file of one process."""
 
     def __init__(self, folder: str, name: str, generation: int) -> None:
-        """Open the file; raises OSError.  `name`: of this process's member."""
+        """Open the file; raises OSError.  `name`: this process's member name."""
         file_name = f"budgets-{name.replace('/', '_')}-{generation}-{os.getpid()}.jsonl"
         self._file = open(Path(folder) / file_name, "a", encoding="utf-8")
         self._remaining_bytes = FILE_BYTES_MAX
@@ -33,7 +33,7 @@
         self._generation = generation
 
     def record_start(self, now: int, quota: Quota) -> None:
-        """Record that this process may use its floor from now on."""
+        """Record the quota's definition and that this process may use its floor from now on."""
         line = {
             "v": VERSION,
             "at": now,
@@ -48,7 +48,7 @@
         self._write(line)
 
     def record_client(self, now: int, client: LeaseClient) -> None:
-        """Record what the client holds of each lease server and has used so far, if that has changed."""
+        """Record the client's unexpired leases by lease server and its usage since the start, if they have changed."""
         held = {
             server: [*lease.allocation_at(now), lease.expires_at]
             for server, lease in client.leases.items()
@@ -63,11 +63,11 @@
             "spent": limiter.acquired,
             "refused": limiter.rejected,
         }
-        # A rejection alone writes no line.
+        # A change of the rejection count alone writes no line.
         self._write_if_changed(f"client {client.quota.name}", (held, limiter.acquired), line)
 
     def record_server(self, now: int, server: LeaseServer) -> None:
-        """Record what a lease server counts as granted, if that has changed."""
+        """Record a lease server's outstanding grants, if they have changed."""
         line = {
             "at": now,
             "what": "keeps",
--- a/topazbank/quota/ledger_records.py
+++ b/topazbank/quota/ledger_records.py
@@ -1,4 +1,4 @@
-"""Reads ledgers' lines (`ledger.py`) into typed records; no I/O.
+"""Parses the JSON lines of ledgers (`ledger.py`) into typed records; no I/O.
 
 Times are microseconds of the machine's monotonic clock.
 """
@@ -13,22 +13,22 @@
 from topazbank.quota.ledger import VERSION
 from topazbank.quota.rules import QuotaKind
 
-QUOTED_CHARACTERS_MAX = 80  # of a bad line
+QUOTED_CHARACTERS_MAX = 80  # of an invalid line, in an error message
 
 
 class BadLedger(ValueError):
-    """A line that is not a ledger's, or that says that the ledger is not complete."""
+    """A ledger line that is invalid or of an unsupported version, or that marks the ledger as incomplete."""
 
 
 class ProcessId(NamedTuple):
-    """A member's name and the generation of its process."""
+    """Identifies a process by its member's name and its generation."""
 
     member: str
     generation: int
 
 
 class HeldLease(NamedTuple):
-    """What a process held of one lease server, and until when."""
+    """A lease that a process held from one lease server."""
 
     amount: int
     expires_at: int
@@ -45,10 +45,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StartRecord(LedgerRecord):
-    """A process began to use a quota of this definition."""
+    """A process started to use a quota with this definition."""
 
     kind: QuotaKind
-    limit: int  # milliunits a second, or units
+    limit: int  # milliunits per second, or units
     burst: int
     floor: int
     members: int
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageRecord(LedgerRecord):
-    """What a process held by then, by lease server, and its units since the start."""
+    """A process's leases by lease server, and its counts of acquired and rejected units since its start."""
 
     leases: Mapping[str, HeldLease]
     acquired: int
@@ -64,30 +64,30 @@
 
 
 def read_ledgers(lines: Iterable[str]) -> list[LedgerRecord]:
-    """Read the lines of all ledgers, in the order of time; an incomplete last line is left out.
+    """Parse the lines of all ledgers into records sorted by time; an incomplete last line is skipped.
 
     Raises BadLedger.
     """
     records = []
     for line in lines:
         if not line.endswith("\n"):
-            continue  # the process was killed while it wrote
+            continue  # the process was killed while writing it
         try:
             record = _parse(json.loads(line), line)
         except BadLedger:
             raise
         except (ValueError, KeyError, TypeError, IndexError):
-            raise BadLedger(f"not a ledger's line: {line[:QUOTED_CHARACTERS_MAX]!r}") from None
+            raise BadLedger(f"invalid ledger line: {line[:QUOTED_CHARACTERS_MAX]!r}") from None
         if record is not None:
             records.append(record)
     return sorted(records, key=lambda record: record.at)
 
 
 def _parse(values: Mapping[str, Any], line: str) -> LedgerRecord | None:
-    """The record of a line's values; None if it is of no quota."""
+    """The record of a line's values, or None if the line belongs to no quota."""
     if values["what"] == "full" or values.get("v", VERSION) > VERSION:
         quoted = line[:QUOTED_CHARACTERS_MAX]
-        raise BadLedger(f"the ledger of {values['by']} is not complete, or of a later version: {quoted!r}")
+        raise BadLedger(f"ledger of {values['by']} is incomplete or has an unsupported version: {quoted!r}")
     at = int(values["at"])
     if "budget" not in values:
         return None
@@ -104,6 +104,6 @@
             values["members"],
         )
     if values["what"] == "holds":
-        leases = {server: HeldLease(held[0], held[2]) for server, held in values["parts"].items()}
+        leases = {server: HeldLease(lease[0], lease[2]) for server, lease in values["parts"].items()}
         return UsageRecord(at, quota, process, leases, values["spent"], values["refused"])
     return LedgerRecord(at, quota, process)
--- a/topazbank/quota/report.py
+++ b/topazbank/quota/report.py
@@ -1,4 +1,4 @@
-"""Tables and plots of quotas for operators."""
+"""Formats quota status and audit results as tables and plots for operators."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 def format_amount(amount: int, kind: str) -> str:
-    """An amount in units a second, or units."""
+    """An amount in units per second, or in units."""
     return f"{amount / MILLIUNITS_PER_UNIT:g}/s" if kind == QuotaKind.RATE else f"{amount}"
 
 
 def status_table(status: Mapping[str, Any]) -> list[str]:
-    """`QuotaService.status` as lines: one for each quota, and one for each lease server that runs there."""
+    """Format `QuotaService.status`: a line for each quota and a line for each lease server of the process."""
     quotas = status["budgets"]
     lines = [
         f"{status['name']}, process {status['pid']}",
-        f"{'quota':<20}{'limit':>10}{'held':>12}{'acquired':>9}{'rejected':>9}  leases of",
+        f"{'quota':<20}{'limit':>10}{'held':>12}{'acquired':>9}{'rejected':>9}  leases from",
     ]
     lines += [_quota_line(name, quota) for name, quota in quotas.items()]
     lines += [
@@ -41,21 +41,21 @@
     held = format_amount(quota["holds"], kind)
     return (
         f"{name:<20}{limit:>10}{held:>12}{quota['spent']:>9}{quota['refused']:>9}"
-        f"  {leases or 'none, the floor only'}"
+        f"  {leases or 'none (floor only)'}"
     )
 
 
 def _server_line(name: str, kind: str, server: Mapping[str, Any]) -> str:
     granted = format_amount(server["given"][0], kind)
-    slice_ = format_amount(server["slice"][0], kind)
+    slice_amount = format_amount(server["slice"][0], kind)
     grace = ""
     if server["quiet_s"]:
-        grace = f", GRACE PERIOD for {server['quiet_s']:.1f} s: its former grants may not be known"
-    return f"lease server of {name}: {granted} of {slice_} granted to {len(server['holders'])}{grace}"
+        grace = f", GRACE PERIOD for {server['quiet_s']:.1f} s: earlier grants may be unknown"
+    return f"lease server of {name}: {granted} of {slice_amount} granted to {len(server['holders'])} clients{grace}"
 
 
 def audit_table(audits: Mapping[str, QuotaAudit]) -> list[str]:
-    """A line for each quota, and one for each violation."""
+    """Format audit results: a line for each quota and for each violation."""
     heading = f"{'quota':<20}{'processes':>10}{'limit':>10}{'held max':>11}{'acquired':>9}{'rejected':>9}"
     lines = [f"{heading}{'ahead max':>12}"]
     for name, result in audits.items():
@@ -69,7 +69,7 @@
 
 
 def plot(audits: Mapping[str, QuotaAudit], path: str) -> None:
-    """Draw to this file what was held over time and the limit."""
+    """Plot the held amount over time and the limit to this file."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -80,8 +80,8 @@
         started_at = result.held_samples[0].at if result.held_samples else 0
         seconds = [(sample.at - started_at) / 1e6 for sample in result.held_samples]
         axis.step(seconds, [sample.amount for sample in result.held_samples], where="post", label="held")
-        axis.axhline(result.shared, color="red", linestyle="--", label="limit, less floors")
-        unit = "milliunits a second" if result.kind == QuotaKind.RATE else "units"
+        axis.axhline(result.shared, color="red", linestyle="--", label="limit minus floors")
+        unit = "milliunits per second" if result.kind == QuotaKind.RATE else "units"
         axis.set(title=name, xlabel="s", ylabel=unit)
         axis.legend()
     figure.tight_layout()
--- a/topazbank/quota/service.py
+++ b/topazbank/quota/service.py
@@ -1,4 +1,4 @@
-"""One process's part in the fleet's quotas, on sockets: its lease clients, and the lease servers it runs for others."""
+"""Runs one process's lease clients and lease servers: connects them to the network, the timer and the ledger."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 from topazbank.quota.wire import BadMessage, Message, MessageKind, decode, encode, quota_id_of
 
 TICK_PERIOD_S = 0.1
-DATAGRAMS_PER_S_MAX = 4000  # more are dropped unread
+DATAGRAMS_PER_S_MAX = 4000  # datagrams above this rate are dropped without being decoded
 GENERATION_BYTES = 6
 
 
 class DropReason(StrEnum):
-    """Why a datagram was dropped; the values are the admin endpoint's keys."""
+    """The reason why a datagram was dropped; the values are keys of the admin endpoint's format."""
 
     FLOOD = "flood"
     UNREADABLE = "unreadable"
@@ -49,16 +49,16 @@
         ledger_folder: str = "",
         store_folder: str = "",
     ) -> None:
-        """`name`: of this process's member; `now`: monotonic microseconds; `key`: of the datagrams' checksum.
+        """`name`: this process's member name; `now`: monotonic microseconds; `key`: the datagram checksum's key.
 
-        `address_of`: the current address of a member, None if it is not known.  `lock_folder`: the same for all
-        processes of this member on this machine.  `ledger_folder`, `store_folder`: "" for no ledger, no grant store.
+        `address_of`: returns a member's current address, or None if it is unknown.  `lock_folder`: shared by all
+        processes of this member on this machine.  `ledger_folder`, `store_folder`: "" disables the ledger or the store.
         """
         self._name = name
         self._address_of = address_of
         self._now = now
         self._key = key
-        # A random generation: both processes of an upgrade have one name, and each its own leases.
+        # The generation is random: both processes of an upgrade share a name, but each has its own leases.
         generation = int.from_bytes(os.urandom(GENERATION_BYTES), "big")
         self._client_id = ClientId(ident_of(name), generation)
         started_at = now()
@@ -74,29 +74,29 @@
         self._is_suspended = False
         self.sent = 0  # datagrams
         self.dropped: Counter[DropReason] = Counter()  # datagrams
-        self._current_second = self._received_in_second = 0
+        self._rate_limit_second = self._received_in_second = 0
         self._ledger = Ledger(ledger_folder, name, generation) if ledger_folder else None
         self._record_start(started_at)
 
     @property
     def lease_servers(self) -> dict[int, LeaseServer]:
-        """The lease servers that run in this process, by quota id."""
+        """The lease servers running in this process, by quota id."""
         return self._server_host.servers
 
     def fleet_quota(self, clock_offset_us: int) -> LeasedFleetQuota:
-        """What the balancer may use; `clock_offset_us`: by how much its clock is ahead of this service's."""
+        """The quotas as the balancer uses them; `clock_offset_us`: the balancer's clock minus this service's clock."""
         clients = [(binding, self.clients[quota_id_of(binding.quota)]) for binding in self._bindings]
         return LeasedFleetQuota(clients, clock_offset_us)
 
     # -- Lifecycle -------------------------------------------------------------------------------------
 
     def start(self, send: Callable[[Address, bytes], None]) -> None:
-        """Begin; `send` sends a datagram to an address."""
+        """Start the periodic tick; `send` sends a datagram to an address."""
         self._send = send
         self._tick()
 
     def stop(self) -> None:
-        """Stop for good; no message is sent."""
+        """Stop permanently, without sending any message."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -106,18 +106,18 @@
             self._ledger.close()
 
     def leave(self) -> None:
-        """Release all leases, as this process is about to end: others may use them at once."""
+        """Release all leases before this process ends, so that other processes can use them immediately."""
         if not self._is_suspended:
             self._release_leases()
 
     def suspend(self) -> None:
-        """Release all and run no lease server, as another process is this member now; the floor remains."""
+        """Release all leases and stop the lease servers while another process is this member; the floor remains."""
         self._release_leases()
         self._is_suspended = True
         self._server_host.stop()
 
     def resume(self) -> None:
-        """Take part again, as the other process has ended."""
+        """Resume after the other process of this member has ended."""
         self._is_suspended = False
 
     def _release_leases(self) -> None:
@@ -139,8 +139,8 @@
     # -- Receiving -------------------------------------------------------------------------------------
 
     def handle_datagram(self, data: bytes, source: Address) -> None:
-        """Handle a datagram from this address; one that can't be handled is counted in `dropped`."""
-        if self._is_flooded():
+        """Handle a datagram received from this address; a datagram that can't be handled is counted in `dropped`."""
+        if self._exceeds_rate_limit():
             self.dropped[DropReason.FLOOD] += 1
             return
         try:
@@ -155,11 +155,11 @@
         elif not self._is_suspended:
             self._handle_client_message(message, source)
 
-    def _is_flooded(self) -> bool:
-        """Count a datagram; whether it is beyond this second's DATAGRAMS_PER_S_MAX."""
+    def _exceeds_rate_limit(self) -> bool:
+        """Count a datagram; True if this second's count exceeds DATAGRAMS_PER_S_MAX."""
         second = self._now() // 1_000_000
-        if second != self._current_second:
-            self._current_second, self._received_in_second = second, 0
+        if second != self._rate_limit_second:
+            self._rate_limit_second, self._received_in_second = second, 0
         self._received_in_second += 1
         return self._received_in_second > DATAGRAMS_PER_S_MAX
 
@@ -177,19 +177,19 @@
             return
 
         def reply(grant: LeaseGrant) -> None:
-            # With the client's own generation: a grant for a former one is not accepted by the next.
-            answer = Message(
+            # Echoes the client's generation: a client rejects a grant for an earlier generation.
+            response = Message(
                 MessageKind.GRANT, self._client_id.ident, message.generation, message.quota_id, grant=grant
             )
-            self._send_message(source, answer)
+            self._send_message(source, response)
 
         now = self._now()
-        self._serve(now, server, message, reply)
+        self._handle_request_or_release(now, server, message, reply)
         if self._ledger is not None:
             self._ledger.record_server(now, server)
 
-    def _handle_own_message(self, message: Message) -> None:
-        """Handle a message from this process's lease client to its lease server, without a datagram."""
+    def _handle_local_message(self, message: Message) -> None:
+        """Deliver a message from this process's lease client to its own lease server, without a datagram."""
         server = self.lease_servers.get(message.quota_id)
         if server is None:
             return
@@ -197,12 +197,12 @@
         def reply(grant: LeaseGrant) -> None:
             self.clients[message.quota_id].accept(self._now(), self._name, grant)
 
-        self._serve(self._now(), server, message, reply)
+        self._handle_request_or_release(self._now(), server, message, reply)
 
-    def _serve(
+    def _handle_request_or_release(
         self, now: int, server: LeaseServer, message: Message, reply: Callable[[LeaseGrant], None]
     ) -> None:
-        """Handle a request or release; `reply` is called once the grant may be sent."""
+        """Handle a request or release; `reply` is called when the grant may be sent."""
         request = message.request
         if request is None:
             return
@@ -220,7 +220,7 @@
             kind = MessageKind.RELEASE if outgoing.is_release else MessageKind.REQUEST
             message = Message(kind, *self._client_id, quota_id, request=outgoing.request)
             if outgoing.lease_server == self._name:
-                self._handle_own_message(message)
+                self._handle_local_message(message)
                 continue
             address = self._address_of(outgoing.lease_server)
             if address is not None:
@@ -243,7 +243,7 @@
     # -- For operators ---------------------------------------------------------------------------------
 
     def status(self) -> dict[str, Any]:
-        """The state of all quotas as JSON values; the keys are part of the admin endpoint's format."""
+        """The state of all quotas as JSON values; the keys belong to the admin endpoint's format."""
         now = self._now()
         quotas = {
             client.quota.name: quota_status(client, self.lease_servers.get(quota_id), now)
--- a/topazbank/quota/status.py
+++ b/topazbank/quota/status.py
@@ -1,4 +1,4 @@
-"""The state of a process's quotas as JSON for operators (`show`); the keys are part of the admin endpoint's format."""
+"""Builds the JSON status of quotas for operators (`show`); the keys belong to the admin endpoint's format."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def quota_status(client: LeaseClient, server: LeaseServer | None, now: int) -> dict[str, Any]:
-    """One quota: what this process holds and has used, and what its lease server, if it runs here, has granted."""
+    """One quota's status: the client's leases and usage, and the grants of the lease server if one runs here."""
     quota, limiter = client.quota, client.limiter
     status: dict[str, Any] = {
         "kind": quota.kind.value,
--- a/topazbank/quota/store.py
+++ b/topazbank/quota/store.py
@@ -1,12 +1,12 @@
-"""A lease server's outstanding grants in an SQLite file, so that a quick restart needs no grace period.
+"""Stores a lease server's outstanding grants in an SQLite file, so that a quick restart needs no grace period.
 
-Guarantee: a grant is on the disk before it is sent, so a store that is trusted contains every grant that may still be
-used.  It is trusted by a process of the same boot of the machine, with the same slices, no later than STORE_AGE_US_MAX
-after its last heartbeat.  Any other store, such as an older disk that was restored, counts as none: the lease server
-begins with a grace period.  Not covered: a disk restored to a state younger than STORE_AGE_US_MAX.
+Guarantee: a grant is on disk before it is sent, so a trusted store contains every grant that may still be in use.  A
+process trusts a store if it was written during the same boot of the machine, with the same slices, and its last
+heartbeat is no older than STORE_AGE_US_MAX.  Any other store, such as one restored from a backup, is ignored, and the
+lease server starts with a grace period.  Not covered: a disk restored to a state younger than STORE_AGE_US_MAX.
 
-Times are microseconds of the machine's monotonic clock.  Synchronous: runs in a thread, never in the event loop.  The
-names of the tables, columns and header entries are those of the file format, version 1.
+Times are microseconds of the machine's monotonic clock.  All calls block: they run on a thread, never in the event
+loop.  The names of tables, columns and header entries belong to the file format, version 1.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 VERSION = 1
 STORE_AGE_US_MAX = 3_000_000  # a restart takes one second
 HEARTBEAT_PERIOD_S = 0.5
-LOCK_TIMEOUT_S = 1.0  # how long a write waits for the file's lock
+LOCK_TIMEOUT_S = 1.0  # SQLite's busy timeout
 _SCHEMA = """
 CREATE TABLE IF NOT EXISTS meta (name TEXT PRIMARY KEY, value TEXT NOT NULL) WITHOUT ROWID;
 CREATE TABLE IF NOT EXISTS answers (
@@ -45,38 +45,38 @@
 
 
 class IncompatibleStore(Exception):
-    """The file has a later version than this program reads."""
+    """The file's format version is newer than this program supports."""
 
 
 @dataclass(frozen=True, slots=True)
 class GrantRecord:
-    """A grant that must be on the disk before it is sent."""
+    """A grant to be stored before it is sent."""
 
     quota_id: int
     client: ClientId
     number: int
     allocation: Allocation
     expires_at: int
-    held_number: int  # earlier grants of this client are superseded
+    held_number: int  # the client's grants with lower numbers are superseded
 
 
 @dataclass(frozen=True, slots=True)
 class StoreHeader:
-    """What a store says about itself."""
+    """The metadata that decides whether a store is trusted."""
 
     version: int
-    boot_id: str  # the monotonic clock counts from this boot of the machine
-    slices: str  # by `slices_key`
+    boot_id: str  # monotonic times are comparable only within one boot
+    slices: str  # result of `slices_key`
     heartbeat_at: int
 
     def is_trusted(self, now: int, boot_id: str, slices: str) -> bool:
-        """Whether the store contains every grant that may still be used."""
-        same = self.version == VERSION and self.boot_id == boot_id and self.slices == slices
-        return same and 0 <= now - self.heartbeat_at <= STORE_AGE_US_MAX
+        """Whether the store contains every grant that may still be in use."""
+        is_compatible = self.version == VERSION and self.boot_id == boot_id and self.slices == slices
+        return is_compatible and 0 <= now - self.heartbeat_at <= STORE_AGE_US_MAX
 
 
 def machine_boot_id() -> str:
-    """The id of the machine's current boot; "" if it can't be read, and then no store is trusted."""
+    """The id of the machine's current boot; "" if it can't be read, in which case no store is trusted."""
     try:
         return Path("/proc/sys/kernel/random/boot_id").read_text(encoding="ascii").strip()
     except OSError:
@@ -84,40 +84,42 @@
 
 
 def slices_key(slices: Mapping[int, Allocation]) -> str:
-    """A text that is equal for equal slices, by quota id."""
-    return ",".join(f"{quota_id}:{each.amount}:{each.burst}" for quota_id, each in sorted(slices.items()))
+    """A text that identifies these slices, given by quota id."""
+    return ",".join(
+        f"{quota_id}:{slice_.amount}:{slice_.burst}" for quota_id, slice_ in sorted(slices.items())
+    )
 
 
 class Store:
-    """The file of one lease server."""
+    """The SQLite file of one member's lease servers."""
 
     def __init__(self, path: Path, slices: str, boot_id: str | None = None) -> None:
-        """`slices`: by `slices_key`; `boot_id`: the machine's if None."""
+        """`slices`: result of `slices_key`; `boot_id`: None for the machine's current one."""
         self._path = path
         self._slices = slices
         self._boot_id = machine_boot_id() if boot_id is None else boot_id
         self._db: sqlite3.Connection | None = None
 
     def open(self, now: int) -> StoredGrants | None:
-        """Open the file and read its unexpired grants; None if it is new or not trusted.
+        """Open the file and return its unexpired grants, or None if the file is new or not trusted.
 
-        A damaged file is renamed and a new one made.  Raises OSError if the file can't be opened or written for now,
-        IncompatibleStore if it never can be.
+        A damaged file is renamed and replaced by a new one.  Raises OSError if the file can't be opened or written,
+        which may be temporary, and IncompatibleStore if its version is not supported.
         """
         try:
             return self._open(now)
-        except sqlite3.OperationalError as error:  # the disk's: full, read-only, locked
+        except sqlite3.OperationalError as error:  # the disk is full or read-only, or the file is locked
             self.close()
             raise OSError(f"{self._path}: {error}") from None
         except sqlite3.DatabaseError as error:
             self.close()
-            self._set_aside(error)
+            self._rename_damaged_file(error)
             return self._open(now)
 
-    def _set_aside(self, error: sqlite3.DatabaseError) -> None:
-        """Rename a damaged file and its journal, so that they can be looked at."""
+    def _rename_damaged_file(self, error: sqlite3.DatabaseError) -> None:
+        """Rename a damaged file and its write-ahead log, so that they can be inspected."""
         damaged = self._path.with_suffix(".damaged")
-        log.warning("quota: %s is damaged (%s), renamed to %s", self._path, error, damaged)
+        log.warning("quota: store %s is damaged (%s), renamed to %s", self._path, error, damaged)
         for suffix in ("", "-wal", "-shm"):
             with contextlib.suppress(FileNotFoundError):
                 Path(f"{self._path}{suffix}").replace(f"{damaged}{suffix}")
@@ -131,7 +133,7 @@
         db.executescript(_SCHEMA)
         header = self._read_header()
         if header is not None and header.version > VERSION:
-            raise IncompatibleStore(f"{self._path}: of version {header.version}, not {VERSION}")
+            raise IncompatibleStore(f"{self._path}: unsupported version {header.version}, expected {VERSION}")
         grants: StoredGrants | None = None
         if header is not None and self._boot_id and header.is_trusted(now, self._boot_id, self._slices):
             grants = self._read_grants(now)
@@ -177,7 +179,7 @@
             raise
 
     def write(self, now: int, records: Iterable[GrantRecord]) -> None:
-        """Write grants and a heartbeat, synced when it returns; raises OSError if none of it was written."""
+        """Write grants and a heartbeat durably in one transaction; raises OSError if nothing was written."""
         assert self._db is not None
         try:
             with self._transaction():
@@ -195,7 +197,7 @@
         self._db.execute(_INSERT, (*key, record.number, *record.allocation, record.expires_at))
 
     def close(self) -> None:
-        """Close the file; `open` may follow."""
+        """Close the file; it can be opened again."""
         if self._db is not None:
             self._db.close()
             self._db = None
--- a/topazbank/quota/wire.py
+++ b/topazbank/quota/wire.py
@@ -1,10 +1,10 @@
-"""The messages between lease clients and lease servers as datagrams: versioned, with a checksum; no I/O.
+"""Encodes the messages between lease clients and lease servers as versioned datagrams with a checksum; no I/O.
 
     magic, version, kind, 0; sender (ident, generation); quota id; number, held number;
     amount, burst, wanted; lease (ms); checksum (4 bytes)
 
-Numbers are big-endian.  They come to the same address as the cluster's messages, and the first byte tells them apart.
-Bytes between the known fields and the checksum are skipped: a later version may add fields there.
+Numbers are big-endian.  Cluster messages arrive at the same address and differ in the first byte.  Bytes between the
+known fields and the checksum are ignored, so that a later version can add fields there.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 
 MAGIC = 0xD9  # differs from the first bytes of the cluster's and the load gossip's datagrams
 VERSION = 1
-DATAGRAM_BYTES_MAX = 256  # the platform's bound
-_BODY = struct.Struct("!BBBB6s6sIIIQIQI")  # of _Fields
+DATAGRAM_BYTES_MAX = 256  # limit of the platform
+_BODY = struct.Struct("!BBBB6s6sIIIQIQI")  # packs _Fields
 _IDENT_BYTES = 6
 _AMOUNT_MAX = (1 << 63) - 1
 _BURST_MAX = (1 << 32) - 1
 
 
 class _Fields(NamedTuple):
-    """The fields of a datagram before the checksum, in order."""
+    """The fields that precede the checksum, in datagram order."""
 
     magic: int
     version: int
@@ -47,11 +47,11 @@
 
 
 class BadMessage(ValueError):
-    """A datagram that is cut, changed, of another version or key, or not a quota message."""
+    """A datagram that is not a valid quota message: truncated, modified, or of another version or key."""
 
 
 class MessageKind(IntEnum):
-    """The kinds of messages, by their values on the wire."""
+    """The kind of a message; the values are those on the wire."""
 
     REQUEST = 1
     GRANT = 2
@@ -60,11 +60,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One datagram: a request or release with its `request`, or a grant with its `grant`."""
+    """One message; `request` is set for a request or release, `grant` for a grant."""
 
     kind: MessageKind
     sender: int  # the member's ident
-    generation: int  # of the lease client, in a grant too: a grant for a former generation is not accepted
+    generation: int  # the lease client's, also in a grant: clients reject grants for earlier generations
     quota_id: int
     request: LeaseRequest | None = None
     grant: LeaseGrant | None = None
@@ -76,18 +76,18 @@
 
 
 def quota_id_of(quota: Quota) -> int:
-    """The 32 bits that identify a quota by its kind and name."""
+    """The 32-bit id of a quota, a hash of its kind and name."""
     data = f"{quota.kind}\0{quota.name}".encode()
     return int.from_bytes(hashlib.blake2b(data, digest_size=4).digest(), "big")
 
 
 def is_quota_message(data: bytes) -> bool:
-    """Whether a datagram is meant for quotas, by its first byte."""
+    """Whether a datagram is a quota message, judged by its first byte."""
     return data[:1] == bytes([MAGIC])
 
 
 def encode(message: Message, key: bytes = b"") -> bytes:
-    """The datagram of a message; `key`: of the checksum."""
+    """Encode a message as a datagram; `key`: the checksum's key."""
     number = held_number = wanted = lease_ms = 0
     allocation = NO_ALLOCATION
     if message.request is not None:
@@ -116,19 +116,19 @@
 
 
 def decode(data: bytes, key: bytes = b"") -> Message:
-    """Read a datagram; raises BadMessage."""
+    """Decode a datagram; raises BadMessage."""
     if not _BODY.size + CHECKSUM_BYTES <= len(data) <= DATAGRAM_BYTES_MAX:
-        raise BadMessage(f"{len(data)} bytes")
+        raise BadMessage(f"unexpected length of {len(data)} bytes")
     if data[0] != MAGIC or data[1] != VERSION:
-        raise BadMessage("not a quota message of this version")
+        raise BadMessage("unknown magic byte or version")
     body = without_checksum(data, key)
     if body is None:
-        raise BadMessage("damaged, or of another key")
+        raise BadMessage("checksum mismatch")
     fields = _Fields(*_BODY.unpack_from(body))
     try:
         kind = MessageKind(fields.kind)
     except ValueError:
-        raise BadMessage(f"kind {fields.kind}") from None
+        raise BadMessage(f"unknown message kind {fields.kind}") from None
     allocation = Allocation(fields.amount, fields.burst)
     request = grant = None
     if kind is MessageKind.GRANT:
