--- a/tests/quota/test_former_files.py
+++ b/tests/quota/test_former_files.py
@@ -1,7 +1,7 @@
-"""Files of the program before its modules were renamed: they are still read, and written in the same way.
+"""Compatibility with files of an earlier version: they can be read, and new files have the same format.
 
-Stores, ledgers and lock files outlive an upgrade, and processes of both versions run side by side during one.  The
-contents below were written by the former version.
+Stores, ledgers and lock files outlive an upgrade, and during an upgrade processes of both versions run concurrently.
+The contents below were written by the earlier version.
 """
 
 from __future__ import annotations
@@ -49,8 +49,8 @@
 ]
 
 
-def contents(path: Path) -> list[str]:
-    """The tables of a database as SQL, in order."""
+def dump_sql(path: Path) -> list[str]:
+    """The schema and rows of a database as sorted SQL statements."""
     db = sqlite3.connect(path)
     try:
         return sorted(" ".join(statement.split()) for statement in db.iterdump())
@@ -79,7 +79,7 @@
     former = sqlite3.connect(tmp_path / "former")
     former.executescript(FORMER_STORE)
     former.close()
-    assert contents(tmp_path / "new") == contents(tmp_path / "former")
+    assert dump_sql(tmp_path / "new") == dump_sql(tmp_path / "former")
 
 
 def test_a_ledger_of_the_former_version_is_audited() -> None:
--- a/tests/quota/test_model.py
+++ b/tests/quota/test_model.py
@@ -1,4 +1,4 @@
-"""Every order of events of a small model, and long random histories: the limit is never exceeded."""
+"""Model checks: no order of events in a small model and no long random history exceeds the limit."""
 
 from __future__ import annotations
 
--- a/tests/quota/test_quota_messages.py
+++ b/tests/quota/test_quota_messages.py
@@ -1,4 +1,4 @@
-"""Messages between lease clients and servers as datagrams: what is read back, what is not accepted, and the bytes."""
+"""The datagram encoding of quota messages: round trips, rejected datagrams and exact bytes."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 requests = st.builds(LeaseRequest, numbers, numbers, allocations, amounts)
 grants = st.builds(LeaseGrant, numbers, allocations, st.integers(0, 600_000).map(lambda ms: ms * 1000))
 idents = st.integers(0, 2**48 - 1)
-kinds_of_requests = st.sampled_from([MessageKind.REQUEST, MessageKind.RELEASE])
-messages = st.builds(Message, kinds_of_requests, idents, idents, numbers, requests) | st.builds(
+request_kinds = st.sampled_from([MessageKind.REQUEST, MessageKind.RELEASE])
+messages = st.builds(Message, request_kinds, idents, idents, numbers, requests) | st.builds(
     Message, st.just(MessageKind.GRANT), idents, idents, numbers, st.none(), grants
 )
 
@@ -25,7 +25,7 @@
 REQUEST = LeaseRequest(7, 5, Allocation(2500, 3), 9000)
 GRANT = LeaseGrant(7, Allocation(2500, 3), 5_000_000)
 RELEASE = LeaseRequest(8, 8, Allocation(0, 0), 0)
-# Written by the program before its modules were renamed, without and with the key b"secret".
+# Encoded by an earlier version of the program, without a key and with the key b"secret".
 FORMER_DATAGRAMS = [
     (
         Message(MessageKind.REQUEST, SENDER, GENERATION, QUOTA_ID, request=REQUEST),
@@ -52,16 +52,16 @@
 
 
 @given(messages, st.binary(max_size=64), st.data())
-def test_a_message_is_read_back_and_one_that_is_cut_changed_or_of_another_key_is_not_accepted(
+def test_a_message_is_decoded_and_a_truncated_modified_or_wrongly_keyed_one_is_rejected(
     message: Message, key: bytes, data: st.DataObject
 ) -> None:
     datagram = encode(message, key)
     assert decode(datagram, key) == message and len(datagram) <= 256
-    at = data.draw(st.integers(0, len(datagram) - 1))
-    changed = datagram[:at] + bytes([datagram[at] ^ 0x15]) + datagram[at + 1 :]
-    for bad in (datagram[:at], changed):
+    offset = data.draw(st.integers(0, len(datagram) - 1))
+    changed = datagram[:offset] + bytes([datagram[offset] ^ 0x15]) + datagram[offset + 1 :]
+    for invalid in (datagram[:offset], changed):
         with pytest.raises(BadMessage):
-            decode(bad, key)
+            decode(invalid, key)
     with pytest.raises(BadMessage):
         decode(datagram, b"another" + key[:50])
 
@@ -74,7 +74,7 @@
 def test_a_sidecar_of_the_former_version_reads_and_sends_the_same_bytes(
     message: Message, without_key: str, with_key: str
 ) -> None:
-    """During an upgrade sidecars of both versions exchange messages, so the bytes may not change."""
+    """During an upgrade, sidecars of both versions exchange messages, so the encoding must not change."""
     for datagram, key in ((bytes.fromhex(without_key), b""), (bytes.fromhex(with_key), b"secret")):
         assert encode(message, key) == datagram
         assert decode(datagram, key) == message
--- a/tests/quota/test_quota_processes.py
+++ b/tests/quota/test_quota_processes.py
@@ -1,4 +1,4 @@
-"""A retry quota under faults, on five processes: checked by the servers' logs and the ledgers."""
+"""Runs a retry quota on five processes under faults and checks it by the servers' logs and the ledgers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("group", GROUPS)
 def test_no_more_retries_reach_the_servers_than_the_limit_allows(group: str) -> None:
-    """All servers reject, and all sidecars want to retry, while processes or the network fail (see each scenario)."""
+    """All servers reject requests and all sidecars try to retry, while the scenario's faults occur."""
     for name, result in asyncio.run(run(GROUPS[group], 5, seed=1)).items():
         assert not result.faults(), f"{name}: {result.faults()[:3]}"
         assert result.audit is not None and result.audit.held_max <= result.audit.shared
--- a/tests/quota/test_quota_service.py
+++ b/tests/quota/test_quota_service.py
@@ -1,4 +1,4 @@
-"""Quotas of several processes on an in-memory network: which process runs a lease server, restarts, what is dropped."""
+"""Quota services on an in-memory network: the choice of lease server process, restarts and dropped datagrams."""
 
 from __future__ import annotations
 
@@ -31,19 +31,19 @@
 
 
 class Network:
-    """Members by name; datagrams between them are delivered at once."""
+    """An in-memory network of members by name; it delivers datagrams without delay or loss."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.services: dict[Address, QuotaService] = {}
 
     def start(self, name: str, store: bool = False, host: str = "") -> QuotaService:
-        """Start a process of a member; `host`: its address, if another process of this name runs."""
+        """Start a process of a member; `host`: its address if another process of this member is running."""
         address: Address = (host or name, 1)
         service = QuotaService(
             BINDINGS,
             name,
-            lambda other: (other, 1) if (other, 1) in self.services else None,
+            lambda member: (member, 1) if (member, 1) in self.services else None,
             now_us,
             str(self.folder),
             store_folder=str(self.folder) if store else "",
@@ -53,9 +53,9 @@
         return service
 
     def _sender(self, source: Address) -> Callable[[Address, bytes], None]:
-        def send(to: Address, data: bytes) -> None:
-            if to in self.services:
-                asyncio.get_running_loop().call_soon(self.services[to].handle_datagram, data, source)
+        def send(destination: Address, data: bytes) -> None:
+            if destination in self.services:
+                asyncio.get_running_loop().call_soon(self.services[destination].handle_datagram, data, source)
 
         return send
 
@@ -67,20 +67,20 @@
             self.stop_one(host)
 
 
-def demand_much(service: QuotaService) -> None:
-    """Try to acquire far more than the limit."""
+def demand_above_limit(service: QuotaService) -> None:
+    """Try to acquire far more units than the limit."""
     quota = service.fleet_quota(0)
     now = now_us()
     for _ in range(100):
         quota.acquire(RETRIES, None, now)
 
 
-async def demand_until(service: QuotaService, condition: Callable[[], object]) -> None:
-    """Demand far more than the limit until this is true."""
+async def demand_above_limit_until(service: QuotaService, condition: Callable[[], object]) -> None:
+    """Keep the demand far above the limit until the condition is true."""
 
     async def demand() -> None:
         while True:
-            demand_much(service)
+            demand_above_limit(service)
             await asyncio.sleep(0.05)
 
     task = asyncio.get_running_loop().create_task(demand())
@@ -99,14 +99,14 @@
     return int(retry_status(service)["holds"])
 
 
-def test_a_process_in_need_gets_what_both_lease_servers_have_after_their_grace_period(tmp_path: Path) -> None:
+def test_a_client_with_high_demand_gets_both_slices_after_the_grace_period(tmp_path: Path) -> None:
     async def scenario() -> None:
         network = Network(tmp_path)
         server, _, client = (network.start(name) for name in ("0", "1", "2"))
-        demand_much(client)
+        demand_above_limit(client)
         assert held(client) == RETRY_QUOTA.floor
         assert retry_status(server)["keeps"]["quiet_s"] > 0.5
-        await demand_until(client, lambda: held(client) > 0.9 * 95_000)
+        await demand_above_limit_until(client, lambda: held(client) > 0.9 * 95_000)
         lines = "\n".join(status_table(client.status()) + status_table(server.status()))
         assert "100/s" in lines and "lease server of b: " in lines and "0 47.5/s, 1 47.5/s" in lines
         client.leave()
@@ -119,17 +119,17 @@
 def test_a_second_process_of_a_member_grants_nothing_until_the_first_has_ended_or_is_suspended(
     tmp_path: Path,
 ) -> None:
-    """A member is upgraded: its new process starts while the old one still runs.  Both may not grant one slice."""
+    """During an upgrade the new process starts while the old one is running; only one may grant the member's slice."""
 
     async def scenario() -> None:
         network = Network(tmp_path)
-        old, new = network.start("0"), network.start("0", host="beside")
+        old, new = network.start("0"), network.start("0", host="second")
         await asyncio.sleep(0.3)
         assert old.lease_servers and not new.lease_servers
         old.suspend()
         await until(lambda: new.lease_servers)
         assert not old.lease_servers
-        network.stop_one("beside")
+        network.stop_one("second")
         old.resume()
         await until(lambda: old.lease_servers)
         network.stop()
@@ -140,13 +140,13 @@
 def test_a_restarted_lease_server_with_a_store_needs_no_grace_period_and_knows_its_grants(
     tmp_path: Path,
 ) -> None:
-    """A lease server restarts while a client holds a lease of it."""
+    """A lease server restarts while a client holds one of its leases."""
 
     async def scenario() -> None:
         network = Network(tmp_path)
         network.start("0", store=True)
         client = network.start("2")
-        await demand_until(client, lambda: held(client) > 40_000)
+        await demand_above_limit_until(client, lambda: held(client) > 40_000)
         network.stop_one("0")
         server = network.start("0", store=True)
         await until(lambda: server.lease_servers)
@@ -160,7 +160,7 @@
 def test_no_lease_server_runs_until_its_store_can_be_opened(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The store's path is a folder at first, so the store can't be opened; later it can."""
+    """The store can't be opened while its path is a directory; the lease server starts after its removal."""
     monkeypatch.setattr(grant_store, "REOPEN_DELAY_S", 0.1)
 
     async def scenario() -> None:
--- a/tests/quota/test_virtual_time.py
+++ b/tests/quota/test_virtual_time.py
@@ -1,4 +1,4 @@
-"""Fleets in virtual time, with clocks that differ by up to the whole drift: the limit holds under any faults."""
+"""Simulates fleets in virtual time under random faults, with clocks that drift up to the bound: the limit holds."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 QUOTA = Quota("b", limit=40, burst=24, floor=500, members=6, lease_servers=("0", "1"), lease_us=2_000_000)
 MEMBERS = 6
-HIGH_DEMAND = 100.0  # units a second
+HIGH_DEMAND = 100.0  # units per second
 
 
 def test_no_fleet_under_faults_ever_uses_or_holds_more_than_the_limit() -> None:
@@ -35,7 +35,7 @@
     assert any("held of" in violation for violation in fleet.run_until(10.0).violations)
 
 
-def test_what_one_member_stops_using_another_gets_within_two_renewals() -> None:
+def test_an_allocation_no_longer_used_moves_to_another_member_within_two_renewals() -> None:
     def demand(now: float, member: int) -> float:
         busy_member = 3 if now < 10.0 else 4
         return HIGH_DEMAND if member == busy_member else 0.0
@@ -50,15 +50,15 @@
     assert second.acquired - before > 0.85 * 37.5 * 4
 
 
-@pytest.mark.parametrize(("releases", "until"), [(False, 11.5), (True, 9.5)])
+@pytest.mark.parametrize(("is_released", "until"), [(False, 11.5), (True, 9.5)])
 def test_a_killed_members_allocation_is_free_after_its_lease_and_one_that_releases_frees_it_at_once(
-    releases: bool, until: float
+    is_released: bool, until: float
 ) -> None:
-    """Two members share the limit; one ends at 8 s, by a kill or after a release, and the other needs all."""
+    """Two members share the limit; one ends at 8 s, killed with or without a release, and the other demands all."""
     quota = replace(QUOTA, lease_servers=("0",))
     fleet = Fleet(quota, MEMBERS, lambda now, member: HIGH_DEMAND if member in (3, 4) else 0.0, 1)
     fleet.run_until(8.0)
-    if releases:
+    if is_released:
         fleet.release(3)
     fleet.kill(3)
     fleet.run_until(until)
