--- a/topazbank/discovery/zkconnection.py
+++ b/topazbank/discovery/zkconnection.py
@@ -1,4 +1,4 @@
-"""One connection to one member of a ZooKeeper ensemble: bytes to records."""
+"""TCP connection to one member of a ZooKeeper ensemble; splits received bytes into records."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection reports to; its methods may raise MalformedRecordError, which ends the connection."""
+    """Receiver of a connection's records; a MalformedRecordError raised by its methods closes the connection."""
 
     def handshake_received(self, connection: MemberConnection, record: RecordReader) -> None:
-        """The first record of the connection."""
+        """Handle the connection's first record."""
 
     def reply_received(self, connection: MemberConnection, record: RecordReader) -> None:
-        """Any later record."""
+        """Handle a record after the first."""
 
 
 class MemberConnection(asyncio.Protocol):
-    """A connection; `established` is resolved by its owner once the session is up, `lost` by the transport.
+    """A connection to a member.
 
-    Both are resolved when the connection ends.
+    The owner resolves `established` once the session is established.  Both `established` and `lost` are resolved when
+    the connection ends.
     """
 
     def __init__(self, owner: ConnectionOwner) -> None:
@@ -32,7 +33,7 @@
         self.transport: asyncio.Transport | None = None
         self.established: asyncio.Future[None] = loop.create_future()
         self.lost: asyncio.Future[None] = loop.create_future()
-        self.last_received_at = loop.time()  # event loop's clock, s
+        self.last_received_at = loop.time()  # event loop time in seconds
         self._owner = owner
         self._splitter = RecordSplitter()
         self._handshake_done = False
@@ -43,16 +44,16 @@
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Pass on the records that the bytes complete; malformed ones end the connection."""
+        """Dispatch the records completed by these bytes; a malformed record closes the connection."""
         self.last_received_at = asyncio.get_running_loop().time()
         try:
             for record in self._splitter.feed(data):
-                self._pass_on(RecordReader(record))
+                self._dispatch(RecordReader(record))
         except MalformedRecordError as error:
-            log.warning("zookeeper: a member sent a malformed record: %s", error)
+            log.warning("zookeeper: malformed record from a member: %s", error)
             self.abort()
 
-    def _pass_on(self, record: RecordReader) -> None:
+    def _dispatch(self, record: RecordReader) -> None:
         if self._handshake_done:
             self._owner.reply_received(self, record)
         else:
@@ -66,15 +67,15 @@
                 future.set_result(None)
 
     def write(self, frame: bytes) -> None:
-        """Send a frame; the connection must have been made."""
+        """Send a frame; requires a connected transport."""
         assert self.transport is not None
         self.transport.write(frame)
 
     def is_usable(self) -> bool:
-        """Whether requests can be written."""
+        """Return whether requests can be written."""
         return self.transport is not None and not self.transport.is_closing()
 
     def abort(self) -> None:
-        """Close at once, without flushing."""
+        """Close immediately, without flushing buffered data."""
         if self.transport is not None:
             self.transport.abort()
--- a/topazbank/discovery/zkwire.py
+++ b/topazbank/discovery/zkwire.py
@@ -1,7 +1,7 @@
-"""ZooKeeper's wire protocol, the client's side: requests encoded, replies decoded; no I/O.
+"""Client side of ZooKeeper's wire protocol: encodes requests and decodes replies; no I/O.
 
-It follows `zookeeper.jute` and `ZooDefs.java` of the published source and has only the operations that service
-discovery and leader election use.  Decoding raises MalformedRecordError and nothing else.
+It follows `zookeeper.jute` and `ZooDefs.java` of the ZooKeeper source and has only the operations that service
+discovery and leader election use.  Decoding raises no error but MalformedRecordError.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 _CONNECT_RESPONSE = struct.Struct("!iiq")
 _STAT = struct.Struct("!qqqqiiiqiiq")
 
-RECORD_BYTES_MAX = 4 * 1024 * 1024  # of a reply: the children of one znode, some 40,000 names
-SET_WATCHES_BYTES_MAX = 128 * 1024  # of paths in one SetWatches request; servers accept 1 MiB
-# Transaction ids of replies that answer no queued request.
+RECORD_BYTES_MAX = 4 * 1024 * 1024  # enough for a list of about 40,000 children
+SET_WATCHES_BYTES_MAX = 128 * 1024  # paths in one SetWatches request; servers accept 1 MiB
+# Reserved transaction ids, whose replies belong to no queued request.
 WATCH_XID, PING_XID, AUTH_XID, SET_WATCHES_XID = -1, -2, -4, -8
 ANY_VERSION = -1
-EPHEMERAL, SEQUENTIAL = 1, 2  # bits of create's flags
+EPHEMERAL, SEQUENTIAL = 1, 2  # flag bits of a create request
 
 
 @unique
@@ -43,7 +43,7 @@
 
 @unique
 class ErrorCode(IntEnum):
-    """KeeperException's codes, as far as they have a name here."""
+    """The subset of KeeperException codes that is used here."""
 
     NO_NODE = -101
     NO_AUTH = -102
@@ -56,7 +56,7 @@
 
 @unique
 class WatchEvent(IntEnum):
-    """What a watch reports."""
+    """Event types of a watch."""
 
     CREATED = 1
     DELETED = 2
@@ -65,12 +65,12 @@
 
 
 class MalformedRecordError(Exception):
-    """Bytes of a server that do not follow the protocol."""
+    """Received bytes violate the protocol."""
 
 
 @dataclass(frozen=True, slots=True)
 class Stat:
-    """A znode's metadata; times in milliseconds of Unix time, by the leader's clock."""
+    """A znode's metadata; times are Unix time in milliseconds, by the leader's clock."""
 
     czxid: int
     mzxid: int
@@ -79,7 +79,7 @@
     version: int
     cversion: int
     aversion: int
-    ephemeral_owner: int  # session id; 0: not an ephemeral znode
+    ephemeral_owner: int  # session id; 0 if the znode is not ephemeral
     data_length: int
     child_count: int
     pzxid: int
@@ -95,17 +95,17 @@
 
 
 class ReplyHeader(NamedTuple):
-    """What every reply begins with."""
+    """Header of every reply."""
 
     xid: int
-    zxid: int  # the server's newest transaction
-    error: int  # an ErrorCode; 0: success
+    zxid: int  # the server's newest transaction id
+    error: int  # ErrorCode; 0 on success
 
 
 class ConnectResponse(NamedTuple):
-    """The server's side of the handshake."""
+    """The server's handshake response."""
 
-    timeout_ms: int  # 0: the session has expired
+    timeout_ms: int  # 0 if the session has expired
     session_id: int
     password: bytes
 
@@ -116,43 +116,43 @@
 
 
 def encode_frame(data: bytes) -> bytes:
-    """A record with the length that precedes it on the wire."""
+    """Prefix a record with its length."""
     return _INT.pack(len(data)) + data
 
 
 def encode_buffer(value: bytes) -> bytes:
-    """A byte string with its length."""
+    """Encode a byte string with a length prefix."""
     return _INT.pack(len(value)) + value
 
 
 def encode_string(value: str) -> bytes:
-    """A string as UTF-8 with its length."""
+    """Encode a string as UTF-8 with a length prefix."""
     return encode_buffer(value.encode())
 
 
 def encode_strings(values: list[str]) -> bytes:
-    """A list of strings with its count."""
+    """Encode a list of strings with a count prefix."""
     return _INT.pack(len(values)) + b"".join(map(encode_string, values))
 
 
 def encode_bool(value: bool) -> bytes:
-    """One byte, 0 or 1."""
+    """Encode a boolean as one byte, 0 or 1."""
     return b"\1" if value else b"\0"
 
 
 def encode_connect_request(last_zxid: int, timeout_ms: int, session_id: int, password: bytes) -> bytes:
-    """The handshake's first frame; a new session has id 0 and a password of zeros."""
-    fixed = struct.pack("!iqiq", 0, last_zxid, timeout_ms, session_id)
-    return encode_frame(fixed + encode_buffer(password) + encode_bool(False))
+    """Encode the frame that starts the handshake; a new session has id 0 and an all-zero password."""
+    fixed_fields = struct.pack("!iqiq", 0, last_zxid, timeout_ms, session_id)
+    return encode_frame(fixed_fields + encode_buffer(password) + encode_bool(False))
 
 
 def encode_request(xid: int, op: int, body: bytes = b"") -> bytes:
-    """A request's frame."""
+    """Encode a request frame."""
     return encode_frame(struct.pack("!ii", xid, op) + body)
 
 
 def encode_create(path: str, data: bytes, acl: tuple[Acl, ...], flags: int) -> bytes:
-    """The body of a create request."""
+    """Encode the body of a create request."""
     entries = [
         _INT.pack(entry.permissions) + encode_string(entry.scheme) + encode_string(entry.identity)
         for entry in acl
@@ -162,22 +162,22 @@
 
 
 def encode_path_with_version(path: str, version: int) -> bytes:
-    """The body of a delete request."""
+    """Encode the body of a delete request."""
     return encode_string(path) + _INT.pack(version)
 
 
 def encode_set_data(path: str, data: bytes, version: int) -> bytes:
-    """The body of a setData request."""
+    """Encode the body of a setData request."""
     return encode_string(path) + encode_buffer(data) + _INT.pack(version)
 
 
 def encode_auth(secret: str) -> bytes:
-    """The body of a digest authentication; `secret` is user:password."""
+    """Encode the body of a digest authentication request; `secret` is user:password."""
     return _INT.pack(0) + encode_string("digest") + encode_buffer(secret.encode())
 
 
 def encode_set_watches(last_zxid: int, data: list[str], exists: list[str], children: list[str]) -> bytes:
-    """The body of a SetWatches request, by the kind of watch."""
+    """Encode the body of a SetWatches request; the paths are grouped by kind of watch."""
     return (
         struct.pack("!q", last_zxid)
         + encode_strings(data)
@@ -187,7 +187,7 @@
 
 
 class RecordReader:
-    """Decodes one record from its start; every method raises MalformedRecordError."""
+    """Decodes the fields of one record in order; every method may raise MalformedRecordError."""
 
     def __init__(self, data: bytes) -> None:
         self._data = data
@@ -197,77 +197,77 @@
         try:
             values: tuple[int, ...] = layout.unpack_from(self._data, self._offset)
         except struct.error:
-            raise MalformedRecordError("the record is too short") from None
+            raise MalformedRecordError("truncated record") from None
         self._offset += layout.size
         return values
 
     def read_header(self) -> ReplyHeader:
-        """A reply's header."""
+        """Read a reply header."""
         return ReplyHeader(*self._unpack(_REPLY_HEADER))
 
     def read_int(self) -> int:
-        """A 32-bit number."""
+        """Read a signed 32-bit integer."""
         return self._unpack(_INT)[0]
 
     def read_buffer(self) -> bytes:
-        """A byte string; the protocol's null is an empty one."""
+        """Read a byte string; a null becomes an empty byte string."""
         size = self.read_int()
         if size < -1 or self._offset + size > len(self._data):
-            raise MalformedRecordError("the record is too short")
+            raise MalformedRecordError("truncated record")
         start = self._offset
         self._offset += max(size, 0)
         return self._data[start : self._offset]
 
     def read_string(self) -> str:
-        """A UTF-8 string."""
+        """Read a UTF-8 string."""
         try:
             return self.read_buffer().decode()
         except UnicodeDecodeError:
-            raise MalformedRecordError("a string is not UTF-8") from None
+            raise MalformedRecordError("invalid UTF-8 in a string") from None
 
     def read_strings(self, count: int) -> list[str]:
-        """The next `count` strings of a list, whose own count has been read."""
+        """Read `count` strings of a list whose count prefix has been read."""
         strings = []
         data, offset = self._data, self._offset
         try:
-            for _ in range(count):  # no call per string: a list of names can hold thousands
+            for _ in range(count):  # inlined read_string, as a list can hold thousands of names
                 end = offset + 4 + max(_INT.unpack_from(data, offset)[0], 0)
                 if end > len(data):
-                    raise MalformedRecordError("the record is too short")
+                    raise MalformedRecordError("truncated record")
                 strings.append(data[offset + 4 : end].decode())
                 offset = end
         except struct.error:
-            raise MalformedRecordError("the record is too short") from None
+            raise MalformedRecordError("truncated record") from None
         except UnicodeDecodeError:
-            raise MalformedRecordError("a string is not UTF-8") from None
+            raise MalformedRecordError("invalid UTF-8 in a string") from None
         self._offset = offset
         return strings
 
     def read_stat(self) -> Stat:
-        """A znode's metadata."""
+        """Read a znode's metadata."""
         return Stat(*self._unpack(_STAT))
 
     def read_connect_response(self) -> ConnectResponse:
-        """The handshake's answer."""
+        """Read the handshake response."""
         _, timeout_ms, session_id = self._unpack(_CONNECT_RESPONSE)
         return ConnectResponse(timeout_ms, session_id, self.read_buffer())
 
 
 class RecordSplitter:
-    """Splits the byte stream of a server into records."""
+    """Splits a server's byte stream into records."""
 
     def __init__(self) -> None:
-        self._buffered = bytearray()  # less than one record; bounded by RECORD_BYTES_MAX
+        self._buffered = bytearray()  # incomplete record; bounded by RECORD_BYTES_MAX
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add received bytes and return the records that they complete; raise MalformedRecordError."""
+        """Add received bytes and return the completed records; raise MalformedRecordError for an invalid length."""
         self._buffered += data
         records = []
         offset = 0
         while len(self._buffered) - offset >= _INT.size:
             size = _INT.unpack_from(self._buffered, offset)[0]
             if not 0 <= size <= RECORD_BYTES_MAX:
-                raise MalformedRecordError(f"a record of {size} bytes")
+                raise MalformedRecordError(f"invalid record length: {size} bytes")
             start = offset + _INT.size
             if len(self._buffered) - start < size:
                 break
--- a/topazbank/discovery/zookeeper.py
+++ b/topazbank/discovery/zookeeper.py
@@ -1,7 +1,8 @@
-"""A ZooKeeper ensemble as an endpoint source: its reads and watches.  registration_view.py decides what they mean.
+"""Endpoint source that reads and watches the znodes of a ZooKeeper ensemble; registration_view.py interprets them.
 
-A read and its watch are one request, so that no change between the two is missed.  The first read after a connection
-waits (`sync`) until the member has caught up with a quorum: the empty list of a member without one means nothing.
+Each read sets its watch in the same request, so no change between the two is missed.  The first read after a connection
+is preceded by `sync`, which waits until the member has caught up with a quorum.  Without it, a partitioned member could
+return an empty list.
 """
 
 from __future__ import annotations
@@ -26,12 +27,12 @@
 
 log = logging.getLogger(__name__)
 
-_RETRY_S = 0.5  # after a list of names that the ensemble refused
-_CONCURRENT_READS_MAX = 64  # of node data: an ensemble that recovers serves all sidecars at once
+_RETRY_S = 0.5  # delay after a failed listing
+_CONCURRENT_READS_MAX = 64  # node data reads in flight; a recovering ensemble serves all sidecars at once
 
 
 class ZooKeeperSource:
-    """Follows the znodes below `path`; passes lists to `on_update`, and None where no quorum is connected."""
+    """Watches the child znodes of `path`; passes lists to `on_update`, or None if no quorum is connected."""
 
     def __init__(
         self,
@@ -40,17 +41,17 @@
         on_update: Callable[[EndpointList | None], None],
         seed: int | None = None,
     ) -> None:
-        """`seed`: of the session's random choices."""
+        """`seed` initializes the session's random generator."""
         self.view = RegistrationView()
         self.session = Session(ensemble, self._session_changed, self._watch_event_received, seed)
         self._path = path
         self._on_update = on_update
         self._started = False
-        self._read_queue: dict[str, None] = {}  # an ordered set of names; at most one a node
-        self._reading: set[str] = set()  # bounded by _CONCURRENT_READS_MAX
-        self._listing = False
-        self._list_requested = False  # while a list is being read
-        self._tasks: set[asyncio.Task[None]] = set()  # one for each read without a reply yet
+        self._read_queue: dict[str, None] = {}  # ordered set of node names
+        self._reads_in_flight: set[str] = set()  # node names; bounded by _CONCURRENT_READS_MAX
+        self._list_in_flight = False
+        self._list_requested = False  # a listing was requested during another one
+        self._tasks: set[asyncio.Task[None]] = set()  # one per read in flight
         self._release_timer: asyncio.TimerHandle | None = None
 
     # -- EndpointSource --------------------------------------------------------------------------------
@@ -62,18 +63,18 @@
             self.session.start()
 
     def fetch(self) -> None:
-        """Publish a snapshot once a quorum has confirmed it, or at once that no quorum is connected."""
+        """Publish a snapshot once a quorum has confirmed it, or None immediately if no quorum is connected."""
         if self.session.state is not SessionState.CONNECTED:
             self._on_update(None)
             return
         self.view.request_snapshot()
-        self._spawn(self._list(sync=True))
+        self._spawn(self._list_nodes(sync=True))
 
     def move(self, address: Address) -> None:
-        """See EndpointSource; the registry's address does not matter here."""
+        """See EndpointSource; the ensemble does not use the registry's address."""
 
     def stop(self) -> None:
-        """End the session without closing it, and all reads."""
+        """Stop the session without closing it at the ensemble, and cancel all reads."""
         self.session.stop()
         for task in list(self._tasks):
             task.cancel()
@@ -96,9 +97,9 @@
         return asyncio.get_running_loop().time()
 
     def _session_changed(self, state: SessionState) -> None:
-        log.info("zookeeper: the session is %s", state.name.lower())
+        log.info("zookeeper: session state changed to %s", state.name.lower())
         if state is SessionState.CONNECTED:
-            self._spawn(self._list(sync=True))
+            self._spawn(self._list_nodes(sync=True))
         elif state is not SessionState.CLOSED:
             self.view.quorum_lost(self._now())
             if state is SessionState.EXPIRED:
@@ -107,7 +108,7 @@
     def _watch_event_received(self, event: WatchEvent, path: str) -> None:
         if path == self._path:
             if event is not WatchEvent.DATA_CHANGED:
-                self._spawn(self._list(sync=False))
+                self._spawn(self._list_nodes(sync=False))
             return
         name = path.rpartition("/")[2]
         if event is WatchEvent.DELETED:
@@ -115,86 +116,86 @@
         elif event is WatchEvent.DATA_CHANGED:
             self._apply(self.view.node_changed(name))
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     # -- Reads -----------------------------------------------------------------------------------------
 
-    async def _list(self, sync: bool) -> None:
-        """Read the names, with a watch; a request meanwhile is served by one more read afterwards."""
-        if self._listing:
+    async def _list_nodes(self, sync: bool) -> None:
+        """List the node names and set a watch; requests during a listing are coalesced into one more afterwards."""
+        if self._list_in_flight:
             self._list_requested = True
             return
-        self._listing = True
+        self._list_in_flight = True
         try:
             await self._read_names(sync)
         except ConnectionLossError:
-            pass  # the next connection begins with a list
+            pass  # the next connection starts with a listing
         except ZooKeeperError as error:
-            self._list_refused(error)
+            self._handle_list_error(error)
         finally:
-            self._listing = False
+            self._list_in_flight = False
         if self._list_requested:
             self._list_requested = False
-            self._spawn(self._list(sync=False))
+            self._spawn(self._list_nodes(sync=False))
 
     async def _read_names(self, sync: bool) -> None:
         if sync:
             await self.session.sync(self._path)
         names, stat = await self.session.get_children(self._path, watch=True)
-        former = set(self.view.nodes)
+        previous_names = set(self.view.nodes)
         change = self.view.names_listed(self._now(), names, stat.pzxid)
-        if sync:  # nodes that stay and are not unread have their watches set again, which report any change
-            staying = former & self.view.nodes.keys()
-            change.nodes_to_read += sorted(name for name in staying if self._needs_read(name))
+        if sync:  # the restored watches report changes of nodes that were read before
+            still_listed = previous_names & self.view.nodes.keys()
+            change.nodes_to_read += sorted(name for name in still_listed if self._needs_read(name))
         self._apply(change)
 
     def _needs_read(self, name: str) -> bool:
-        return self.view.is_unread(name) and name not in self._reading
+        return self.view.is_unread(name) and name not in self._reads_in_flight
 
-    def _list_refused(self, error: ZooKeeperError) -> None:
-        """The list is retried; a path that does not exist means that no node has ever registered."""
+    def _handle_list_error(self, error: ZooKeeperError) -> None:
+        """Schedule a retry; a missing path means that no node has ever registered and counts as an empty list."""
         change = ViewChange()
         if error.code == ErrorCode.NO_NODE:
             change = self.view.names_listed(self._now(), (), max(self.session.zxid, 0))
         else:
-            log.warning("zookeeper: %s can't be listed: %s", self._path, error)
+            log.warning("zookeeper: failed to list %s: %s", self._path, error)
         self._apply(change)
-        asyncio.get_running_loop().call_later(_RETRY_S, self._retry_list)
+        asyncio.get_running_loop().call_later(_RETRY_S, self._retry_list_nodes)
 
-    def _retry_list(self) -> None:
+    def _retry_list_nodes(self) -> None:
         if self.session.state is SessionState.CONNECTED:
-            self._spawn(self._list(sync=False))
+            self._spawn(self._list_nodes(sync=False))
 
     async def _read_node(self, name: str) -> None:
         try:
             data, stat = await self.session.get(f"{self._path}/{name}", watch=True)
         except ConnectionLossError:
-            return  # it is read again with the next list
+            return  # read again after the next listing
         except ZooKeeperError as error:
             if error.code != ErrorCode.NO_NODE:
-                log.warning("zookeeper: node %s can't be read: %s", name, error)
+                log.warning("zookeeper: failed to read node %s: %s", name, error)
             self._apply(self.view.node_removed(name))
             return
         finally:
-            self._reading.discard(name)
+            self._reads_in_flight.discard(name)
             self._start_reads()
         now_ms = time.time_ns() // 1_000_000
         self._apply(self.view.node_read(self._now(), name, data, stat.czxid, stat.mzxid, now_ms))
 
     def _start_reads(self) -> None:
-        """Begin queued reads of node data, up to the limit."""
+        """Start queued reads of node data, up to the concurrency limit."""
         while (
             self._read_queue
-            and len(self._reading) < _CONCURRENT_READS_MAX
+            and len(self._reads_in_flight) < _CONCURRENT_READS_MAX
             and self.session.state is SessionState.CONNECTED
         ):
             name = next(iter(self._read_queue))
             del self._read_queue[name]
-            if name not in self._reading and name in self.view.nodes:
-                self._reading.add(name)
+            if name not in self._reads_in_flight and name in self.view.nodes:
+                self._reads_in_flight.add(name)
                 self._spawn(self._read_node(name))
 
     # -- Updates ---------------------------------------------------------------------------------------
@@ -212,8 +213,8 @@
             self._release_timer.cancel()
             self._release_timer = None
         if release_at is not None:
-            self._release_timer = asyncio.get_running_loop().call_at(release_at, self._release_due)
+            self._release_timer = asyncio.get_running_loop().call_at(release_at, self._release_held)
 
-    def _release_due(self) -> None:
+    def _release_held(self) -> None:
         self._release_timer = None
         self._apply(self.view.release_held(self._now()))
