--- a/tests/discovery/test_ensemble.py
+++ b/tests/discovery/test_ensemble.py
@@ -1,4 +1,4 @@
-"""The emulated ensemble, used by the published client (kazoo) with its recipes, which run in threads."""
+"""Tests the emulated ensemble with the published client kazoo and its recipes, which run in threads."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 from testbed.zookeeper import Ensemble
 
 _Result = TypeVar("_Result")
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 
 
 class RunningEnsemble:
-    """An ensemble on an event loop of its own thread."""
+    """An ensemble on an event loop in a separate thread."""
 
     def __init__(self, members: int) -> None:
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
         self.ensemble = self.call(lambda: Ensemble(members))
-        asyncio.run_coroutine_threadsafe(self.ensemble.start(), self.loop).result(PATIENCE_S)
+        asyncio.run_coroutine_threadsafe(self.ensemble.start(), self.loop).result(TIMEOUT_S)
         self.clients: list[Any] = []
 
     def call(self, function: Callable[[], _Result]) -> _Result:
@@ -45,11 +45,11 @@
         async def run() -> _Result:
             return function()
 
-        return asyncio.run_coroutine_threadsafe(run(), self.loop).result(PATIENCE_S)
+        return asyncio.run_coroutine_threadsafe(run(), self.loop).result(TIMEOUT_S)
 
     def client(self, timeout: float = 4.0, **options: Any) -> Any:
         client = KazooClient(hosts=self.ensemble.hosts, timeout=timeout, **options)
-        client.start(PATIENCE_S)
+        client.start(TIMEOUT_S)
         self.clients.append(client)
         return client
 
@@ -59,7 +59,7 @@
             client.close()
         self.call(self.ensemble.stop)
         self.loop.call_soon_threadsafe(self.loop.stop)
-        self.thread.join(PATIENCE_S)
+        self.thread.join(TIMEOUT_S)
         self.loop.close()
 
 
@@ -71,54 +71,57 @@
 
 
 def eventually(condition: Callable[[], object]) -> None:
-    deadline = time.monotonic() + PATIENCE_S
+    deadline = time.monotonic() + TIMEOUT_S
     while not condition():
         assert time.monotonic() < deadline
         time.sleep(0.01)
 
 
-def test_znodes_versions_and_errors_are_those_of_zookeeper(running: RunningEnsemble) -> None:
-    one = running.client()
-    assert one.create("/a", b"x") == "/a"
-    data, stat = one.get("/a")
+def test_znodes_versions_and_errors_match_zookeeper(running: RunningEnsemble) -> None:
+    client = running.client()
+    assert client.create("/a", b"x") == "/a"
+    data, stat = client.get("/a")
     assert (data, stat.version, stat.czxid) == (b"x", 0, stat.mzxid)
-    changed = one.set("/a", b"longer", version=0)
+    changed = client.set("/a", b"longer", version=0)
     assert changed.version == 1 and changed.mzxid > changed.czxid and changed.data_length == 6
-    one.create("/a/b")
-    assert one.exists("/a").children_count == 1 and one.exists("/a").pzxid > changed.mzxid
-    refused: list[tuple[Callable[[], Any], type[Exception]]] = [
-        (lambda: one.create("/a"), NodeExistsError),
-        (lambda: one.create("/nowhere/x"), NoNodeError),
-        (lambda: one.get("/nowhere"), NoNodeError),
-        (lambda: one.delete("/a"), NotEmptyError),
-        (lambda: one.set("/a", b"", version=7), BadVersionError),
-        (lambda: one.delete("/a/b", version=7), BadVersionError),
+    client.create("/a/b")
+    assert client.exists("/a").children_count == 1 and client.exists("/a").pzxid > changed.mzxid
+    rejected: list[tuple[Callable[[], Any], type[Exception]]] = [
+        (lambda: client.create("/a"), NodeExistsError),
+        (lambda: client.create("/nowhere/x"), NoNodeError),
+        (lambda: client.get("/nowhere"), NoNodeError),
+        (lambda: client.delete("/a"), NotEmptyError),
+        (lambda: client.set("/a", b"", version=7), BadVersionError),
+        (lambda: client.delete("/a/b", version=7), BadVersionError),
     ]
-    for operation, error in refused:
+    for operation, error in rejected:
         with pytest.raises(error):
             operation()
-    assert one.exists("/nowhere") is None
-    one.delete("/a", recursive=True)
-    assert one.exists("/a") is None
-    assert one.sync("/") == "/"
+    assert client.exists("/nowhere") is None
+    client.delete("/a", recursive=True)
+    assert client.exists("/a") is None
+    assert client.sync("/") == "/"
 
 
 def test_ephemeral_and_sequential_znodes(running: RunningEnsemble) -> None:
-    one, two = running.client(), running.client()
-    one.create("/q")
-    names = [client.create("/q/n-", b"", ephemeral=True, sequence=True) for client in (one, two, one)]
+    first_client, second_client = running.client(), running.client()
+    first_client.create("/q")
+    names = [
+        client.create("/q/n-", b"", ephemeral=True, sequence=True)
+        for client in (first_client, second_client, first_client)
+    ]
     assert names == [f"/q/n-{number:010d}" for number in range(3)]
-    assert two.exists(names[0]).ephemeralOwner == one.client_id[0]
+    assert second_client.exists(names[0]).ephemeralOwner == first_client.client_id[0]
     with pytest.raises(NoChildrenForEphemeralsError):
-        one.create(names[0] + "/below")
-    one.stop()
-    eventually(lambda: two.get_children("/q") == ["n-0000000001"])
+        first_client.create(names[0] + "/below")
+    first_client.stop()
+    eventually(lambda: second_client.get_children("/q") == ["n-0000000001"])
 
 
 def test_a_transaction_applies_all_operations_or_none(running: RunningEnsemble) -> None:
-    one = running.client()
-    one.create("/a", b"0")
-    committed = one.transaction()
+    client = running.client()
+    client.create("/a", b"0")
+    committed = client.transaction()
     committed.create("/b", b"1")
     committed.check("/a", version=0)
     committed.set_data("/a", b"2")
@@ -126,32 +129,32 @@
     committed.delete("/b")
     results = committed.commit()
     assert results[0] == "/b" and results[1] is True and results[4] is True
-    assert one.get("/a")[0] == b"3" and one.get("/a")[1].version == 2 and one.exists("/b") is None
-    refused = one.transaction()
-    refused.create("/c", b"1")
-    refused.check("/a", version=0)
-    refused.create("/d", b"1")
-    kinds = [type(result) for result in refused.commit()]
-    assert kinds[:2] == [RolledBackError, BadVersionError] and one.exists("/c") is None
-
-
-def test_a_watch_reports_once_and_before_the_change_can_be_read(running: RunningEnsemble) -> None:
-    one, two = running.client(), running.client()
-    one.create("/w")
+    assert client.get("/a")[0] == b"3" and client.get("/a")[1].version == 2 and client.exists("/b") is None
+    rejected = client.transaction()
+    rejected.create("/c", b"1")
+    rejected.check("/a", version=0)
+    rejected.create("/d", b"1")
+    kinds = [type(result) for result in rejected.commit()]
+    assert kinds[:2] == [RolledBackError, BadVersionError] and client.exists("/c") is None
+
+
+def test_a_watch_fires_once_and_before_the_change_can_be_read(running: RunningEnsemble) -> None:
+    first_client, second_client = running.client(), running.client()
+    first_client.create("/w")
     events: list[tuple[str, str]] = []
 
     def watch(event: Any) -> None:
         events.append((event.type, event.path))
 
-    two.sync("/")
-    two.get_children("/w", watch=watch)
-    two.get("/w", watch=watch)
-    two.exists("/later", watch=watch)
-    one.create("/w/x")
-    one.create("/w/y")
-    one.set("/w", b"1")
-    one.set("/w", b"2")
-    one.create("/later")
+    second_client.sync("/")
+    second_client.get_children("/w", watch=watch)
+    second_client.get("/w", watch=watch)
+    second_client.exists("/later", watch=watch)
+    first_client.create("/w/x")
+    first_client.create("/w/y")
+    first_client.set("/w", b"1")
+    first_client.set("/w", b"2")
+    first_client.create("/later")
     eventually(lambda: len(events) == 3)
     time.sleep(0.1)
     assert sorted(events) == [("CHANGED", "/w"), ("CHILD", "/w"), ("CREATED", "/later")]
@@ -171,24 +174,26 @@
     assert other.get_acls("/mine")[0][0].id.scheme == "digest"
 
 
-def test_kazoo_s_lock_election_party_and_children_watch_work(running: RunningEnsemble) -> None:
-    one, two = running.client(), running.client()
-    order: list[str] = []
+def test_kazoo_lock_election_party_and_children_watch_work(running: RunningEnsemble) -> None:
+    first_client, second_client = running.client(), running.client()
+    acquisitions: list[str] = []
 
-    def take() -> None:
-        with two.Lock("/lock", "two"):
-            order.append("two")
+    def acquire_second_lock() -> None:
+        with second_client.Lock("/lock", "two"):
+            acquisitions.append("two")
 
-    with one.Lock("/lock", "one"):
-        waiting = threading.Thread(target=take)
-        waiting.start()
-        eventually(lambda: len(one.get_children("/lock")) == 2)
-        order.append("one")
-    waiting.join(PATIENCE_S)
-    assert order == ["one", "two"]
+    with first_client.Lock("/lock", "one"):
+        second_thread = threading.Thread(target=acquire_second_lock)
+        second_thread.start()
+        eventually(lambda: len(first_client.get_children("/lock")) == 2)
+        acquisitions.append("one")
+    second_thread.join(TIMEOUT_S)
+    assert acquisitions == ["one", "two"]
 
     leaders: list[str] = []
-    elections = [client.Election("/election", name) for client, name in ((one, "one"), (two, "two"))]
+    elections = [
+        client.Election("/election", name) for client, name in ((first_client, "one"), (second_client, "two"))
+    ]
     threads = [
         threading.Thread(target=election.run, args=(leaders.append, name))
         for election, name in zip(elections, ("one", "two"), strict=True)
@@ -196,32 +201,34 @@
     for thread in threads:
         thread.start()
     for thread in threads:
-        thread.join(PATIENCE_S)
+        thread.join(TIMEOUT_S)
     assert sorted(leaders) == ["one", "two"]
 
-    parties = [client.Party("/party", name) for client, name in ((one, "one"), (two, "two"))]
+    parties = [
+        client.Party("/party", name) for client, name in ((first_client, "one"), (second_client, "two"))
+    ]
     for party in parties:
         party.join()
     eventually(lambda: sorted(parties[0]) == ["one", "two"])
 
     lists: list[list[str]] = []
-    two.create("/children")
-    ChildrenWatch(two, "/children", lambda names: lists.append(sorted(names)))
+    second_client.create("/children")
+    ChildrenWatch(second_client, "/children", lambda names: lists.append(sorted(names)))
     for number in range(3):
-        one.sync("/")
-        one.create(f"/children/{number}")
+        first_client.sync("/")
+        first_client.create(f"/children/{number}")
     eventually(lambda: lists and lists[-1] == ["0", "1", "2"])
     assert lists[0] == []
 
 
-def test_an_expired_session_loses_its_znodes_and_a_live_one_moves_between_members(
+def test_an_expired_session_loses_its_znodes_and_a_live_session_moves_between_members(
     running: RunningEnsemble,
 ) -> None:
-    one, two = running.client(timeout=2.0), running.client()
+    first_client, second_client = running.client(timeout=2.0), running.client()
     states: list[str] = []
-    one.add_listener(states.append)
-    one.create("/e", ephemeral=True)
-    session_id = one.client_id[0]
+    first_client.add_listener(states.append)
+    first_client.create("/e", ephemeral=True)
+    session_id = first_client.client_id[0]
     member = next(
         member
         for member in running.ensemble.members
@@ -229,46 +236,50 @@
     )
     running.call(lambda: running.ensemble.crash(member.number))
     eventually(lambda: "SUSPENDED" in states and states[-1] == "CONNECTED")
-    assert one.client_id[0] == session_id and "LOST" not in states and two.retry(two.exists, "/e")
+    assert (
+        first_client.client_id[0] == session_id
+        and "LOST" not in states
+        and second_client.retry(second_client.exists, "/e")
+    )
     running.call(lambda: running.ensemble.expire(session_id))
     eventually(lambda: "LOST" in states and states[-1] == "CONNECTED")
-    assert two.retry(two.exists, "/e") is None and one.client_id[0] != session_id
+    assert second_client.retry(second_client.exists, "/e") is None and first_client.client_id[0] != session_id
 
 
-def test_a_partitioned_member_writes_nothing_and_catches_up_afterwards(running: RunningEnsemble) -> None:
-    one = running.client()
-    one.create("/a", b"1")
+def test_a_partitioned_member_commits_nothing_and_catches_up_afterwards(running: RunningEnsemble) -> None:
+    client = running.client()
+    client.create("/a", b"1")
     ensemble = running.ensemble
     leader = running.call(lambda: ensemble.leader)
     assert leader is not None
-    cut = next(member.number for member in ensemble.members if member is not leader)
-    running.call(lambda: ensemble.cut(cut))
-    one.retry(one.set, "/a", b"2")
-    assert running.call(lambda: ensemble.members[cut].tree.nodes["/a"].data) == b"1"
-    running.call(lambda: ensemble.heal(cut))
-    eventually(lambda: running.call(lambda: ensemble.members[cut].tree.nodes["/a"].data) == b"2")
+    partitioned = next(member.number for member in ensemble.members if member is not leader)
+    running.call(lambda: ensemble.cut(partitioned))
+    client.retry(client.set, "/a", b"2")
+    assert running.call(lambda: ensemble.members[partitioned].tree.nodes["/a"].data) == b"1"
+    running.call(lambda: ensemble.heal(partitioned))
+    eventually(lambda: running.call(lambda: ensemble.members[partitioned].tree.nodes["/a"].data) == b"2")
 
     running.call(ensemble.lose_leader)
-    one.retry(one.set, "/a", b"3")
-    epoch = one.retry(one.exists, "/a").mzxid >> 32
+    client.retry(client.set, "/a", b"3")
+    epoch = client.retry(client.exists, "/a").mzxid >> 32
     assert epoch == 2
 
 
-def test_a_session_survives_an_outage_that_is_shorter_than_its_timeout(running: RunningEnsemble) -> None:
-    one = running.client(timeout=10.0)
-    one.create("/e", ephemeral=True)
-    session_id = one.client_id[0]
+def test_a_session_survives_an_outage_shorter_than_its_timeout(running: RunningEnsemble) -> None:
+    client = running.client(timeout=10.0)
+    client.create("/e", ephemeral=True)
+    session_id = client.client_id[0]
     running.call(running.ensemble.outage)
-    eventually(lambda: not one.connected)
+    eventually(lambda: not client.connected)
     running.call(running.ensemble.restore)
-    eventually(lambda: one.connected)
-    assert one.retry(one.exists, "/e") is not None and one.client_id[0] == session_id
+    eventually(lambda: client.connected)
+    assert client.retry(client.exists, "/e") is not None and client.client_id[0] == session_id
 
 
 def test_a_fast_clock_expires_a_session_that_sends_heartbeats(running: RunningEnsemble) -> None:
-    one = running.client(timeout=6.0)
-    one.create("/e", ephemeral=True)
-    session_id = one.client_id[0]
+    client = running.client(timeout=6.0)
+    client.create("/e", ephemeral=True)
+    session_id = client.client_id[0]
     running.call(lambda: running.ensemble.run_clock(20.0))
     eventually(lambda: session_id in running.call(lambda: list(running.ensemble.expired)))
     running.call(lambda: running.ensemble.run_clock(1.0))
@@ -276,12 +287,12 @@
 
 
 def test_a_held_watch_event_delays_the_replies_after_it(running: RunningEnsemble) -> None:
-    one, two = running.client(), running.client()
-    one.create("/w")
-    two.sync("/")
+    first_client, second_client = running.client(), running.client()
+    first_client.create("/w")
+    second_client.sync("/")
     events: list[str] = []
-    two.get("/w", watch=lambda event: events.append(event.type))
-    session_id = two.client_id[0]
+    second_client.get("/w", watch=lambda event: events.append(event.type))
+    session_id = second_client.client_id[0]
 
     def hold() -> None:
         connection = running.ensemble.connection_of(session_id)
@@ -289,11 +300,11 @@
         connection.hold_watches()
 
     running.call(hold)
-    one.set("/w", b"new")
-    read = two.get_async("/w")
+    first_client.set("/w", b"new")
+    read = second_client.get_async("/w")
     time.sleep(0.3)
-    assert not events  # the new data must not be read before its event
+    assert not events  # the new data must not become readable before its event
     assert not read.ready()
     running.call(lambda: running.ensemble.connection_of(session_id).release())  # type: ignore[union-attr]
-    assert read.get(timeout=PATIENCE_S)[0] == b"new"
+    assert read.get(timeout=TIMEOUT_S)[0] == b"new"
     eventually(lambda: events == ["CHANGED"])
--- a/tests/discovery/test_registrar.py
+++ b/tests/discovery/test_registrar.py
@@ -1,4 +1,4 @@
-"""Registration as a command, with chroot and authentication; many sidecars' sources with one ensemble."""
+"""Tests the registrar command with chroot and authentication, and many endpoint sources with one ensemble."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 import pytest
 from loopback import play, until
-from test_zookeeper_source import config_of
+from test_zookeeper_source import ensemble_config
 
 from testbed.zookeeper import Ensemble, jute
 from testbed.zookeeper.transactions import Requester, TransactionBuilder
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class Command:
-    """A running command, and the lines that it has printed."""
+    """A running command and its output lines."""
 
     process: asyncio.subprocess.Process
     lines: list[str]
@@ -44,7 +44,7 @@
 
 @contextlib.asynccontextmanager
 async def command(ensemble: Ensemble) -> AsyncIterator[Command]:
-    """The command, below a chroot and with a secret."""
+    """Run the command with a chroot and a secret."""
     arguments = ["--ensemble", ensemble.hosts, "--chroot", "/site-a", "--timeout-s", "1.0"]
     arguments += ["--name", "n-1", "--address", "127.0.0.1:4001", "--pod", "3"]
     arguments += ["--incarnation", "incarnation-1", "--started-ms", "7", "--linger-s", "0.3"]
@@ -96,7 +96,7 @@
 
         def on_update(update: EndpointList | None) -> None:
             assert update is not None
-            states.extend(line.server.state for line in update.entries)
+            states.extend(entry.server.state for entry in update.entries)
 
         async with command(ensemble) as running:
             await until(lambda: "n-1 is in" in running.lines)
@@ -120,7 +120,7 @@
     play(scenario())
 
 
-def test_a_killed_process_s_node_stays_until_its_session_expires() -> None:
+def test_the_node_of_a_killed_process_remains_until_its_session_expires() -> None:
     async def scenario() -> None:
         ensemble = Ensemble(3)
         await ensemble.start()
@@ -154,9 +154,9 @@
             await until(partial(is_connected, other))
             data, _ = await other.get("/lodge/nodes/n-1")
             assert data == registration.encode()
-            for refused in (other.set("/lodge/nodes/n-1", b"x"), other.delete("/lodge/nodes/n-1")):
+            for rejected in (other.set("/lodge/nodes/n-1", b"x"), other.delete("/lodge/nodes/n-1")):
                 with pytest.raises(ZooKeeperError, match="NO_AUTH"):
-                    await refused
+                    await rejected
             other.stop()
         assert is_registered(ensemble)
         assert stored_registration(ensemble) == registration
@@ -171,30 +171,30 @@
     play(scenario())
 
 
-def test_a_refused_write_raises_an_error_with_its_code_and_name() -> None:
+def test_a_rejected_write_raises_an_error_with_its_code_and_name() -> None:
     async def scenario() -> None:
         ensemble = Ensemble(3)
         await ensemble.start()
-        session = Session(config_of(ensemble), lambda _: None, lambda *_: None, 1)
+        session = Session(ensemble_config(ensemble), lambda _: None, lambda *_: None, 1)
         session.start()
         await until(partial(is_connected, session))
         await session.create("/once", b"", OPEN_ACL)
-        with pytest.raises(ZooKeeperError) as refused:
+        with pytest.raises(ZooKeeperError) as rejected:
             await session.create("/once", b"", OPEN_ACL)
-        assert refused.value.code == ErrorCode.NODE_EXISTS
-        assert str(refused.value) == "NODE_EXISTS"
+        assert rejected.value.code == ErrorCode.NODE_EXISTS
+        assert str(rejected.value) == "NODE_EXISTS"
         session.stop()
         ensemble.stop()
 
     play(scenario())
 
 
-@pytest.mark.parametrize("wrong", [["--address", "nowhere"], ["--ensemble", "a:b,c"]])
-def test_bad_arguments_end_the_command_with_one_line(
-    wrong: list[str], capsys: pytest.CaptureFixture[str]
+@pytest.mark.parametrize("invalid_arguments", [["--address", "nowhere"], ["--ensemble", "a:b,c"]])
+def test_invalid_arguments_end_the_command_with_one_line(
+    invalid_arguments: list[str], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    valid = ["--ensemble", "127.0.0.1:1", "--name", "n", "--address", "127.0.0.1:2"]
-    assert registrar_command.main([*valid, *wrong]) == 2
+    valid_arguments = ["--ensemble", "127.0.0.1:1", "--name", "n", "--address", "127.0.0.1:2"]
+    assert registrar_command.main([*valid_arguments, *invalid_arguments]) == 2
     assert len(capsys.readouterr().err.strip().splitlines()) == 1
 
 
@@ -205,7 +205,7 @@
 
 @dataclass(slots=True)
 class ManySources:
-    """Sources with one ensemble, and the states of the nodes as each has them."""
+    """Endpoint sources of one ensemble, and the node states that each has received."""
 
     ensemble: Ensemble
     sources: list[ZooKeeperSource]
@@ -214,7 +214,7 @@
 
 @contextlib.asynccontextmanager
 async def many_sources() -> AsyncIterator[ManySources]:
-    """Sources that have read all nodes."""
+    """Start the sources and wait until each has read all nodes."""
     logging.getLogger("topazbank.discovery").setLevel(logging.WARNING)
     ensemble = Ensemble(3)
     await ensemble.start()
@@ -222,20 +222,22 @@
     def create(builder: TransactionBuilder) -> None:
         builder.create("/nodes", b"", jute.OPEN_ACL, 0)
         for number in range(NODES):
-            builder.create(f"/nodes/n-{number}", record(number), jute.OPEN_ACL, 0)
+            builder.create(f"/nodes/n-{number}", encode_record(number), jute.OPEN_ACL, 0)
 
-    await ensemble.submit(ensemble.members[0], await requester(ensemble), create)
+    await ensemble.submit(ensemble.members[0], await open_requester(ensemble), create)
     states: list[dict[str, ServerState]] = [{} for _ in range(SOURCES)]
     sources = []
     for number in range(SOURCES):
 
-        def on_update(update: EndpointList | None, known: dict[str, ServerState] = states[number]) -> None:
+        def on_update(
+            update: EndpointList | None, known_states: dict[str, ServerState] = states[number]
+        ) -> None:
             assert update is not None
-            known.update({line.server.name: line.server.state for line in update.entries})
+            known_states.update({entry.server.name: entry.server.state for entry in update.entries})
 
-        sources.append(ZooKeeperSource(config_of(ensemble, 5.0), "/nodes", on_update, number))
+        sources.append(ZooKeeperSource(ensemble_config(ensemble, 5.0), "/nodes", on_update, number))
         sources[-1].watch(True)
-    await until(lambda: all(len(known) == NODES for known in states))
+    await until(lambda: all(len(known_states) == NODES for known_states in states))
     try:
         yield ManySources(ensemble, sources, states)
     finally:
@@ -245,12 +247,12 @@
         logging.getLogger("topazbank.discovery").setLevel(logging.NOTSET)
 
 
-def record(number: int, draining: bool = False) -> bytes:
+def encode_record(number: int, draining: bool = False) -> bytes:
     address = ("127.0.0.1", 9000 + number)
     return Registration(address, 1, "m", "a", "http", 1.0, f"l-{number}", 0, draining).encode()
 
 
-async def requester(ensemble: Ensemble) -> Requester:
+async def open_requester(ensemble: Ensemble) -> Requester:
     session = await ensemble.open_session(ensemble.members[0], 60.0)
     return Requester(session.session_id, frozenset({("world", "anyone")}))
 
@@ -259,45 +261,49 @@
     async def scenario() -> None:
         async with many_sources() as running:
             ensemble = running.ensemble
-            before = ensemble.requests.copy()
+            requests_before = ensemble.requests.copy()
             await ensemble.submit(
                 ensemble.members[0],
-                await requester(ensemble),
-                lambda builder: builder.set_data("/nodes/n-3", record(3, draining=True), jute.ANY_VERSION),
+                await open_requester(ensemble),
+                lambda builder: builder.set_data(
+                    "/nodes/n-3", encode_record(3, draining=True), jute.ANY_VERSION
+                ),
             )
-            await until(lambda: all(known["n-3"] is ServerState.DRAINING for known in running.states))
-            requests = ensemble.requests - before
+            await until(
+                lambda: all(known_states["n-3"] is ServerState.DRAINING for known_states in running.states)
+            )
+            requests = ensemble.requests - requests_before
             assert requests[jute.GET_DATA] == SOURCES
             assert requests[jute.GET_CHILDREN2] == 0
 
     play(scenario())
 
 
-def test_after_an_outage_no_source_reads_node_data_again_and_few_requests_are_sent() -> None:
-    """All members stop and come back, and all sources reconnect at about the same time.
+def test_after_an_outage_sources_send_few_requests_and_read_no_node_data_again() -> None:
+    """All members stop and restart, and all sources reconnect at about the same time.
 
-    Watches are set again instead of reading every node again, so that the ensemble gets few requests from each client.
+    The sources restore their watches and do not read every node again, so each sends only a few requests.
     """
 
     async def scenario() -> None:
         async with many_sources() as running:
             ensemble, sources = running.ensemble, running.sources
             ensemble.outage()
-            await until(lambda: all(one.session.state is SessionState.SUSPENDED for one in sources))
+            await until(lambda: all(source.session.state is SessionState.SUSPENDED for source in sources))
             connections = [source.session.connections for source in sources]
             await asyncio.sleep(0.5)
-            before = ensemble.requests.copy()
+            requests_before = ensemble.requests.copy()
             ensemble.restore()
             connected = Connectivity.CONNECTED
             await until(lambda: all(source.view.connectivity is connected for source in sources))
-            requests = ensemble.requests - before
+            requests = ensemble.requests - requests_before
             assert requests[jute.SYNC] <= 2 * SOURCES
             assert requests[jute.SET_WATCHES] <= 2 * SOURCES
             assert requests[jute.GET_DATA] == 0
             reconnections = [
-                source.session.connections - former
-                for source, former in zip(sources, connections, strict=True)
+                source.session.connections - previous_count
+                for source, previous_count in zip(sources, connections, strict=True)
             ]
-            assert max(reconnections) <= 2  # a member that is reached before there is a leader counts
+            assert max(reconnections) <= 2  # counts a connection to a member that has no leader yet
 
     play(scenario())
--- a/tests/discovery/test_zookeeper_histories.py
+++ b/tests/discovery/test_zookeeper_histories.py
@@ -1,6 +1,6 @@
-"""Seeded histories of nodes, sessions, members and faults: no removed node is kept, no outage removes one.
+"""Seeded random histories of nodes, sessions, members and faults: removed nodes do not stay ready, outages remove none.
 
-TOPAZBANK_HISTORIES=1000 runs as many, with other seeds than CI's.
+TOPAZBANK_HISTORIES=1000 runs 1000 histories, with other seeds than those of CI.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 HISTORIES = os.environ.get("TOPAZBANK_HISTORIES")
 SEEDS = range(1000, 1000 + int(HISTORIES)) if HISTORIES else range(6)
 STEPS = 30
-REMOVAL_S = 0.5  # for so long a node that a quorum does not list any more may still be ready
-DELIVERY_S = 1.0  # an update is not older than this when it arrives: watches are held for WATCH_HOLD_S
+REMOVAL_S = 0.5  # limit for a node to stay ready after a quorum has removed it
+DELIVERY_S = 1.0  # maximum age of a received update; watch events are delayed by WATCH_HOLD_S
 WATCH_HOLD_S = 0.1
 PAUSES_S = [0.0, 0.0, 0.01, 0.05]
-# One is drawn for each step; some are listed more than once.
+# Each step picks one at random; repeated actions are more likely.
 ACTIONS = (
     "create create create delete delete leave bad expire cut heal crash restart leader outage restore hold wait wait"
 ).split()
@@ -41,14 +41,14 @@
 
 
 class History:
-    """An ensemble, a source that follows it, and the endpoint list of the source's receiver."""
+    """An ensemble, an endpoint source that watches it, and the endpoint list received from the source."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.ensemble = Ensemble(3, seed, election_s=0.03)
         self.states: dict[str, ServerState] = {}
-        self.unregistered_at: dict[str, float] = {}  # of names in `states`
-        self.deleted_at: dict[str, float] = {}  # by the last `delete`, whether registered again or not
+        self.unregistered_at: dict[str, float] = {}  # for names in `states`
+        self.deleted_at: dict[str, float] = {}  # time of the last `delete`, even if registered again
         self.connected_since: float | None = None
         self.in_outage = False
 
@@ -66,16 +66,16 @@
     def on_update(self, update: EndpointList | None) -> None:
         assert update is not None
         if self.in_outage:
-            assert not update.complete or update.entries, "emptied by an outage"
+            assert not update.complete or update.entries, "an outage emptied the endpoint list"
         if update.complete:
             self.states = {}
-        for line in update.entries:
-            self.states[line.server.name] = line.server.state
-            if line.server.state is ServerState.REMOVED:
-                del self.states[line.server.name]
+        for entry in update.entries:
+            self.states[entry.server.name] = entry.server.state
+            if entry.server.state is ServerState.REMOVED:
+                del self.states[entry.server.name]
 
     async def commit(self, build: Callable[[TransactionBuilder], None]) -> None:
-        """Commit a change of some other client; a refused or unavailable one is left out."""
+        """Commit a change by another client; skip it if it is rejected or no quorum is available."""
         ensemble = self.ensemble
         session = None
         try:
@@ -132,17 +132,17 @@
                 asyncio.get_running_loop().call_later(WATCH_HOLD_S, connection.release)
 
     async def outage(self) -> None:
-        """Stop all members; a node may be removed only by an update from before that."""
-        before = dict(self.states)
+        """Stop all members; only updates from before the outage may remove a node."""
+        states_before = dict(self.states)
         self.in_outage = True
         self.ensemble.outage()
         await asyncio.sleep(0.05)
         oldest_update = asyncio.get_running_loop().time() - DELIVERY_S
-        for name in (before.keys() - self.states.keys()) & self.registered():
-            assert self.deleted_at.get(name, 0.0) > oldest_update, f"{name} was lost to an outage"
+        for name in (states_before.keys() - self.states.keys()) & self.registered():
+            assert self.deleted_at.get(name, 0.0) > oldest_update, f"{name} was removed by an outage"
 
     def check(self) -> None:
-        """No node is ready that a quorum has not listed for longer than the limit, while the source is connected."""
+        """Check that no node stays ready longer than REMOVAL_S after its removal, while the source is connected."""
         now = asyncio.get_running_loop().time()
         connected = (
             self.source.session.state is SessionState.CONNECTED
@@ -176,7 +176,7 @@
         return {name for name in self.registered() if leader.tree.nodes[f"{PATH}/{name}"].data != UNREADABLE}
 
     async def settle(self) -> None:
-        """End all faults, and wait until the endpoint list is what the ensemble has."""
+        """End all faults, and wait until the endpoint list matches the ensemble."""
         self.in_outage = False
         self.ensemble.restore()
         for member in self.ensemble.members:
@@ -194,11 +194,11 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_history_of_faults_keeps_no_removed_node_ready_and_removes_no_registered_one(seed: int) -> None:
+def test_faults_keep_no_removed_node_ready_and_remove_no_registered_node(seed: int) -> None:
     """Nodes register, drain, disappear and store unreadable data while members and sessions fail at random.
 
-    A removed node must not stay ready for longer than the limit, an outage must remove none, and once all faults have
-    ended the endpoint list must be what the ensemble has.
+    A removed node must not stay ready for longer than REMOVAL_S, and an outage must not remove nodes.  After all faults
+    have ended, the endpoint list must match the ensemble.
     """
 
     async def scenario() -> None:
