--- a/topazbank/cluster/address_book.py
+++ b/topazbank/cluster/address_book.py
@@ -1,4 +1,4 @@
-"""Where members are reached, and from where their messages may come; no I/O."""
+"""Addresses of members, for sending and for checking the source of messages; no I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class AddressBook:
-    """Configured addresses take precedence over those that members report."""
+    """Looks up addresses; configured ones take precedence over those that members report."""
 
     __slots__ = ("_configured", "_seeds", "_table")
 
@@ -22,15 +22,17 @@
         self._table = table
 
     def of_record(self, record: MemberRecord) -> Address | None:
-        """Return where a record's member is reached; None where that is unknown."""
+        """Return the address of a record's member; None if it is unknown."""
         return self._configured.get(record.ident) or record.address
 
     def of(self, ident: int) -> Address | None:
-        """Return where a member is reached; None where it or its address is unknown."""
+        """Return the address of a member; None if the member or its address is unknown."""
         record = self._table.records.get(ident)
         return self.of_record(record) if record is not None else None
 
     def all(self) -> set[Address]:
         """Return all addresses from which a member may send."""
-        reported = {record.address for record in self._table.records.values() if record.address is not None}
-        return reported | self._seeds | set(self._configured.values())
+        reported_addresses = {
+            record.address for record in self._table.records.values() if record.address is not None
+        }
+        return reported_addresses | self._seeds | set(self._configured.values())
--- a/topazbank/cluster/anti_entropy.py
+++ b/topazbank/cluster/anti_entropy.py
@@ -1,9 +1,9 @@
-"""Anti-entropy: finds where two members' tables differ and makes them equal, by digests of parts; no I/O.
+"""Anti-entropy: reconciles the member tables of two members by comparing digests of ident ranges; no I/O.
 
-Each message carries the digest of its sender's table.  Where two tables still differ once gossip has had its time, one
-member sends the digests of the sixteen parts of its table.  The other answers for a few parts that differ: with its
-records there and a request for the sender's, or, where these are too many, with the digests of that part's parts.  Each
-message is handled by itself, so any may be lost or repeated.
+Each message carries the digest of its sender's table.  If two tables still differ after gossip had time to spread, one
+member sends the digests of the sixteen parts of its table.  The other replies for a few differing parts: with its own
+records and a request for the sender's, or, if a part has too many records, with the digests of its sixteen subparts.
+Messages are handled independently, so each may be lost or duplicated.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from topazbank.cluster.settings import ProtocolSettings
 from topazbank.cluster.wire import PREFIX_DEPTH_MAX, DigestPart, IdentPrefix, Message, record_capacity
 
-REPLY_DATAGRAMS_MAX = 8  # that one message may cause
-_PARTS_PER_REPLY = 4  # of those that differ
+REPLY_DATAGRAMS_MAX = 8  # sent in response to one message
+_PARTS_PER_REPLY = 4  # differing parts that one reply covers; others wait for a later comparison
 _CORRECTIONS_MAX = 64
-_SYNC_PERIODS = 4  # between two comparisons that this member begins
-_SPLIT_DATAGRAMS = 3  # a part whose records fill more is compared in its parts
+_SYNC_PERIODS = 4  # probe periods between two comparisons that this member starts
+_SPLIT_DATAGRAMS = 3  # a part whose records need more datagrams is split into subparts
 
 
 @dataclass(frozen=True, slots=True)
 class SyncReply:
-    """One datagram: records, a request for records, or a prefix whose digests are to be sent."""
+    """The content of one datagram: records, a request for records, or a prefix whose digests to send."""
 
     records: Sequence[MemberRecord] = ()
     requested_prefix: IdentPrefix | None = None
@@ -34,7 +34,7 @@
 
 
 class AntiEntropy:
-    """When to compare tables, and what to reply; times in microseconds."""
+    """Decides when to compare tables and what to reply; times in microseconds."""
 
     __slots__ = (
         "_changed_at",
@@ -56,17 +56,17 @@
         self._corrections: dict[int, None] = {}
 
     def note_change(self, now: int) -> None:
-        """The table has changed; the others' tables will follow by gossip."""
+        """Record that the table has changed; gossip will spread the change to the others."""
         self._changed_at = now
 
     def note_equal(self, now: int) -> None:
-        """Another member's table is equal."""
+        """Record that another member's table is equal."""
         self._equal_at = now
 
     def begin_sync(self, now: int, *, is_joining: bool, has_gossip: bool) -> bool:
-        """Whether to send digests to a member whose table differs; where so, the next sync waits.
+        """Whether to send digests to a member whose table differs; if so, delay the next comparison.
 
-        `has_gossip`: the difference may be an update that is still to be sent.
+        `has_gossip`: updates are still queued, which may explain the difference.
         """
         if now < self._next_sync_at:
             return False
@@ -79,49 +79,57 @@
         return True
 
     def correct(self, ident: int) -> None:
-        """Another member has sent an outdated record: send the newer one with the next messages."""
+        """Send the current record of a member with the next messages, as another member sent an outdated one."""
         if len(self._corrections) < _CORRECTIONS_MAX:
             self._corrections[ident] = None
 
     def take_corrections(self, limit: int) -> list[int]:
-        """Return up to `limit` members whose records to send; each once."""
-        taken = list(self._corrections)[:limit]
-        for ident in taken:
+        """Remove and return up to `limit` members whose records to send."""
+        idents = list(self._corrections)[:limit]
+        for ident in idents:
             del self._corrections[ident]
-        return taken
+        return idents
 
-    def replies(self, message: Message, own: MemberRecord, rng: random.Random) -> list[SyncReply]:
+    def replies(self, message: Message, local_record: MemberRecord, rng: random.Random) -> list[SyncReply]:
         """Return at most REPLY_DATAGRAMS_MAX replies to a message with digests or a request."""
         replies: list[SyncReply] = []
         if message.requested_prefix is not None:
-            records = list(self._table.with_prefix(message.requested_prefix, own))
+            records = list(self._table.with_prefix(message.requested_prefix, local_record))
             if len(records) <= REPLY_DATAGRAMS_MAX * self._record_capacity:
                 replies += self._record_replies(records)
         if message.digest_part is not None:
-            replies += self._compare(message.digest_part, own, rng)
+            replies += self._compare(message.digest_part, local_record, rng)
         return replies[:REPLY_DATAGRAMS_MAX]
 
-    def _compare(self, theirs: DigestPart, own: MemberRecord, rng: random.Random) -> list[SyncReply]:
-        depth, bits = theirs.prefix
-        ours = self._table.digest_part(theirs.prefix, own)
-        differing = [part for part, digest in enumerate(theirs.digests) if digest != ours.digests[part]]
+    def _compare(
+        self, remote_part: DigestPart, local_record: MemberRecord, rng: random.Random
+    ) -> list[SyncReply]:
+        depth, bits = remote_part.prefix
+        local_part = self._table.digest_part(remote_part.prefix, local_record)
+        differing = [
+            part for part, digest in enumerate(remote_part.digests) if digest != local_part.digests[part]
+        ]
         rng.shuffle(differing)
         replies: list[SyncReply] = []
         for part in differing[:_PARTS_PER_REPLY]:
             prefix = IdentPrefix(depth + 1, bits << 4 | part)
-            replies += self._part_replies(prefix, theirs.digests[part], own)
+            replies += self._part_replies(prefix, remote_part.digests[part], local_record)
         return replies
 
-    def _part_replies(self, prefix: IdentPrefix, their_digest: int, own: MemberRecord) -> list[SyncReply]:
-        records = list(self._table.with_prefix(prefix, own))
+    def _part_replies(
+        self, prefix: IdentPrefix, remote_digest: int, local_record: MemberRecord
+    ) -> list[SyncReply]:
+        records = list(self._table.with_prefix(prefix, local_record))
         if len(records) > _SPLIT_DATAGRAMS * self._record_capacity and prefix.depth < PREFIX_DEPTH_MAX - 1:
             return [SyncReply(digest_prefix=prefix)]
-        if their_digest == 0:  # they have no members there
+        if remote_digest == 0:  # the other member has no records in this part
             return self._record_replies(records)
-        if len(records) == 1 and digest_of(records[0]) == their_digest:
+        if len(records) == 1 and digest_of(records[0]) == remote_digest:
             return []
         return [SyncReply(requested_prefix=prefix), *self._record_replies(records)]
 
     def _record_replies(self, records: Sequence[MemberRecord]) -> list[SyncReply]:
-        step = max(self._record_capacity, 1)
-        return [SyncReply(records[start : start + step]) for start in range(0, len(records), step)]
+        batch_size = max(self._record_capacity, 1)
+        return [
+            SyncReply(records[start : start + batch_size]) for start in range(0, len(records), batch_size)
+        ]
--- a/topazbank/cluster/changes.py
+++ b/topazbank/cluster/changes.py
@@ -1,4 +1,4 @@
-"""Changes of members' states, for the log, the status and the view; no I/O."""
+"""State changes of members, for the log, the status and the view; no I/O."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from topazbank.cluster.member import MemberRecord, MemberState
 
-CHANGES_MAX = 1024  # not yet taken by the host; further ones are dropped
+CHANGES_MAX = 1024  # not yet taken by the service; further changes are dropped
 
 
 class ChangeReason(Enum):
@@ -24,18 +24,18 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """One change of one member's state."""
+    """A state change of one member."""
 
     at: int  # microseconds
     ident: int
-    old: MemberState | None  # None: it was unknown
-    new: MemberState | None  # None: it is forgotten
+    old: MemberState | None  # None: the member was unknown
+    new: MemberState | None  # None: the member is forgotten
     record: MemberRecord
     reason: ChangeReason
 
 
 class ChangeLog:
-    """Changes that the host has not taken yet, at most CHANGES_MAX."""
+    """Changes that the service has not taken yet, at most CHANGES_MAX."""
 
     __slots__ = ("_changes",)
 
@@ -50,11 +50,11 @@
         record: MemberRecord,
         reason: ChangeReason,
     ) -> None:
-        """Record a change of this record's member."""
+        """Append a state change of the record's member."""
         if len(self._changes) < CHANGES_MAX:
             self._changes.append(MemberChange(now, record.ident, old, new, record, reason))
 
     def take(self) -> list[MemberChange]:
-        """Return the changes since the last call."""
+        """Remove and return the changes since the last call."""
         changes, self._changes = self._changes, []
         return changes
--- a/topazbank/cluster/dissemination.py
+++ b/topazbank/cluster/dissemination.py
@@ -1,4 +1,4 @@
-"""Which membership updates are gossiped, and what each says at the moment of sending; no I/O."""
+"""Selects membership updates to gossip and builds their records when they are sent; no I/O."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Dissemination:
-    """Queues updates on the local and the other members."""
+    """Queues updates about the local member and the others."""
 
     __slots__ = ("_last_heard", "_local", "_queue", "_settings", "_suspicions", "_table")
 
@@ -38,31 +38,31 @@
 
     @property
     def has_updates(self) -> bool:
-        """Whether updates are still to be sent."""
+        """Whether updates are queued."""
         return len(self._queue) > 0
 
     def announce(self, ident: int, urgent: bool = True) -> None:
-        """Gossip a member's record."""
-        self._put(GossipKey(ident, False), urgent)
+        """Queue a member's record for gossip."""
+        self._enqueue(GossipKey(ident, False), urgent)
 
     def announce_last_heard(self, ident: int) -> None:
-        """Gossip when a suspect was last heard."""
-        self._put(GossipKey(ident, True), urgent=True)
+        """Queue the time a suspect was last heard for gossip."""
+        self._enqueue(GossipKey(ident, True), urgent=True)
 
-    def _put(self, key: GossipKey, urgent: bool) -> None:
+    def _enqueue(self, key: GossipKey, urgent: bool) -> None:
         self._queue.put(key, self._settings.retransmissions(self._table.cluster_size), urgent)
 
     def take(self, now: int, limit: int) -> list[MemberRecord]:
         """Return up to `limit` updates to send now."""
-        return self._queue.take(limit, lambda key: self._current(now, key))
+        return self._queue.take(limit, lambda key: self._record_to_send(now, key))
 
     def current_record(self, ident: int) -> MemberRecord | None:
-        """Return a member's record, the local one's included; None where the member is unknown."""
+        """Return the record of a member, which may be the local one; None if the member is unknown."""
         if ident == self._local.ident:
             return self._local.record
         return self._table.records.get(ident)
 
-    def _current(self, now: int, key: GossipKey) -> MemberRecord | None:
+    def _record_to_send(self, now: int, key: GossipKey) -> MemberRecord | None:
         record = self.current_record(key.ident)
         if record is None or not key.is_last_heard or key.ident == self._local.ident:
             return record
--- a/topazbank/cluster/gossip_queue.py
+++ b/topazbank/cluster/gossip_queue.py
@@ -1,4 +1,4 @@
-"""The queue of membership updates to send: each a bounded number of times, the least sent first; no I/O."""
+"""The queue of membership updates to gossip: each is sent a bounded number of times, least sent first; no I/O."""
 
 from __future__ import annotations
 
@@ -10,27 +10,28 @@
 
 
 class GossipKey(NamedTuple):
-    """What an update is about."""
+    """Identifies an update by its member and kind."""
 
     ident: int
-    is_last_heard: bool  # the update says when the member was last heard, in place of its state
+    is_last_heard: bool  # the update carries the time the member was last heard, not its state
 
 
 class GossipQueue:
-    """Updates that ride on the protocol's messages; one entry for each key.
+    """Updates to piggyback on protocol messages, one entry per key.
 
-    Two queues: urgent updates (suspicions, refutations, deaths, last-heard evidence), on which a wrong verdict depends,
-    are sent before the others.  A sent entry goes to the end of its queue, so the next one is the least sent.
+    Urgent updates (suspicions, refutations, deaths, last-heard evidence) have a queue of their own and are sent first,
+    as a delay of these can cause a wrong verdict.  A sent entry moves to the end of its queue, so the first entry is
+    the least sent.
     """
 
     __slots__ = ("_normal", "_urgent")
 
     def __init__(self) -> None:
-        self._urgent: OrderedDict[GossipKey, int] = OrderedDict()  # transmissions left
+        self._urgent: OrderedDict[GossipKey, int] = OrderedDict()  # remaining transmissions
         self._normal: OrderedDict[GossipKey, int] = OrderedDict()
 
     def put(self, key: GossipKey, transmissions: int, urgent: bool) -> None:
-        """Queue an update in place of an older one with this key."""
+        """Queue an update; it replaces the previous one with this key."""
         if urgent:
             self._normal.pop(key, None)
         queue = self._urgent if urgent or key in self._urgent else self._normal
@@ -39,24 +40,26 @@
         if urgent or is_new:
             queue.move_to_end(key, last=False)
 
-    def take(self, limit: int, current: Callable[[GossipKey], MemberRecord | None]) -> list[MemberRecord]:
-        """Return up to `limit` records to send now.
+    def take(
+        self, limit: int, current_record: Callable[[GossipKey], MemberRecord | None]
+    ) -> list[MemberRecord]:
+        """Return up to `limit` records to send now, and count the transmission.
 
-        `current` returns a key's record as it stands now, or None where the update is obsolete.
+        `current_record` returns the current record of a key, or None if the update is obsolete.
         """
-        taken: list[MemberRecord] = []
+        records: list[MemberRecord] = []
         for queue in (self._urgent, self._normal):
-            for _ in range(len(queue)):  # each entry once, though sent ones return to the end
-                if len(taken) >= limit:
-                    return taken
+            for _ in range(len(queue)):  # sent entries return to the end; visit each only once
+                if len(records) >= limit:
+                    return records
                 key, transmissions = queue.popitem(last=False)
-                record = current(key)
+                record = current_record(key)
                 if record is None:
                     continue
-                taken.append(record)
+                records.append(record)
                 if transmissions > 1:
                     queue[key] = transmissions - 1
-        return taken
+        return records
 
     def __len__(self) -> int:
         """Return the number of queued updates."""
--- a/topazbank/cluster/handover.py
+++ b/topazbank/cluster/handover.py
@@ -1,4 +1,4 @@
-"""The state that a process hands over to its successor in an upgrade; no I/O."""
+"""The membership state that a process hands over to its successor during an upgrade; no I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverState:
-    """What a process knew, and as whom; its successor continues the same generation."""
+    """A process's identity and member table; its successor continues the same generation."""
 
     generation: int
     incarnation: int
@@ -20,7 +20,7 @@
 
 
 def handover_to_json(state: HandoverState) -> dict[str, Any]:
-    """Return the state in the form that hand-over files carry."""
+    """Return the state as hand-over JSON."""
     return {
         "life": state.generation,
         "incarnation": state.incarnation,
@@ -41,7 +41,7 @@
 
 
 def handover_from_json(data: Mapping[str, Any]) -> HandoverState | None:
-    """Read a predecessor's state; return None where it is missing or malformed."""
+    """Decode a predecessor's state; return None if it is missing or malformed."""
     try:
         records = tuple(_record_from_json(*fields) for fields in data["records"])
         return HandoverState(int(data["life"]), int(data["incarnation"]), int(data["count"]), records)
--- a/topazbank/cluster/joining.py
+++ b/topazbank/cluster/joining.py
@@ -1,4 +1,4 @@
-"""Contacts seeds and dead members, so that a member that starts late joins and a split heals; no I/O."""
+"""Contacts seeds and dead members, so that late starters join and a network partition heals; no I/O."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 
 
 class Seeds:
-    """Addresses at which other members may be, in random order."""
+    """Configured addresses of possible members, in random order."""
 
     __slots__ = ("_seeds", "_unanswered")
 
     def __init__(self, seeds: Sequence[Address], rng: random.Random) -> None:
         self._seeds = list(seeds)
         rng.shuffle(self._seeds)
-        self._unanswered = dict.fromkeys(self._seeds)  # the next one to contact first
+        self._unanswered = dict.fromkeys(self._seeds)  # the first one is contacted next
 
     def __len__(self) -> int:
         """Return the number of seeds."""
         return len(self._seeds)
 
     def first(self, count: int) -> list[Address]:
-        """Return the seeds to contact at the start."""
+        """Return the first `count` seeds, which are contacted at the start."""
         return self._seeds[:count]
 
     def next_unanswered(self) -> Address | None:
-        """Return a seed that has never answered, by turns; None where all have."""
+        """Return the next seed that has never answered, in rotation; None if all have."""
         seed = next(iter(self._unanswered), None)
         if seed is not None:
             del self._unanswered[seed]
@@ -40,12 +40,12 @@
         return seed
 
     def note_answer(self, address: Address) -> None:
-        """A member has answered from this address."""
+        """Record that a member has answered from this address."""
         self._unanswered.pop(address, None)
 
 
 class Joining:
-    """Pings those that are no live members yet, or no more."""
+    """Pings addresses that may belong to members not yet or no longer live."""
 
     __slots__ = ("_addresses", "_prober", "_random", "_seeds", "_table")
 
@@ -59,16 +59,16 @@
         self._random = rng
 
     def contact_seeds(self, now: int) -> None:
-        """Ping a few seeds, at the start."""
+        """Ping a few seeds at the start."""
         for seed in self._seeds.first(INDIRECT_PROBES):
             self._prober.ping(now, seed)
 
     def reconnect(self, now: int) -> None:
         """Ping one dead member, and one seed that has never answered."""
         records = self._table.records
-        dead = [ident for ident in self._table.tombstones if records[ident].state is MemberState.DEAD]
-        if dead:
-            ident = self._random.choice(dead)
+        dead_idents = [ident for ident in self._table.tombstones if records[ident].state is MemberState.DEAD]
+        if dead_idents:
+            ident = self._random.choice(dead_idents)
             address = self._addresses.of(ident)
             if address is not None:
                 self._prober.ping(now, address, ident)
--- a/topazbank/cluster/outbox.py
+++ b/topazbank/cluster/outbox.py
@@ -1,4 +1,4 @@
-"""Builds the messages to send, each with as many membership updates as fit; no I/O."""
+"""Builds outgoing messages and fills their free space with membership updates; no I/O."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Outbox:
-    """Messages that wait to be sent."""
+    """The queue of messages to send."""
 
     __slots__ = ("_anti_entropy", "_dissemination", "_local", "_messages", "_settings", "_table")
 
@@ -49,7 +49,7 @@
         return self._table.digest ^ (0 if self._local.left else digest_of(self._local.record))
 
     def take(self) -> list[OutgoingMessage]:
-        """Return the messages to send, in their order."""
+        """Remove and return the queued messages, in order."""
         messages, self._messages = self._messages, []
         return messages
 
@@ -68,43 +68,43 @@
     ) -> None:
         """Queue a message.
 
-        `records` come first, then what is reported of `target` and `subject`, so that a suspect learns of it; then
-        corrections, then gossip.
+        Records are added in this order: `records`; those of `target` and `subject` unless alive, so that a suspect
+        learns of the suspicion; corrections; gossip.
         """
-        required = list(records)
-        if self._local.left and not required:
+        included = list(records)
+        if self._local.left and not included:
             return
         capacity = record_capacity(
             self._settings.datagram_bytes,
             with_digest_part=digest_prefix is not None,
             with_request=requested_prefix is not None,
         )
-        self._fill(now, required, (target, subject), capacity)
-        own = self._local.record
+        self._fill(now, included, (target, subject), capacity)
+        local_record = self._local.record
         message = Message(
             kind,
-            own.ident,
-            own.generation,
-            own.incarnation,
+            local_record.ident,
+            local_record.generation,
+            local_record.incarnation,
             self._local.next_sequence(),
             probe_id,
             target,
             self.digest,
             self._table.cluster_size,
-            tuple(required[:capacity]),
-            None if digest_prefix is None else self._table.digest_part(digest_prefix, own),
+            tuple(included[:capacity]),
+            None if digest_prefix is None else self._table.digest_part(digest_prefix, local_record),
             requested_prefix,
         )
         self._messages.append(OutgoingMessage(to, message))
 
-    def _fill(self, now: int, records: list[MemberRecord], concerned: Iterable[int], capacity: int) -> None:
-        """Add to the records what the message has room for."""
-        self._add_reports(records, concerned)
+    def _fill(self, now: int, records: list[MemberRecord], subjects: Iterable[int], capacity: int) -> None:
+        """Add records up to the capacity of the message."""
+        self._add_reports(records, subjects)
         self._add_corrections(records, capacity)
         self._add_gossip(now, records, capacity)
 
     def _add_reports(self, records: list[MemberRecord], idents: Iterable[int]) -> None:
-        """Add the records of these members that are not alive: each may refute its own."""
+        """Add the records of those members that are not alive, so that a receiver can refute its local_record."""
         for ident in idents:
             record = self._table.records.get(ident)
             if record is not None and record.state is not MemberState.ALIVE and record not in records:
--- a/topazbank/cluster/replay_guard.py
+++ b/topazbank/cluster/replay_guard.py
@@ -1,7 +1,7 @@
-"""Recognises messages that are older than what their sender has already sent; no I/O.
+"""Detects replayed and reordered messages; no I/O.
 
-The failure: a delayed or repeated datagram of a process that has ended, or of an older state, counts as a sign of life.
-The guard: each sender numbers its messages within its generation, and only a higher number counts.
+Without it, a delayed or duplicated datagram from an ended process or with an outdated state would count as evidence
+that its sender is alive.  Each sender numbers its messages within its generation; only higher numbers are accepted.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
         self._latest: dict[int, tuple[int, int]] = {}
 
     def is_replay(self, message: Message) -> bool:
-        """Whether the sender's latest message is as new as this one, or newer."""
+        """Whether a message at least as new was already accepted from this sender."""
         return (message.generation, message.sequence) <= self._latest.get(message.sender, (0, -1))
 
     def accept(self, message: Message) -> None:
-        """Take this message as its sender's latest."""
+        """Record this message as the latest of its sender."""
         self._latest[message.sender] = (message.generation, message.sequence)
 
     def forget(self, ident: int) -> None:
-        """Drop what is known of a member."""
+        """Remove the entry of a member."""
         self._latest.pop(ident, None)
--- a/topazbank/cluster/service.py
+++ b/topazbank/cluster/service.py
@@ -1,4 +1,4 @@
-"""Membership on sockets: connects the failure detector to datagrams, timers and the rest of the program."""
+"""Runs cluster membership: connects the failure detector to datagrams, timers and the rest of the program."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
 
 log = logging.getLogger(__name__)
 
-DATAGRAMS_PER_SECOND_MAX = 500  # more are dropped unread
+DATAGRAMS_PER_SECOND_MAX = 500  # the excess is dropped without being decoded
 LOG_LINES_PER_SECOND_MAX = 10
-_CHANGES_KEPT = 512  # the latest, for the status
+_STATUS_CHANGES_MAX = 512  # the status lists the latest changes
 _TIMER_MIN_US = 1000
 
 
 class ClusterService:
-    """One process's part in the cluster."""
+    """The cluster membership of one sidecar process."""
 
     def __init__(
         self,
@@ -55,9 +55,11 @@
         clock: Callable[[], int] = lambda: time.monotonic_ns() // 1000,
         wall_clock: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
     ) -> None:
-        """`predecessor`: the state that a process of this member handed over, or nothing; `clock`: microseconds.
+        """Create the service; `start` begins to send.
 
-        `wall_clock`: Unix milliseconds; it may be set back between two processes.
+        `predecessor`: the state handed over by an earlier process of this member; empty without a hand-over.
+        `clock`: monotonic microseconds.
+        `wall_clock`: Unix milliseconds; it may be set back between two processes of this member.
         """
         assert config.gossip is not None
         self._clock = clock
@@ -80,7 +82,7 @@
         self.view = View(self.detector)
         self._known_addresses = self.detector.addresses.all()
         self._addresses_outdated = False
-        self.dropped: Counter[str] = Counter()  # datagrams, by one of three reasons
+        self.dropped: Counter[str] = Counter()  # datagrams by reason: flood, stranger or unreadable
         self._changes: list[dict[str, Any]] = []
         self._send: Callable[[Address, bytes], None] | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -88,7 +90,7 @@
         self._log_limit = RateLimit(LOG_LINES_PER_SECOND_MAX)
         self._sent = 0
         self._is_suspended = False
-        self.quota: QuotaService | None = None  # its messages arrive at the same address
+        self.quota: QuotaService | None = None  # its messages arrive on the same socket
 
     @property
     def name(self) -> str:
@@ -98,77 +100,77 @@
     # -- Life cycle ------------------------------------------------------------------------------------
 
     def start(self, send: Callable[[Address, bytes], None]) -> None:
-        """Take part from now on."""
+        """Begin to send and receive; `send` transmits one datagram."""
         self._send = send
         self._tick()
         if self.quota is not None:
             self.quota.start(send)
 
     def stop(self) -> None:
-        """End without a message."""
+        """Stop without notifying the other members."""
         self._cancel_timer()
         if self.quota is not None:
             self.quota.stop()
         self._send = None
 
     def leave(self) -> None:
-        """Tell the others that this sidecar ends, unless a successor is this member now."""
+        """Announce that this sidecar leaves the cluster, unless a successor process has taken over this member."""
         if self.quota is not None:
             self.quota.leave()
         if not self._is_suspended:
             self._send_all(self.detector.leave(self._clock()))
 
     def suspend(self) -> None:
-        """Take no part while a successor is this member."""
+        """Stop participating while a successor process acts as this member."""
         self._is_suspended = True
         if self.quota is not None:
             self.quota.suspend()
         self._cancel_timer()
 
     def resume(self) -> None:
-        """Take part again, after the successor has ended."""
+        """Participate again after the successor process has ended."""
         if not self._is_suspended or self._send is None:
             return
         self._is_suspended = False
-        log.info("cluster: resumed, the successor process has ended")
+        log.info("cluster: resumed after the successor process ended")
         self.detector.resume(self._clock())
         self._tick()
         if self.quota is not None:
             self.quota.resume()
 
-    # -- Datagrams and time ----------------------------------------------------------------------------
+    # -- Datagrams and timers --------------------------------------------------------------------------
 
     def handle_datagram(self, data: bytes, source: Address) -> None:
-        """Take a datagram; one that is no valid message of a member is counted and dropped."""
+        """Process a datagram; count and drop it unless it is a valid message from a member."""
         if self._is_suspended:
             return
         if self.quota is not None and is_quota_message(data):
-            if self._may_send(source):
+            if self._is_accepted_source(source):
                 self.quota.handle_datagram(data, source)
             return
         if not self._datagram_limit.allows(self._clock()):
             self.dropped["flood"] += 1
             return
-        if not self._may_send(source):
+        if not self._is_accepted_source(source):
             self.dropped["stranger"] += 1
             return
-        message = self._read(data)
+        message = self._decode(data)
         if message is None:
             self.dropped["unreadable"] += 1
             return
         self._finish_step(self.detector.handle(self._clock(), message, source))
 
-    def _may_send(self, source: Address) -> bool:
-        """Whether a member may send from this address; with a key the checksum decides that."""
-        return bool(self._key) or self._is_known(source)
+    def _is_accepted_source(self, source: Address) -> bool:
+        """Whether to accept messages from this address; with a key the checksum authenticates them instead."""
+        return bool(self._key) or self._is_known_address(source)
 
-    def _is_known(self, source: Address) -> bool:
+    def _is_known_address(self, source: Address) -> bool:
         if source not in self._known_addresses and self._addresses_outdated:
             self._known_addresses = self.detector.addresses.all()
             self._addresses_outdated = False
         return source in self._known_addresses
 
-    def _read(self, data: bytes) -> Message | None:
+    def _decode(self, data: bytes) -> Message | None:
         if len(data) > self.detector.settings.datagram_bytes:
             return None
         try:
@@ -180,7 +182,7 @@
         self._finish_step(self.detector.tick(self._clock()))
 
     def _finish_step(self, messages: list[OutgoingMessage]) -> None:
-        """Send the messages, publish what has changed, and set the next timer."""
+        """Send the messages, publish state changes, and set the next timer."""
         self._send_all(messages)
         now = self._clock()
         for change in self.detector.changes.take():
@@ -202,55 +204,57 @@
             self._sent += 1
             self._send(outgoing.to, encode(outgoing.message, self._key))
 
-    # -- Verdicts --------------------------------------------------------------------------------------
+    # -- Publishing state changes ----------------------------------------------------------------------
 
     def _publish_view(self, now: int) -> None:
         was_isolated = self.view.is_isolated
         if self.view.refresh(now):
             self._fleet_size.upper_bound = max(self.view.max_cluster_size(now, self._configured_size), 1)
         if was_isolated is not self.view.is_isolated:
-            reach = "isolated" if self.view.is_isolated else "connected"
+            connectivity = "isolated" if self.view.is_isolated else "connected"
             recent_size = self.detector.quorum.recent_size(now)
-            self._log(f"cluster: {reach}, {self.view.present_count()} of {recent_size} members present")
+            self._log(
+                f"cluster: {connectivity}, {self.view.present_count()} of {recent_size} recent members present"
+            )
 
     def _publish_change(self, change: MemberChange) -> None:
         self._addresses_outdated = True
         name = self._names.name(change.ident)
         self._changes.append(change_status(change, name))
-        del self._changes[:-_CHANGES_KEPT]
-        old = "unknown" if change.old is None else change.old.name.lower()
-        new = "forgotten" if change.new is None else change.new.name.lower()
-        self._log(f"cluster: member {name} changed from {old} to {new}: {change.reason.value}")
+        del self._changes[:-_STATUS_CHANGES_MAX]
+        old_state = "unknown" if change.old is None else change.old.name.lower()
+        new_state = "forgotten" if change.new is None else change.new.name.lower()
+        self._log(f"cluster: member {name} changed from {old_state} to {new_state}: {change.reason.value}")
         number = self._names.number(change.ident)
         if number is not None and change.new in (MemberState.DEAD, MemberState.LEFT):
             self._fleet_size.notify_departed(number)
 
-    def _log(self, line: str) -> None:
+    def _log(self, message: str) -> None:
         if self._log_limit.allows(self._clock()):
-            log.info("%s", line)
+            log.info("%s", message)
 
-    # -- What others read ------------------------------------------------------------------------------
+    # -- Queries ---------------------------------------------------------------------------------------
 
     def handover_state(self) -> dict[str, Any]:
-        """Return what a successor of this process is handed."""
+        """Return the state to hand over to a successor process."""
         return handover_to_json(self.detector.handover_state())
 
     def address_of(self, name: str) -> Address | None:
-        """Return where the member of this name is reached; None where that is unknown."""
+        """Return the address of the member with this name; None if it is unknown."""
         return self.detector.addresses.of(ident_of(name))
 
     def fleet_quota(self, offset_us: int) -> FleetQuota | None:
-        """Return the quotas that requests are charged to; `offset_us`: of the caller's clock beyond this one's."""
+        """Return the quotas that requests are charged to; `offset_us`: the caller's clock minus this service's."""
         return self.quota.fleet_quota(offset_us) if self.quota is not None else None
 
     def generations(self) -> Generations:
-        """Return, for the planners, the local generation and those that are known to have ended."""
+        """Return the local generation and those known to have ended; the planners read them."""
         local = self.detector.local
         ended = self.view.ended_generations(self._clock(), ENDED_GENERATIONS_MAX)
         return Generations(ProcessGeneration(local.ident, local.generation), ended)
 
     def status(self) -> dict[str, Any]:
-        """Return the status for operators; its keys are stable."""
+        """Return the status for operators; its keys are a stable interface."""
         now = self._clock()
         detector, names = self.detector, self._names
         return {
--- a/topazbank/cluster/status.py
+++ b/topazbank/cluster/status.py
@@ -1,6 +1,6 @@
-"""The cluster's status as the admin endpoint gives it: names in this JSON are stable, whatever the code's own are.
+"""The cluster status that the admin endpoint returns; no I/O.
 
-No I/O.
+The keys and labels in this JSON are a stable interface and may differ from the names in the code.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 
 
 def state_of_label(label: str) -> MemberState:
-    """Return the state that a status names, in either case; raise KeyError where there is none."""
+    """Return the state with this status label, ignoring case; raise KeyError if the label is unknown."""
     return _STATES[label.lower()]
 
 
 def member_status(member: MemberView, name: str, reporter_name: Callable[[int], str]) -> dict[str, Any]:
-    """Return one member's entry; `reporter_name`: of a short ident."""
+    """Return the status entry of a member; `reporter_name` maps a short ident to a name."""
     record = member.record
     return {
         "name": name,
@@ -38,18 +38,18 @@
         "life": record.generation,
         "incarnation": record.incarnation,
         "address": "{}:{}".format(*record.address) if record.address else "",
-        "age_s": _seconds(member.unheard_us),
+        "age_s": _seconds(member.last_heard_age_us),
         "suspected_s": _seconds(member.suspected_us),
         "by": [reporter_name(reporter) for reporter in member.reporters],
     }
 
 
-def _seconds(span_us: int | None) -> float | None:
-    return None if span_us is None else round(span_us / 1e6, 3)
+def _seconds(duration_us: int | None) -> float | None:
+    return None if duration_us is None else round(duration_us / 1e6, 3)
 
 
 def change_status(change: MemberChange, name: str) -> dict[str, Any]:
-    """Return one change's entry."""
+    """Return the status entry of a change."""
     return {
         "at": change.at,
         "member": name,
--- a/topazbank/cluster/view.py
+++ b/topazbank/cluster/view.py
@@ -1,8 +1,8 @@
-"""What the rest of the program reads of the cluster: which members are present, and which can't be judged; no I/O.
+"""The view of the cluster that the rest of the program reads: present, absent and unknown members; no I/O.
 
-The promise.  A member is called absent only where it has left by its own message, or where it was declared dead and
-this process reaches a majority of the cluster.  Otherwise the answer is unknown, and callers take the safe side.
-`max_cluster_size` is the safe side of the cluster's size.
+Guarantee: a member is reported absent only if it announced that it left, or if it was declared dead while this process
+reaches a majority of the cluster.  Otherwise its presence is unknown, and callers use the conservative assumption.
+`max_cluster_size` is the conservative cluster size.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from topazbank.cluster.member import MemberRecord, MemberState, ProcessGeneration
 from topazbank.cluster.quorum import RECENT_US
 
-_SETTLE_PERIODS = 3  # without isolation, before the isolation counts as over
+_SETTLE_PERIODS = 3  # probe periods without a sign of isolation before isolation ends
 
 
 class Presence(Enum):
@@ -34,13 +34,13 @@
     ident: int
     presence: Presence
     record: MemberRecord
-    unheard_us: int | None  # since it was last heard by anyone; None: never
-    suspected_us: int | None  # since when it is suspect
+    last_heard_age_us: int | None  # time since any member last heard it; None: never
+    suspected_us: int | None  # time since it became suspect; None: not suspect
     reporters: tuple[int, ...] = ()  # short idents of the members that suspect it
 
 
 class _Snapshot(NamedTuple):
-    """What a change of the view is recognised by."""
+    """Inputs of the view; the view has changed if any of them differs."""
 
     digest: int
     tombstones: int
@@ -49,7 +49,7 @@
 
 
 class View:
-    """The failure detector's verdicts, with the doubts that apply."""
+    """Presence of members according to the failure detector, and how far this process can rely on it."""
 
     __slots__ = ("_detector", "_isolated_at", "_snapshot", "_version", "is_isolated")
 
@@ -58,10 +58,10 @@
         self._version = 0
         self._snapshot: _Snapshot | None = None
         self._isolated_at = 0
-        self.is_isolated = True  # nothing was received yet
+        self.is_isolated = True  # initially, before any message is received
 
     def refresh(self, now: int) -> bool:
-        """Read the detector's state; return whether any answer has changed."""
+        """Update the view from the detector's state; return whether it has changed."""
         detector = self._detector
         is_isolated = self._is_isolated_now(now)
         if is_isolated:
@@ -88,13 +88,13 @@
             return True
         expected = self._expected_size(now)
         if expected == 1:
-            return False  # a cluster of one, as far as the configuration says
+            return False  # no other member is known or configured
         if detector.table.live_count == 0 and detector.local.is_joining(now):
             return True
         return 2 * self.present_count() <= expected
 
     def _expected_size(self, now: int) -> int:
-        """Return the recent cluster's size, and after a start at least that of the configured one."""
+        """Return the recent cluster size; shortly after the start, at least the configured size."""
         expected = self._detector.quorum.recent_size(now)
         if now - self._detector.local.started_at < RECENT_US:
             expected = max(expected, len(self._detector.seeds) + 1)
@@ -102,7 +102,7 @@
 
     @property
     def version(self) -> int:
-        """A number that grows with each change of an answer."""
+        """The version of the view, incremented with each change."""
         return self._version
 
     def present_count(self) -> int:
@@ -110,11 +110,11 @@
         return self._detector.table.cluster_size - len(self._detector.suspicions)
 
     def present_ratio(self, now: int) -> float:
-        """Return the ratio of present members to those that are expected."""
+        """Return the ratio of present members to expected members."""
         return self.present_count() / max(self._expected_size(now), 1)
 
     def presence(self, now: int, ident: int) -> Presence:
-        """Return whether a member is running."""
+        """Return whether a member is running, as far as this process can know."""
         detector = self._detector
         if ident == detector.local.ident:
             is_superseded = detector.local.superseded_by is not None
@@ -123,7 +123,7 @@
         if record is None:
             return Presence.UNKNOWN
         if record.state is MemberState.LEFT:
-            return Presence.ABSENT  # by its own message, which isolation does not put in doubt
+            return Presence.ABSENT  # it announced this itself, so isolation doesn't matter
         if self.is_isolated:
             return Presence.UNKNOWN
         if record.state is MemberState.DEAD:
@@ -134,16 +134,16 @@
         return Presence.PRESENT
 
     def max_cluster_size(self, now: int, configured_size: int) -> int:
-        """Return the most members that may be running, by which shared resources are divided.
+        """Return an upper bound on the running members; shared resources are divided by it.
 
-        While this process is isolated: the larger of the configured and the recent size.
+        While this process is isolated, this is the larger of the configured and the expected size.
         """
         if self.is_isolated:
             return max(self._expected_size(now), configured_size)
         return self._detector.table.cluster_size
 
     def ended_generations(self, now: int, limit: int) -> tuple[ProcessGeneration, ...]:
-        """Return the generations of absent members, the latest first."""
+        """Return up to `limit` generations of absent members, the latest first."""
         table = self._detector.table
         ended: list[ProcessGeneration] = []
         for ident in reversed(table.tombstones):
