--- a/tests/cluster/test_datagrams.py
+++ b/tests/cluster/test_datagrams.py
@@ -1,4 +1,4 @@
-"""The datagrams of membership: one that is intact is read completely, and any other is rejected as a whole."""
+"""Membership datagrams: intact ones are decoded completely, all others are rejected as a whole."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from topazbank.core.checksum import CHECKSUM_BYTES, with_checksum
 from topazbank.estimation.load_gossip import MESSAGE_VERSION as LOAD_GOSSIP_VERSION
 
-HEAD_BYTES, SECTION_HEAD_BYTES, STATE_OFFSET = 40, 3, 14
+HEADER_BYTES, SECTION_HEADER_BYTES, STATE_OFFSET = 40, 3, 14
 idents = st.integers(0, 2**48 - 1)
 addresses = st.none() | st.tuples(st.just("127.0.0.1"), st.integers(1, 65535))
 records = st.builds(
@@ -60,7 +60,7 @@
 
 
 @given(messages, st.binary(max_size=64))
-def test_a_message_is_read_as_it_was_written(message: Message, key: bytes) -> None:
+def test_a_decoded_message_equals_the_encoded_one(message: Message, key: bytes) -> None:
     assert decode(encode(message, key), key) == message
 
 
@@ -90,11 +90,11 @@
     ],
     ids=["ping", "all sections"],
 )
-def test_the_bytes_on_the_wire_stay_as_they_are(message: Message, hexadecimal: str) -> None:
+def test_the_wire_format_is_unchanged(message: Message, hexadecimal: str) -> None:
     assert encode(message).hex() == hexadecimal
 
 
-def test_a_full_message_fits_the_platforms_datagram() -> None:
+def test_a_full_message_fits_into_the_datagram_limit() -> None:
     record = MemberRecord(1, 2, 3, MemberState.SUSPECT, ("127.0.0.1", 9), 4)
     part = DigestPart(IdentPrefix(3, 7), tuple(range(16)))
     for size in (DATAGRAM_BYTES_MIN, 256, 1200):
@@ -119,7 +119,7 @@
 
 
 @given(messages, st.data())
-def test_a_truncated_or_changed_message_and_one_of_another_key_are_rejected(
+def test_truncated_and_corrupted_messages_and_those_of_another_key_are_rejected(
     message: Message, data: st.DataObject
 ) -> None:
     intact = encode(message, b"key")
@@ -134,20 +134,20 @@
 
 
 @given(st.binary(max_size=300))
-def test_noise_is_rejected(noise: bytes) -> None:
+def test_random_bytes_are_rejected(random_bytes: bytes) -> None:
     with pytest.raises(InvalidMessage):
-        decode(bytes([MAGIC]) + noise)
+        decode(bytes([MAGIC]) + random_bytes)
 
 
-def test_a_later_versions_sections_record_lengths_states_and_kinds_are_skipped() -> None:
+def test_unknown_sections_record_fields_states_and_kinds_of_a_later_version_are_tolerated() -> None:
     record = MemberRecord(5, 6, 7, MemberState.ALIVE, ("127.0.0.1", 9), 0)
     body = encode(Message(MessageKind.PING, 1, 2, 3, 4, records=(record,)))[:-CHECKSUM_BYTES]
     unknown_section = body + struct.pack("!BH", 99, 3) + b"abc"
     assert decode(with_checksum(unknown_section)).records == (record,)
-    records_at = HEAD_BYTES + SECTION_HEAD_BYTES + 1
-    head, packed = body[:HEAD_BYTES], body[records_at:]
-    section_head = struct.pack("!BH", 1, 1 + len(packed) + 2) + bytes([len(packed) + 2])
-    longer_record = head + section_head + packed + b"xy"
+    records_at = HEADER_BYTES + SECTION_HEADER_BYTES + 1
+    header, packed = body[:HEADER_BYTES], body[records_at:]
+    section_header = struct.pack("!BH", 1, 1 + len(packed) + 2) + bytes([len(packed) + 2])
+    longer_record = header + section_header + packed + b"xy"
     assert decode(with_checksum(longer_record)).records == (record,)
     unknown_state = bytearray(body)
     unknown_state[records_at + STATE_OFFSET] = 77
--- a/tests/cluster/test_handover_and_status.py
+++ b/tests/cluster/test_handover_and_status.py
@@ -1,4 +1,4 @@
-"""Data that outlives a process or is read by other programs: hand-over state and the status keep their first names."""
+"""Compatibility of hand-over state and status: their keys and labels stay stable for other processes and tools."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 }
 
 
-def test_a_successor_reads_what_a_process_of_an_older_version_handed_over() -> None:
+def test_a_successor_decodes_hand_over_state_of_an_older_version() -> None:
     state = handover_from_json(HANDED_OVER)
     other = MemberRecord(6, 7, 0, MemberState.DEAD)
     assert state == HandoverState(1_800_000_000_001, 3, 40, (RECORD, other))
@@ -43,11 +43,11 @@
         HANDED_OVER | {"records": 7},
     ],
 )
-def test_a_malformed_hand_over_is_ignored_as_a_whole(data: dict[str, Any]) -> None:
+def test_malformed_hand_over_state_is_ignored_as_a_whole(data: dict[str, Any]) -> None:
     assert handover_from_json(data) is None
 
 
-def test_the_status_names_states_and_answers_as_it_always_did() -> None:
+def test_status_keys_and_labels_are_stable() -> None:
     view = MemberView(5, Presence.UNKNOWN, RECORD, 1_500_000, 250_000, (77,))
     assert member_status(view, "b", lambda reporter: f"{reporter:04x}") == {
         "name": "b",
--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -1,4 +1,4 @@
-"""Five processes of the program with faults between them: each hard case in short form, on one harness a group."""
+"""Failure scenarios on five real processes, in shortened form; one harness runs each group of scenarios."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from testbed.cluster.scenarios import SCENARIOS
 
 SIDECARS, PACE = 5, 0.5
-# Each group has a harness of its own; its scenarios follow one another among the same processes.
+# Each group has its own harness; its scenarios run one after another on the same processes.
 GROUPS = {
     "deaths": ("killed", "most_killed", "restarts", "leaves_and_joins"),
     "pauses": ("pauses", "long_stop", "stopped_together", "stopped_each_second"),
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("group", GROUPS)
-def test_processes_keep_the_promise_and_the_four_rules(group: str) -> None:
+def test_scenarios_on_processes_violate_no_invariant(group: str) -> None:
     asyncio.run(run_group(GROUPS[group]))
 
 
@@ -40,6 +40,6 @@
         await harness.stop()
 
 
-def test_every_scenario_but_the_busy_machine_is_run_by_processes() -> None:
-    """That one keeps all cores busy, and with them the tests beside it: `python -m testbed.cluster busy` runs it."""
+def test_the_groups_cover_every_scenario_except_busy() -> None:
+    """`busy` keeps all cores busy and would disturb parallel tests; `python -m testbed.cluster busy` runs it."""
     assert {name for group in GROUPS.values() for name in group} == set(SCENARIOS) - {"busy"}
