--- a/tests/cluster/test_planted.py
+++ b/tests/cluster/test_planted.py
@@ -1,4 +1,4 @@
-"""Faults planted in the failure detector: the scenarios and their judge find each, and find nothing without it."""
+"""Fault injection into the failure detector: the scenarios report each fault, and report nothing without it."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 from topazbank.cluster.refutation import Refutation
 from topazbank.cluster.settings import ProtocolSettings
 
-Plant = Callable[[pytest.MonkeyPatch], None]
+InjectFault = Callable[[pytest.MonkeyPatch], None]
 
 
 def ignore_refutations(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A member that is suspect or dead to others never takes that back."""
+    """A member that others consider suspect or dead never refutes it."""
     monkeypatch.setattr(Refutation, "refute", lambda self, now: None)
 
 
-def forget_tombstones_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A member forgets the dead in its next period."""
+def expire_tombstones_immediately(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A member removes dead members in its next period."""
 
     def expire_tombstones(self: Membership, now: int) -> None:
         for ident in list(self._table.tombstones):
@@ -38,18 +38,18 @@
     monkeypatch.setattr(Membership, "expire_tombstones", expire_tombstones)
 
 
-def need_no_majority(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Suspicions expire whatever part of the cluster is heard."""
+def require_no_majority(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Suspicions expire regardless of how much of the cluster is heard."""
     monkeypatch.setattr(Quorum, "recent_size", lambda self, now: 0)
 
 
-def expire_at_once_after_isolation(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Suspicions go on to run while the majority is missing, and expire as soon as it is back."""
+def expire_immediately_after_isolation(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Suspicions continue to age while the majority is missing, and expire as soon as it returns."""
     monkeypatch.setattr(Quorum, "was_lost_recently", lambda self, now: False)
 
 
 def ask_no_helpers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A probe fails without an indirect one."""
+    """A probe fails without any indirect probe."""
 
     def ask_helpers(self: Prober, now: int) -> None:
         for probe in self._probes.values():
@@ -59,7 +59,7 @@
 
 
 def leave_without_a_message(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A member that leaves tells nobody."""
+    """A member leaves without notifying others."""
 
     def leave(self: FailureDetector, now: int) -> list[Any]:
         self.local.left = True
@@ -69,7 +69,7 @@
 
 
 def begin_a_generation_with_each_upgrade(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A successor does not continue the generation of the process that it follows."""
+    """A successor does not continue the generation of its predecessor."""
     continue_generation = LocalMember.continue_generation
 
     def begin_generation(
@@ -81,23 +81,23 @@
     monkeypatch.setattr(LocalMember, "continue_generation", begin_generation)
 
 
-def believe_former_generations(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A message of an older process replaces the record of the one that followed it."""
-    hear_sender = FailureDetector._hear_sender
+def accept_earlier_generations(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A message from an earlier process replaces the record of its successor."""
+    record_sender = FailureDetector._record_sender
 
-    def hear_any_sender(self: FailureDetector, now: int, message: Any, source: Any) -> None:
+    def record_any_sender(self: FailureDetector, now: int, message: Any, source: Any) -> None:
         known = self.table.records.get(message.sender)
         if known is not None and message.generation < known.generation:
             record = MemberRecord(
                 message.sender, message.generation, message.incarnation, MemberState.ALIVE, source
             )
             self.table.put(now, record)
-        hear_sender(self, now, message, source)
+        record_sender(self, now, message, source)
 
-    monkeypatch.setattr(FailureDetector, "_hear_sender", hear_any_sender)
+    monkeypatch.setattr(FailureDetector, "_record_sender", record_any_sender)
 
 
-SLOW_NEWS = Scenario(
+DELAYED_MESSAGES = Scenario(
     [Step(0.0, "delay", value=15.0), Step(1.0, "kill", (2,)), Step(1.5, "delay")],
     18.0,
     {2},
@@ -113,7 +113,7 @@
     {2},
     convergence_s=8.0,
 )
-LATE_AFTER_RESTART = Scenario(
+DELAYED_MESSAGES_OVER_RESTARTS = Scenario(
     [
         Step(0.0, "delay", value=2.0),
         *(Step(1.0 + turn, action, (2,)) for turn in range(4) for action in ("kill", "start")),
@@ -135,67 +135,70 @@
     return cluster.run_scenario(scenario), cluster
 
 
-PLANTED: dict[str, tuple[Scenario | str, Plant | ProtocolSettings]] = {
-    "a refutation ignored": ("pauses", ignore_refutations),
-    "a tombstone forgotten too early": (SLOW_NEWS, forget_tombstones_at_once),
-    "deaths declared without a majority": ("split", need_no_majority),
-    "evidence of a suspect is not gossiped": ("one_hears_nobody", ProtocolSettings(last_heard_gossip=False)),
-    "suspicions that run on while isolated": ("split", expire_at_once_after_isolation),
-    "an own stall not noticed": (STOPS_UNDER_LOSS, ProtocolSettings(stall_detection=False)),
+INJECTED_FAULTS: dict[str, tuple[Scenario | str, InjectFault | ProtocolSettings]] = {
+    "a refutation is ignored": ("pauses", ignore_refutations),
+    "a tombstone expires too early": (DELAYED_MESSAGES, expire_tombstones_immediately),
+    "deaths are declared without a majority": ("split", require_no_majority),
+    "evidence that a suspect was heard is not gossiped": (
+        "one_hears_nobody",
+        ProtocolSettings(last_heard_gossip=False),
+    ),
+    "suspicions continue to age while isolated": ("split", expire_immediately_after_isolation),
+    "a local stall is not detected": (STOPS_UNDER_LOSS, ProtocolSettings(stall_detection=False)),
 }
 
 
-@pytest.mark.parametrize("fault", PLANTED)
-def test_a_planted_fault_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    scenario, plant = PLANTED[fault]
+@pytest.mark.parametrize("fault", INJECTED_FAULTS)
+def test_an_injected_fault_is_detected(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    scenario, injection = INJECTED_FAULTS[fault]
     clean = [run(scenario, seed=seed)[0].violations for seed in range(4)]
     assert not any(clean), clean
-    settings = plant if isinstance(plant, ProtocolSettings) else None
-    if not isinstance(plant, ProtocolSettings):
-        plant(monkeypatch)
-    found = [run(scenario, settings, seed)[0].violations for seed in range(4)]
-    assert any(found), "nobody noticed"
+    settings = injection if isinstance(injection, ProtocolSettings) else None
+    if not isinstance(injection, ProtocolSettings):
+        injection(monkeypatch)
+    faulty = [run(scenario, settings, seed)[0].violations for seed in range(4)]
+    assert any(faulty), "no violation reported for the injected fault"
 
 
-def outdated_records(seed: int) -> int:
-    """How often a member replaced a record by one that it supersedes."""
+def count_regressed_records(seed: int) -> int:
+    """Count how often a member replaced a record with one that the old record supersedes."""
     cluster = VirtualCluster(6, seed)
-    for step in LATE_AFTER_RESTART.steps:
+    for step in DELAYED_MESSAGES_OVER_RESTARTS.steps:
         cluster.schedule(3.0 + step.at, lambda step=step: cluster.apply(step))  # type: ignore[misc]
-    held: dict[tuple[int, int], MemberRecord] = {}
-    found = 0
+    previous_records: dict[tuple[int, int], MemberRecord] = {}
+    regressions = 0
     while cluster.now < 12.0:
         cluster.run(cluster.now + 0.02)
         for number, process in cluster.processes.items():
             for ident, record in process.detector.table.records.items():
-                before = held.get((number, ident))
-                found += number != 2 and before is not None and before.supersedes(record)
-                held[number, ident] = record
-    return found
+                previous = previous_records.get((number, ident))
+                regressions += number != 2 and previous is not None and previous.supersedes(record)
+                previous_records[number, ident] = record
+    return regressions
 
 
-def test_a_message_of_a_former_generation_that_is_believed_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert not any(outdated_records(seed) for seed in range(3))
-    believe_former_generations(monkeypatch)
-    assert any(outdated_records(seed) for seed in range(3))
+def test_accepting_a_message_of_an_earlier_generation_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    assert not any(count_regressed_records(seed) for seed in range(3))
+    accept_earlier_generations(monkeypatch)
+    assert any(count_regressed_records(seed) for seed in range(3))
 
 
-def test_probes_without_helpers_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Two that can't reach one another are no reason to suspect either: helpers reach both."""
+def test_probes_without_helpers_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Two members that can't reach each other must not become suspect, since helpers reach both."""
     assert run("pair_both_ways")[0].suspicions == 0
     ask_no_helpers(monkeypatch)
     assert run("pair_both_ways")[0].suspicions > 0
 
 
-def test_a_leave_without_a_message_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_leave_without_a_message_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     clean = run("leaves_and_joins")[1].changes
     assert not [change for change in clean if change.new in (MemberState.SUSPECT, MemberState.DEAD)]
     leave_without_a_message(monkeypatch)
-    planted = run("leaves_and_joins")[1].changes
-    assert [change for change in planted if change.new is MemberState.SUSPECT]
+    faulty = run("leaves_and_joins")[1].changes
+    assert [change for change in faulty if change.new is MemberState.SUSPECT]
 
 
-def test_an_upgrade_that_begins_a_generation_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_upgrade_that_begins_a_generation_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     assert not run("upgrades")[1].changes
     begin_a_generation_with_each_upgrade(monkeypatch)
     assert run("upgrades")[1].changes
--- a/topazbank/cluster/__init__.py
+++ b/topazbank/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Membership among the sidecars of a cluster, by a SWIM-like protocol.  Only `service` does I/O."""
+"""Cluster membership of the sidecars, by a SWIM-like protocol.  Only `service` does I/O."""
--- a/topazbank/cluster/connectivity.py
+++ b/topazbank/cluster/connectivity.py
@@ -1,4 +1,4 @@
-"""Whether messages of other members, and acks of own probes, still arrive; no I/O, times in microseconds."""
+"""Whether other members' messages, and acks of local probes, still arrive; no I/O, times in microseconds."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Connectivity:
-    """When something was last received."""
+    """The times at which a message and an ack were last received."""
 
     __slots__ = ("_answered_at", "_health", "_heard_at", "_settings", "_table")
 
@@ -20,23 +20,23 @@
         self._answered_at = now
 
     def note_message(self, now: int) -> None:
-        """Any member's message has arrived."""
+        """Record that a message from a member has arrived."""
         self._heard_at = now
 
     def note_answer(self, now: int) -> None:
-        """A probe was answered."""
+        """Record that a probe was answered."""
         self._answered_at = now
 
     def reset(self, now: int) -> None:
-        """Begin anew after a time in which nothing could be received."""
+        """Restart both timers after a time in which nothing could be received."""
         self._heard_at = self._answered_at = now
 
     def hears_nobody(self, now: int) -> bool:
-        """Whether no message has arrived for longer than chance explains."""
+        """Whether no message has arrived for longer than chance would explain."""
         silence_us = max(3 * self._settings.probe_period_us, self._settings.tolerated_pause_us // 2)
         return self._table.live_count > 0 and now - self._heard_at > silence_us
 
     def is_unanswered(self, now: int) -> bool:
-        """Whether no probe has been answered for longer than message loss explains, though messages may arrive."""
+        """Whether no probe was answered for longer than message loss would explain, even if messages arrive."""
         timeout_us = self._health.scale_timeout(self._settings.suspicion_min_us(self._table.cluster_size))
         return self._table.live_count > 0 and now - self._answered_at > timeout_us
--- a/topazbank/cluster/failure_detector.py
+++ b/topazbank/cluster/failure_detector.py
@@ -1,14 +1,14 @@
 """The failure detector: a SWIM-like protocol with Lifeguard's local health.  No I/O; times in microseconds.
 
-The promise.  A member that is declared dead has not been heard, by any member whose messages arrive, for at least
-`ProtocolSettings.suspicion_min_us`; so a process that stalls for less than `tolerated_pause_us` is declared dead by
-nobody, as long as one of its messages reaches a member that is heard.  A dead member returns only by a newer
-incarnation or generation.  A member without a majority declares nobody dead.  Assumed: a monotonic clock in each
-process, and no message older than `tombstone_us`.
-
-Beyond SWIM with Lifeguard: evidence that a suspect was heard is gossiped, so that a member that can send and not
-receive stays suspect in place of dead; and no suspicion expires without a majority.  docs/design/cluster.md compares
-alternatives.
+Guarantees: before a member is declared dead, no member whose own messages still arrive has heard from it for at least
+`ProtocolSettings.suspicion_min_us`.  A process that stalls for less than `tolerated_pause_us` is therefore not declared
+dead, provided that one of its messages reaches a member that others still hear.  A dead member returns only with a
+newer incarnation or generation.  A member without a majority declares nobody dead.  Assumptions: each process has a
+monotonic clock, and no message arrives later than `tombstone_us` after it was sent.
+
+Extensions of SWIM with Lifeguard: members gossip evidence that a suspect was heard, so a member that can send but not
+receive stays suspect instead of being declared dead.  No suspicion expires without a majority.  docs/design/cluster.md
+compares alternatives.
 """
 
 from __future__ import annotations
@@ -40,11 +40,14 @@
 from topazbank.cluster.wire import WHOLE_TABLE, Message, MessageKind
 from topazbank.core.net import Address
 
-_LEAVE_MESSAGES = 32  # members that are notified directly
+_LEAVE_NOTICES_MAX = 32  # members notified directly when this member leaves
 
 
 class FailureDetector:
-    """One member's part in the protocol: messages and time in, messages out.  Each part of its state has one owner."""
+    """The protocol state machine of one member.
+
+    Its input is messages and the time; its output is messages to send.  Each part of its state has one owner.
+    """
 
     def __init__(
         self,
@@ -57,10 +60,11 @@
         random_seed: int = 0,
         predecessor: HandoverState | None = None,
     ) -> None:
-        """`seeds`: addresses at which others may be.
+        """Start at time `now`, as a new process or as the successor of `predecessor`.
 
-        `configured_addresses`: by ident; they take precedence over reported ones.  `predecessor`: the state of a
-        process of this member that this one continues, in place of `generation`.
+        `seeds`: addresses to contact when joining.  `configured_addresses`: addresses by ident, which take precedence
+        over reported ones.  `predecessor`: the state handed over by the previous process of this member; its
+        generation is used in place of `generation`.
         """
         self.settings = settings
         self._random = random.Random(random_seed)
@@ -74,7 +78,7 @@
         self.changes = ChangeLog()
         self.seeds = Seeds(seeds, self._random)
         self.addresses = AddressBook(configured_addresses or {}, seeds, self.table)
-        self._suspicions: dict[int, Suspicion] = {}  # changed by `membership` alone
+        self._suspicions: dict[int, Suspicion] = {}  # modified only by `membership`
         self._dissemination = Dissemination(
             self.local, self.table, self._suspicions, self.last_heard, settings
         )
@@ -87,7 +91,7 @@
         self._refutation = self._make_refutation()
         self._period = 0
         self._next_period_at = now
-        self.due = now  # when `tick` is wanted
+        self.due = now  # when `tick` must be called next
         if predecessor is not None:
             self._continue_from(now, predecessor)
 
@@ -141,16 +145,16 @@
 
     @property
     def digest(self) -> int:
-        """The digest of all live members, the local one included."""
+        """The digest of all live members, including the local one."""
         return self._outbox.digest
 
     @property
     def suspicions(self) -> Mapping[int, Suspicion]:
-        """The suspicions of the members that are suspect."""
+        """The current suspicions, by ident of the suspect."""
         return self.membership.suspicions
 
     def handover_state(self) -> HandoverState:
-        """Return what a successor of this process needs."""
+        """Return the state from which a successor of this process continues."""
         local = self.local
         records = tuple(self.table.records.values())
         return HandoverState(local.generation, local.incarnation, local.sequence, records)
@@ -158,9 +162,9 @@
     # -- Time ------------------------------------------------------------------------------------------
 
     def tick(self, now: int) -> list[OutgoingMessage]:
-        """Do what is due by now; return the messages to send."""
+        """Run all actions that are due; return the messages to send."""
         self._check_stall(now)
-        self._run_due(now)
+        self._run_due_actions(now)
         return self._outbox.take()
 
     def _check_stall(self, now: int) -> None:
@@ -179,9 +183,9 @@
         self.connectivity.reset(now)
         self._next_period_at = now
         if late_us > distrust_us // 2 and self.local.is_active:
-            self._refutation.refute(now)  # some may have declared this member dead
+            self._refutation.refute(now)  # other members may have declared this member dead
 
-    def _run_due(self, now: int) -> None:
+    def _run_due_actions(self, now: int) -> None:
         self._run_periods(now)
         self.prober.ask_helpers(now)
         for target in self.prober.take_failed(now):
@@ -197,7 +201,7 @@
         while self._next_period_at <= now:
             self._next_period_at += period_us
             if self._next_period_at <= now - period_us:
-                self._next_period_at = now  # missed periods are not made up for
+                self._next_period_at = now  # missed periods are skipped, not caught up on
             self._run_period(now)
 
     def _run_period(self, now: int) -> None:
@@ -207,28 +211,28 @@
         target = self.table.next_probe_target()
         if target is not None:
             self.prober.probe(now, target)
-        self._ping_own_suspects(now, target)
+        self._ping_local_suspects(now, target)
         if self._period % RECONNECT_PERIODS == 0 or not self.table.live_count:
             self._joining.reconnect(now)
         self.membership.expire_tombstones(now)
 
-    def _ping_own_suspects(self, now: int, probed: MemberRecord | None) -> None:
-        """Ping some suspects that this member's own probes found: each learns of it, and may refute."""
-        own = [ident for ident, suspicion in self.suspicions.items() if suspicion.is_own]
-        for ident in self._random.sample(own, min(len(own), SUSPECT_PROBES_PER_PERIOD)):
+    def _ping_local_suspects(self, now: int, probed: MemberRecord | None) -> None:
+        """Ping some of the suspects found locally, so that each learns of the suspicion and can refute it."""
+        local_suspects = [ident for ident, suspicion in self.suspicions.items() if suspicion.found_locally]
+        for ident in self._random.sample(local_suspects, min(len(local_suspects), SUSPECT_PROBES_PER_PERIOD)):
             if probed is None or ident != probed.ident:
                 self.prober.ping_member(now, self.table.records[ident])
 
     # -- Messages --------------------------------------------------------------------------------------
 
     def handle(self, now: int, message: Message, source: Address) -> list[OutgoingMessage]:
-        """Take a message that came from `source`; return the messages to send."""
+        """Process a message received from `source`; return the messages to send."""
         self._check_stall(now)
         if self.local.left:
             return []
-        is_own_name = message.sender == self.local.ident
-        if not is_own_name:
-            self._hear_sender(now, message, source)
+        has_local_ident = message.sender == self.local.ident
+        if not has_local_ident:
+            self._record_sender(now, message, source)
         elif message.generation > self.local.generation:
             claim = MemberRecord(message.sender, message.generation, message.incarnation)
             self._refutation.handle_claim(now, claim)
@@ -237,13 +241,13 @@
                 self._refutation.handle_claim(now, record)
             else:
                 self.membership.apply(now, record, message.sender, source)
-        if not is_own_name and self.local.superseded_by is None:
-            self._answer(now, message, source)
+        if not has_local_ident and self.local.superseded_by is None:
+            self._reply(now, message, source)
             self._compare_tables(now, message, source)
-        self._run_due(now)
+        self._run_due_actions(now)
         return self._outbox.take()
 
-    def _hear_sender(self, now: int, message: Message, source: Address) -> None:
+    def _record_sender(self, now: int, message: Message, source: Address) -> None:
         if self.membership.is_outdated(message):
             return
         is_recorded = self.membership.record_sender(now, message, source)
@@ -252,7 +256,7 @@
             self.connectivity.note_message(now)
             self.membership.note_heard(now, message.sender, now)
 
-    def _answer(self, now: int, message: Message, source: Address) -> None:
+    def _reply(self, now: int, message: Message, source: Address) -> None:
         if message.kind is MessageKind.PING:
             if message.target in (0, self.local.ident):
                 probe_id, ident = message.probe_id, self.local.ident
@@ -272,7 +276,7 @@
             self.membership.note_heard(now, message.target, now)
 
     def _compare_tables(self, now: int, message: Message, source: Address) -> None:
-        """Send digests where the tables go on to differ, and reply to the sender's digests and requests."""
+        """Start a sync if the tables have differed for a while; reply to the sender's digests and requests."""
         is_equal = message.digest == self.digest
         if is_equal:
             self._anti_entropy.note_equal(now)
@@ -293,18 +297,18 @@
     # -- Leaving and resuming --------------------------------------------------------------------------
 
     def leave(self, now: int) -> list[OutgoingMessage]:
-        """Leave the cluster for this generation; return the messages that tell others."""
+        """Leave the cluster for this generation; return the messages that notify other members."""
         if not self.local.is_active:
             return []
         self.local.left = True
-        for record in self.table.sample_alive(_LEAVE_MESSAGES):
+        for record in self.table.sample_alive(_LEAVE_NOTICES_MAX):
             address = self.addresses.of_record(record)
             if address is not None:
                 self._outbox.send(now, address, MessageKind.GOSSIP, records=(self.local.record,))
         return self._outbox.take()
 
     def resume(self, now: int) -> None:
-        """Take part again, after a successor of this process has ended."""
+        """Rejoin the protocol after the successor of this process has ended."""
         self.local.resume()
         self._next_period_at = self.due = now
         self.connectivity.reset(now)
--- a/topazbank/cluster/flap_damping.py
+++ b/topazbank/cluster/flap_damping.py
@@ -1,16 +1,16 @@
-"""Members that die and return repeatedly are held as unstable, twice as long each time; no I/O, microseconds."""
+"""Marks members that repeatedly die and return as unstable, twice as long each time; no I/O, microseconds."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-_WINDOW_US = 60_000_000  # a second return within it is a flap
-_HOLD_US = 4_000_000  # a flapping member is unstable for so long, doubled with each return
+_WINDOW_US = 60_000_000  # window within which a second return counts as a flap
+_HOLD_US = 4_000_000  # time for which a flapping member is unstable, doubled with each return
 _DOUBLINGS_MAX = 4
 
 
 class _Returns(NamedTuple):
-    times: int
+    return_count: int
     last_at: int
 
 
@@ -18,7 +18,7 @@
 
 
 class FlapDamping:
-    """Recent returns from the dead, by member."""
+    """Recent returns from the dead state, by member."""
 
     __slots__ = ("_returns",)
 
@@ -26,13 +26,13 @@
         self._returns: dict[int, _Returns] = {}
 
     def note_return(self, now: int, ident: int) -> None:
-        """A member that was declared dead is alive again, with its old generation."""
+        """Record that a member declared dead is alive again, in the same generation."""
         count, last_at = self._returns.get(ident, _NO_RETURNS)
         is_flap = now - last_at < _WINDOW_US << min(count, _DOUBLINGS_MAX)
         self._returns[ident] = _Returns(count + 1 if is_flap else 1, now)
 
     def unstable_until(self, ident: int) -> int:
-        """Return until when a member counts as unstable; 0 where it does not flap."""
+        """Return the time until which a member counts as unstable; 0 if it does not flap."""
         count, last_at = self._returns.get(ident, _NO_RETURNS)
         if count <= 1:
             return 0
@@ -43,5 +43,5 @@
         return sum(self.unstable_until(ident) > now for ident in self._returns)
 
     def forget(self, ident: int) -> None:
-        """Drop what is known of a member."""
+        """Remove the returns of a member."""
         self._returns.pop(ident, None)
--- a/topazbank/cluster/member_table.py
+++ b/topazbank/cluster/member_table.py
@@ -8,38 +8,38 @@
 from topazbank.cluster.member import MemberRecord, MemberState, digest_of
 from topazbank.cluster.wire import DIGEST_FANOUT, DigestPart, IdentPrefix
 
-MEMBERS_MAX = 8192  # records, tombstones included: no sender can grow the table beyond it
+MEMBERS_MAX = 8192  # records including tombstones; bounds what a sender can add to the table
 _IDENT_BITS = 48
-_SHUFFLE_MAX = 64  # records; of larger tables a sample is drawn
-_SAMPLE_FACTOR = 8  # records drawn for each one wanted, since some are not alive
+_SHUFFLE_MAX = 64  # records; larger tables are sampled
+_SAMPLE_FACTOR = 8  # records drawn per record requested, since some are not alive
 
 
 class MemberTable:
-    """Records of the other members by ident, at most MEMBERS_MAX; the local member is not among them."""
+    """Records of the other members by ident, at most MEMBERS_MAX; excludes the local member."""
 
     __slots__ = ("_probe_order", "_random", "digest", "live_count", "records", "tombstones")
 
     def __init__(self, rng: random.Random) -> None:
         self._random = rng
         self.records: dict[int, MemberRecord] = {}
-        self.tombstones: dict[int, int] = {}  # members that are dead or have left, and since when (us)
+        self.tombstones: dict[int, int] = {}  # when each member died or left, in microseconds
         self.live_count = 0
         self.digest = 0  # of the live members
-        self._probe_order: list[int] = []  # the rest of this round, the next one last
+        self._probe_order: list[int] = []  # members not yet probed in this round, next one last
 
     @property
     def cluster_size(self) -> int:
-        """Members that may be running, the local member included."""
+        """The number of members that may be running, including the local one."""
         return self.live_count + 1
 
     def put(self, now: int, record: MemberRecord) -> bool:
-        """Store a record in place of the member's former one; return False where the table is full."""
+        """Store a record in place of the member's previous one; return False if the table is full."""
         old = self.records.get(record.ident)
         if old is None and len(self.records) >= MEMBERS_MAX and not self._evict_oldest_tombstone():
             return False
         was_live = old is not None and old.is_live
         if old is not None and was_live:
-            self._uncount(old)
+            self._remove_from_totals(old)
         if record.is_live:
             self.live_count += 1
             self.digest ^= digest_of(record)
@@ -59,18 +59,18 @@
         return True
 
     def remove(self, ident: int) -> None:
-        """Forget a member."""
+        """Remove a member's record and tombstone."""
         record = self.records.pop(ident, None)
         self.tombstones.pop(ident, None)
         if record is not None and record.is_live:
-            self._uncount(record)
+            self._remove_from_totals(record)
 
-    def _uncount(self, record: MemberRecord) -> None:
+    def _remove_from_totals(self, record: MemberRecord) -> None:
         self.live_count -= 1
         self.digest ^= digest_of(record)
 
     def load(self, records: Mapping[int, MemberRecord], digest: int, local_ident: int) -> None:
-        """Replace all records by these, which are all live; `digest`: of all of them, the local member included."""
+        """Replace all records with `records`, which are all live; `digest` is theirs, including the local member's."""
         self.records = dict(records)
         local = self.records.pop(local_ident, None)
         self.live_count = len(self.records)
@@ -78,7 +78,7 @@
         self._probe_order.clear()
 
     def next_probe_target(self) -> MemberRecord | None:
-        """Return the member to probe next: each once a round, in a new random order each round."""
+        """Return the member to probe next; each round visits every live member once, in a new random order."""
         target = self._pop_probe_target()
         if target is not None:
             return target
@@ -94,7 +94,7 @@
         return None
 
     def sample_alive(self, count: int, excluded: Iterable[int] = ()) -> list[MemberRecord]:
-        """Return up to `count` random members that are alive and not suspect."""
+        """Return up to `count` random members that are alive and not suspect, none of them in `excluded`."""
         skipped = set(excluded)
         if not self.live_count:
             return []
@@ -107,20 +107,20 @@
         candidates = [self.records[ident] for ident in drawn if ident not in skipped]
         return [record for record in candidates if record.state is MemberState.ALIVE][:count]
 
-    def with_prefix(self, prefix: IdentPrefix, own: MemberRecord) -> Iterator[MemberRecord]:
-        """Yield the records, the local member's included, whose ident begins with a prefix."""
+    def with_prefix(self, prefix: IdentPrefix, local_record: MemberRecord) -> Iterator[MemberRecord]:
+        """Yield the records whose ident begins with a prefix, including the local member's."""
         shift = _IDENT_BITS - 4 * prefix.depth
         for record in self.records.values():
             if record.ident >> shift == prefix.bits:
                 yield record
-        if own.ident >> shift == prefix.bits:
-            yield own
+        if local_record.ident >> shift == prefix.bits:
+            yield local_record
 
-    def digest_part(self, prefix: IdentPrefix, own: MemberRecord) -> DigestPart:
-        """Return the digests of the sixteen parts below a prefix."""
+    def digest_part(self, prefix: IdentPrefix, local_record: MemberRecord) -> DigestPart:
+        """Return the digest of each of the sixteen prefixes one level below a prefix."""
         digests = [0] * DIGEST_FANOUT
         shift = _IDENT_BITS - 4 * (prefix.depth + 1)
-        for record in self.with_prefix(prefix, own):
+        for record in self.with_prefix(prefix, local_record):
             if record.is_live:
                 digests[(record.ident >> shift) & 0xF] ^= digest_of(record)
         return DigestPart(prefix, tuple(digests))
--- a/topazbank/cluster/membership.py
+++ b/topazbank/cluster/membership.py
@@ -1,8 +1,8 @@
-"""Applies what is learnt of other members to the table; the one place that changes their states.  No I/O, microseconds.
+"""Applies received records and local findings to the member table; the only place that changes member states.
 
-A record replaces an older one, but for two cases in which a death is not believed at once: the member was heard
-recently, or this process can't judge, since it stalled or had lost the majority.  Then the member becomes suspect, is
-probed, and may refute.
+A newer record replaces an older one, with one exception.  A reported death is not accepted if the member was heard
+recently, or if this process recently stalled or lost its majority and so can't judge.  In these cases the member
+becomes suspect, is probed, and may refute.  No I/O; times in microseconds.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class Membership:
-    """The other members' records, suspicions and flaps."""
+    """The records, suspicions and flaps of the other members."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         changes: ChangeLog,
         settings: ProtocolSettings,
     ) -> None:
-        """`suspicions`: shared with those that read it; changed here alone."""
+        """`suspicions`: a mapping shared with its readers; only this class modifies it."""
         self._local = local
         self._table = table
         self._suspicions = suspicions
@@ -59,26 +59,26 @@
 
     @property
     def suspicions(self) -> Mapping[int, Suspicion]:
-        """The suspicions of the members that are suspect."""
+        """The current suspicions, by ident of the suspect."""
         return self._suspicions
 
     def load(self, now: int, record: MemberRecord) -> None:
-        """Take over a record from a predecessor."""
+        """Load a record handed over by the predecessor of this process."""
         self._table.put(now, record)
         if record.state is MemberState.SUSPECT:
-            self._suspicions[record.ident] = Suspicion(now, self._local.short_ident, is_own=False)
+            self._suspicions[record.ident] = Suspicion(now, self._local.short_ident, found_locally=False)
 
     # -- Messages of members ---------------------------------------------------------------------------
 
     def is_outdated(self, message: Message) -> bool:
-        """Whether a message is a replay, or of a process that was followed by another."""
+        """Whether a message is a replay, or comes from an earlier generation than the known one."""
         known = self._table.records.get(message.sender)
         if self._replays.is_replay(message):
             return True
         return known is not None and message.generation < known.generation
 
     def record_sender(self, now: int, message: Message, source: Address) -> bool:
-        """Record that a message's sender is alive; return False where there is no room for it."""
+        """Record that a message's sender is alive; return False if the table has no room for it."""
         known = self._table.records.get(message.sender)
         record = MemberRecord(
             message.sender, message.generation, message.incarnation, MemberState.ALIVE, source
@@ -93,25 +93,25 @@
         return True
 
     def note_heard(self, now: int, ident: int, heard_at: int) -> None:
-        """Record that anyone heard a member at this time; gossip it where the member is suspect."""
+        """Record that some member heard this one at `heard_at`; gossip that if this one is suspect."""
         if not self._last_heard.update(ident, heard_at):
             return
         if ident not in self._suspicions or not self._settings.last_heard_gossip:
             return
-        if self._last_heard.take_gossip_turn(now, ident):
+        if self._last_heard.claim_gossip_slot(now, ident):
             self._dissemination.announce_last_heard(ident)
 
     # -- Records ---------------------------------------------------------------------------------------
 
     def apply(self, now: int, record: MemberRecord, reporter: int, source: Address) -> None:
-        """Take a record of another member, reported by a message from `source`."""
+        """Apply a record of another member, reported in a message from `source`."""
         if record.address is None and record.ident == reporter:
             record = replace(record, address=source)
         known = self._table.records.get(record.ident)
         if record.state is MemberState.LAST_HEARD:
             self._apply_last_heard(now, record, known)
         elif known is None:
-            if record.is_live:  # nobody needs to hear of the death of an unknown member
+            if record.is_live:  # the death of an unknown member is not worth recording
                 self._accept(now, record, ChangeReason.REPORTED)
         elif record.state is MemberState.SUSPECT and known.is_live and record.ranks_equal(known):
             if self._suspicions[record.ident].confirm(record.detail):
@@ -130,17 +130,17 @@
             self.note_heard(now, record.ident, now - record.detail * 1000)
 
     def _accept(self, now: int, record: MemberRecord, reason: ChangeReason) -> None:
-        """Take a record that supersedes the known one."""
+        """Apply a record that supersedes the known one, unless it reports a doubtful death."""
         if record.state is MemberState.SUSPECT:
-            self.suspect(now, record, record.detail, is_own=False)
-        elif self._is_death_in_doubt(now, record):
-            # A probe tells the member of its death, and it may refute.
+            self.suspect(now, record, record.detail, found_locally=False)
+        elif self._is_doubtful_death(now, record):
+            # Local suspects are pinged, so the member learns of the report and can refute it.
             suspect = replace(record, state=MemberState.SUSPECT)
-            self.suspect(now, suspect, record.detail, is_own=True)
+            self.suspect(now, suspect, record.detail, found_locally=True)
         else:
             self._store(now, record, reason)
 
-    def _is_death_in_doubt(self, now: int, record: MemberRecord) -> bool:
+    def _is_doubtful_death(self, now: int, record: MemberRecord) -> bool:
         known = self._table.records.get(record.ident)
         if record.state is not MemberState.DEAD or known is None or not known.is_live:
             return False
@@ -174,50 +174,50 @@
         """Suspect a member whose probe has failed."""
         record = self._table.records.get(ident)
         if record is not None and record.is_live and record.generation == generation:
-            self.suspect(now, record, self._local.short_ident, is_own=True)
+            self.suspect(now, record, self._local.short_ident, found_locally=True)
 
-    def suspect(self, now: int, record: MemberRecord, reporter: int, is_own: bool) -> None:
-        """Begin a suspicion of this record's incarnation, or confirm it."""
+    def suspect(self, now: int, record: MemberRecord, reporter: int, found_locally: bool) -> None:
+        """Begin a suspicion of this record's incarnation, or confirm the existing one."""
         suspicion = self._suspicions.get(record.ident)
         known = self._table.records.get(record.ident)
         if suspicion is None or known is None or not _same_incarnation(known, record):
-            self._begin_suspicion(now, record, reporter, is_own)
+            self._begin_suspicion(now, record, reporter, found_locally)
             return
-        suspicion.is_own = suspicion.is_own or is_own
+        suspicion.found_locally = suspicion.found_locally or found_locally
         if suspicion.confirm(reporter):
-            if is_own:
+            if found_locally:
                 self._table.put(now, replace(known, detail=reporter))
             self._dissemination.announce(record.ident)
 
-    def _begin_suspicion(self, now: int, record: MemberRecord, reporter: int, is_own: bool) -> None:
+    def _begin_suspicion(self, now: int, record: MemberRecord, reporter: int, found_locally: bool) -> None:
         known = self._table.records.get(record.ident)
         if known is None:
             self._changes.add(now, None, MemberState.SUSPECT, record, ChangeReason.REPORTED)
         elif known.state is not MemberState.SUSPECT:
-            reason = ChangeReason.PROBE_FAILED if is_own else ChangeReason.REPORTED
+            reason = ChangeReason.PROBE_FAILED if found_locally else ChangeReason.REPORTED
             self._changes.add(now, known.state, MemberState.SUSPECT, record, reason)
         suspect = replace(record, state=MemberState.SUSPECT, detail=reporter)
         if suspect.address is None and known is not None:
             suspect = replace(suspect, address=known.address)
         if not self._table.put(now, suspect):
             return
-        self._suspicions[record.ident] = Suspicion(now, reporter, is_own)
+        self._suspicions[record.ident] = Suspicion(now, reporter, found_locally)
         self._dissemination.announce(record.ident)
 
     def restart_suspicions(self, now: int) -> None:
-        """Let all suspicion timeouts begin anew, after a stall."""
+        """Restart all suspicion timeouts, after a stall."""
         for suspicion in self._suspicions.values():
             suspicion.since = now
 
     def declare_dead(self, now: int, ident: int, reason: ChangeReason) -> None:
-        """End a suspicion with the member's death."""
+        """Declare a suspect dead, which ends its suspicion."""
         record = replace(self._table.records[ident], state=MemberState.DEAD, detail=self._local.short_ident)
         self._store(now, record, reason)
 
     # -- Tombstones ------------------------------------------------------------------------------------
 
     def expire_tombstones(self, now: int) -> None:
-        """Forget the members that have been dead for long."""
+        """Remove the members whose tombstones have expired."""
         expired = [
             ident
             for ident, since in self._table.tombstones.items()
@@ -236,11 +236,11 @@
         self._changes.add(now, record.state, None, record, ChangeReason.TOMBSTONE_EXPIRED)
 
 
-def _same_incarnation(one: MemberRecord, other: MemberRecord) -> bool:
-    return one.incarnation == other.incarnation and one.generation == other.generation
+def _same_incarnation(first: MemberRecord, second: MemberRecord) -> bool:
+    return first.incarnation == second.incarnation and first.generation == second.generation
 
 
 def _returns_from_dead(known: MemberRecord, record: MemberRecord) -> bool:
-    """Whether a record makes a dead member live again, in the same generation."""
+    """Whether a record makes a dead member live again within the same generation."""
     was_dead = known.state is MemberState.DEAD
     return was_dead and record.is_live and record.generation == known.generation
--- a/topazbank/cluster/probing.py
+++ b/topazbank/cluster/probing.py
@@ -1,8 +1,8 @@
 """Probes: direct pings, indirect probes through helpers, and probes made for others; no I/O, times in microseconds.
 
-A probe begins with a ping.  Where no ack has come after a part of the period, helpers are asked to ping the member,
-and the ping is repeated, since the first may have been lost.  The probe fails at its timeout, which grows with local
-trouble.
+A probe begins with a ping.  If no ack arrives within a fraction of the period, helpers are asked to ping the member,
+and the ping is repeated, since the first may have been lost.  The probe fails at its timeout, which grows as the local
+health degrades.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from topazbank.cluster.wire import Message, MessageKind
 from topazbank.core.net import Address
 
-RELAYED_PROBES_MAX = 64  # made for others at once
-FAILED_PROBES_MAX = 32  # whose late acks are recognised
-_DIRECT_PROBE_RATIO = 0.4  # of a period, for the direct ack; on a local network it takes a hundredth of that
-_PROBE_IDS = 1 << 31
+RELAYED_PROBES_MAX = 64  # concurrent probes on behalf of other members
+FAILED_PROBES_MAX = 32  # failed probes remembered, to recognise late acks
+_DIRECT_PROBE_RATIO = 0.4  # of a period, to wait for a direct ack; a local network needs 1 % of that
+_INITIAL_PROBE_IDS = 1 << 31
 
 
 @dataclass(slots=True)
 class _Probe:
-    """A probe of this member's own; a few periods long at most, so there are few at once."""
+    """A probe by the local member.  It lasts a few periods at most, so few are in flight."""
 
     target: ProcessGeneration
     address: Address
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _RelayedProbe:
-    """A probe made for another member."""
+    """A probe on behalf of another member."""
 
     requester: Address
     requester_probe_id: int
@@ -54,7 +54,7 @@
 
 
 class Prober:
-    """All probes that are under way."""
+    """All probes in flight."""
 
     def __init__(
         self,
@@ -70,13 +70,13 @@
         self._outbox = outbox
         self._health = health
         self._settings = settings
-        self._last_probe_id = rng.randrange(_PROBE_IDS)
+        self._last_probe_id = rng.randrange(_INITIAL_PROBE_IDS)
         self._probes: dict[int, _Probe] = {}
-        self._failed: dict[int, int] = {}  # failed probes and their targets, the oldest first
+        self._failed: dict[int, int] = {}  # failed probe ids and the idents of their targets, oldest first
         self._relayed: dict[int, _RelayedProbe] = {}
 
     def clear(self) -> None:
-        """Give up all probes, after a stall: their timeouts mean nothing."""
+        """Cancel all probes after a stall, which makes their timeouts meaningless."""
         self._probes.clear()
         self._relayed.clear()
 
@@ -86,7 +86,7 @@
         nacks = [relayed.nack_at for relayed in self._relayed.values()]
         return min([no_later_than, *steps, *nacks])
 
-    # -- Own probes ------------------------------------------------------------------------------------
+    # -- Probes by the local member --------------------------------------------------------------------
 
     def ping(self, now: int, address: Address, target: int = 0) -> int:
         """Send a ping that may go unanswered; return its probe id."""
@@ -101,7 +101,7 @@
             self.ping(now, address, record.ident)
 
     def probe(self, now: int, record: MemberRecord) -> None:
-        """Begin a probe of a member, where its address is known."""
+        """Begin a probe of a member, if its address is known."""
         address = self._addresses.of_record(record)
         if address is None:
             return
@@ -136,7 +136,7 @@
         return asked
 
     def take_failed(self, now: int) -> Sequence[ProcessGeneration]:
-        """End the probes whose time is over; return their targets."""
+        """Remove the probes that have timed out; return their targets."""
         due = [probe_id for probe_id, probe in self._probes.items() if probe.fails_at <= now]
         return [self._fail(probe_id) for probe_id in due]
 
@@ -146,20 +146,20 @@
             del self._failed[next(iter(self._failed))]
         self._failed[probe_id] = probe.target.ident
         if probe.helpers and not probe.nacks:
-            self._health.degrade()  # not even the helpers were heard
+            self._health.degrade()  # no helper replied either
         return probe.target
 
     def note_nack(self, message: Message) -> None:
-        """A helper is reachable and has not reached the target."""
+        """Record that a helper replied but has not reached the target."""
         probe = self._probes.get(message.probe_id)
         if probe is not None:
             probe.nacks += 1
 
     def note_ack(self, now: int, message: Message) -> bool:
-        """Take an ack, or pass it on; return whether it answers a probe of this member's own."""
+        """Process or forward an ack; return whether it answers a probe by the local member."""
         relayed = self._relayed.pop(message.probe_id, None)
         if relayed is not None and relayed.target == message.target:
-            self._pass_on_ack(now, relayed)
+            self._forward_ack(now, relayed)
             return False
         probe = self._probes.get(message.probe_id)
         if probe is not None and probe.target.ident == message.target:
@@ -167,14 +167,14 @@
             self._health.improve()
             return True
         if self._failed.pop(message.probe_id, None) == message.target:
-            self._health.degrade()  # the ack came, too late for this process's timeouts
+            self._health.degrade()  # the ack arrived after the local timeout
             return True
-        return message.target == message.sender  # of a ping without a probe
+        return message.target == message.sender  # an ack of a ping sent outside a probe
 
-    # -- Probes for others -----------------------------------------------------------------------------
+    # -- Probes on behalf of other members -------------------------------------------------------------
 
     def probe_for(self, now: int, message: Message, requester: Address) -> None:
-        """Ping a member for another one, or send a nack at once where that can't be done."""
+        """Ping a member on behalf of another, or send a nack immediately if that is not possible."""
         address = self._addresses.of(message.target)
         if address is None or len(self._relayed) >= RELAYED_PROBES_MAX:
             self._outbox.send(now, requester, MessageKind.NACK, message.probe_id, message.target)
@@ -183,7 +183,7 @@
         probe_id = self.ping(now, address, message.target)
         self._relayed[probe_id] = _RelayedProbe(requester, message.probe_id, message.target, nack_at)
 
-    def _pass_on_ack(self, now: int, relayed: _RelayedProbe) -> None:
+    def _forward_ack(self, now: int, relayed: _RelayedProbe) -> None:
         self._outbox.send(
             now,
             relayed.requester,
@@ -194,7 +194,7 @@
         )
 
     def send_nacks(self, now: int) -> None:
-        """Tell requesters of the targets that have not answered in time."""
+        """Send a nack for each target that has not answered in time."""
         due = [probe_id for probe_id, relayed in self._relayed.items() if relayed.nack_at <= now]
         for probe_id in due:
             relayed = self._relayed.pop(probe_id)
--- a/topazbank/cluster/quorum.py
+++ b/topazbank/cluster/quorum.py
@@ -1,8 +1,8 @@
 """Whether this member reaches a majority of the cluster; no I/O, times in microseconds.
 
-The failure: in a network split each side declares the other dead.  It shows as many suspicions at once.  The guard:
-no suspicion expires while the members that nobody suspects are half or less of the recent cluster, nor within one
-suspicion timeout after that has ended, since members that were unreachable until then need the time to be heard.
+Failure: in a network split each side declares the other dead.  Symptom: many simultaneous suspicions.  Safeguard: no
+suspicion expires while half or less of the recent cluster is free of suspicion.  The same applies for one suspicion
+timeout after the majority returns, since members that were unreachable until then need that time to be heard.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 from topazbank.cluster.member_table import MemberTable
 from topazbank.cluster.settings import ProtocolSettings
 
-RECENT_US = 60_000_000  # members that died within it still count: a view can't shrink its own majority
+RECENT_US = 60_000_000  # members that died within it still count, so deaths can't shrink the majority
 _LONG_AGO_US = 3_600_000_000
 
 
 class Quorum:
-    """The size of the recent cluster, and when the majority was last lost."""
+    """The size of the recent cluster, and the time at which the majority was last missing."""
 
     __slots__ = ("_lost_at", "_settings", "_table")
 
@@ -26,9 +26,9 @@
         self._lost_at = now - _LONG_AGO_US
 
     def recent_size(self, now: int) -> int:
-        """Return the number of live members and of those that died recently, the local member included."""
+        """Return the number of members that are live or died recently, including the local one."""
         recently_dead = 0
-        for ident, since in reversed(self._table.tombstones.items()):  # the latest first
+        for ident, since in reversed(self._table.tombstones.items()):  # latest first
             if now - since >= RECENT_US:
                 break
             recently_dead += self._table.records[ident].state is MemberState.DEAD
@@ -39,7 +39,7 @@
         return 2 * (self._table.cluster_size - suspects) > self.recent_size(now)
 
     def note_lost(self, now: int) -> None:
-        """The majority is missing now."""
+        """Record that the majority is missing now."""
         self._lost_at = now
 
     def was_lost_recently(self, now: int) -> bool:
--- a/topazbank/cluster/refutation.py
+++ b/topazbank/cluster/refutation.py
@@ -1,4 +1,4 @@
-"""What others claim of the local member, and its refutation where they are wrong; no I/O, times in microseconds."""
+"""Handles others' records of the local member, and refutes those that are wrong; no I/O, times in microseconds."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Refutation:
-    """Answers claims by a newer incarnation or generation of the local member."""
+    """Refutes records of the local member by raising its incarnation or generation."""
 
     __slots__ = (
         "_addresses",
@@ -53,7 +53,7 @@
         self._settings = settings
 
     def handle_claim(self, now: int, claim: MemberRecord) -> None:
-        """Take a record of the local member that another one reports."""
+        """Process a record of the local member that was received in a message."""
         local = self._local
         if claim.generation > local.generation:
             self._handle_newer_generation(now, claim)
@@ -63,17 +63,17 @@
             local.begin_generation(local.generation + 1)
             self._dissemination.announce(local.ident)
         elif claim.state is not MemberState.ALIVE and claim.incarnation >= local.incarnation:
-            if claim.state is MemberState.SUSPECT and self._stalls.trusts_itself_again(now):
+            if claim.state is MemberState.SUSPECT and self._stalls.is_trusted_again(now):
                 self._health.degrade()
             local.incarnation = claim.incarnation
             self.refute(now)
         elif claim.incarnation > local.incarnation:
-            local.incarnation = claim.incarnation  # reported by another process of this member
+            local.incarnation = claim.incarnation  # set by another process of this member
 
     def _handle_newer_generation(self, now: int, claim: MemberRecord) -> None:
         local = self._local
         if local.is_joining(now):
-            # A former process of this member, which ran by a clock ahead of this one.
+            # The record is of an earlier process of this member, whose clock was ahead.
             local.begin_generation(claim.generation + 1)
             self._dissemination.announce(local.ident)
         elif local.superseded_by is None and claim.is_live:
@@ -81,12 +81,12 @@
             self._changes.add(now, MemberState.ALIVE, MemberState.LEFT, claim, ChangeReason.NAME_TAKEN)
 
     def refute(self, now: int) -> None:
-        """Supersede what is reported of the local member, and gossip it."""
+        """Supersede all records of the local member, and gossip the new one."""
         self._local.raise_incarnation()
         self._dissemination.announce(self._local.ident)
         if not self._settings.stall_detection:
             return
-        # Sent at once, since the suspicion that this ends may be about to time out.
+        # Sent immediately, since the refuted suspicion may be about to time out.
         for record in self._table.sample_alive(INDIRECT_PROBES):
             address = self._addresses.of_record(record)
             if address is not None:
--- a/topazbank/cluster/stall_monitor.py
+++ b/topazbank/cluster/stall_monitor.py
@@ -1,8 +1,8 @@
-"""Notices that this process stalled: then missing answers say nothing about other members; no I/O.
+"""Detects stalls of this process, after which missing answers say nothing about other members; no I/O.
 
-The failure: a process that is suspended (SIGSTOP, a starved machine) finds all its timeouts expired when it resumes,
-while the answers wait unread.  It shows as a tick that is late.  The guard: until a suspicion timeout has passed
-after a stall, no suspicion expires, so every live member has had the time to be heard.
+Failure: a suspended process (SIGSTOP, a starved machine) finds all its timeouts expired when it resumes, while the
+answers wait unread.  Symptom: a late tick.  Safeguard: no suspicion expires until one suspicion timeout after a stall,
+so that every live member has had time to be heard.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from topazbank.cluster.local_health import LOCAL_HEALTH_MAX, LocalHealth
 from topazbank.cluster.settings import ProtocolSettings
 
-_STALL_PERIODS = 2.5  # a tick that is late by more than these probe periods is a stall
+_STALL_PERIODS = 2.5  # probe periods; a tick that is later than this is a stall
 
 
 class StallMonitor:
-    """Counts this process's stalls, and says how long its own findings are not trusted; times in microseconds."""
+    """Counts stalls of this process, and tracks how long its findings are distrusted; times in microseconds."""
 
     __slots__ = ("_distrust_until", "_health", "_settings", "count")
 
@@ -34,7 +34,7 @@
         return False
 
     def record(self, now: int, distrust_us: int) -> None:
-        """Count a stall, and distrust own findings for this long."""
+        """Count a stall, and distrust local findings for `distrust_us`."""
         self.count += 1
         self._health.degrade(LOCAL_HEALTH_MAX)
         self._distrust_until = now + distrust_us
@@ -43,6 +43,6 @@
         """Whether this process stalled recently, so that its findings may be outdated."""
         return now < self._distrust_until
 
-    def trusts_itself_again(self, now: int) -> bool:
-        """Whether the time of distrust has passed."""
+    def is_trusted_again(self, now: int) -> bool:
+        """Whether the period of distrust has passed."""
         return now > self._distrust_until
--- a/topazbank/cluster/suspicion_timeouts.py
+++ b/topazbank/cluster/suspicion_timeouts.py
@@ -1,4 +1,4 @@
-"""Declares suspects dead when their suspicion times out, unless this process can't judge; no I/O, microseconds."""
+"""Declares suspects dead when their suspicion times out, if this process can judge; no I/O, microseconds."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from topazbank.cluster.settings import ProtocolSettings
 from topazbank.cluster.stall_monitor import StallMonitor
 
-_MASS_SUSPICION_RATIO = 0.25  # of the recent cluster; suspicions of a split come in over a second or so
-_MASS_SUSPICION_FACTOR = 2
+_MASS_SUSPICION_RATIO = 0.25  # of the recent cluster; after a split, suspicions arrive over about a second
+_MASS_SUSPICION_FACTOR = 2  # multiplies the timeout during a mass suspicion
 
 
 class SuspicionTimeouts:
-    """Ends suspicions."""
+    """Declares suspects dead once their timeout has passed."""
 
     __slots__ = (
         "_connectivity",
@@ -51,7 +51,7 @@
         self._settings = settings
 
     def expire(self, now: int) -> None:
-        """Declare dead the suspects whose timeout is over, where this process can judge."""
+        """Declare dead the suspects whose timeout has passed, if this process can judge."""
         suspects = len(self._membership.suspicions)
         if not suspects:
             return
@@ -70,13 +70,13 @@
     def _expire_due(self, now: int, factor: float) -> None:
         for ident, suspicion in list(self._membership.suspicions.items()):
             last_heard = self._last_heard.get(ident)
-            # The cluster shrinks with each death, and the timeout with it.
+            # Each death shrinks the cluster and so shortens the timeout.
             cluster_size = self._table.cluster_size
             if suspicion.expires_at(self._settings, cluster_size, last_heard, factor) <= now:
                 self._membership.declare_dead(now, ident, ChangeReason.SUSPICION_TIMEOUT)
 
     def _expire_unheard_for_long(self, now: int) -> None:
-        """Declare dead, even without a majority, the suspects that nobody has heard for very long."""
+        """Declare dead the suspects that nobody has heard for `tombstone_us`, even without a majority."""
         for ident, suspicion in list(self._membership.suspicions.items()):
             last_evidence = max(suspicion.since, self._last_heard.get(ident) or 0)
             if now - last_evidence > self._settings.tombstone_us:
