--- a/tests/cluster/test_any_history.py
+++ b/tests/cluster/test_any_history.py
@@ -1,4 +1,4 @@
-"""What holds after any order, loss and repetition of messages, pauses, restarts and cuts."""
+"""Invariants that hold for any sequence of message loss, reordering, duplication, pauses, restarts and cuts."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
     def begin(self, seed: int) -> None:
         self.cluster = VirtualCluster(MEMBERS, seed)
         self.cluster.run(1.0)
-        self.incarnations: dict[tuple[int, int], int] = {}  # the highest, by member and generation
-        self.records: dict[tuple[int, int], MemberRecord] = {}  # the last ones, by observer and ident
-        self.detectors: dict[int, FailureDetector] = {}  # whose records these are
+        self.incarnations: dict[tuple[int, int], int] = {}  # highest incarnation, by member and generation
+        self.records: dict[tuple[int, int], MemberRecord] = {}  # latest records, by observer and ident
+        self.detectors: dict[int, FailureDetector] = {}  # the detectors that hold `records`, by observer
 
     @rule(span=st.floats(0.05, 3.0))
     def time_passes(self, span: float) -> None:
@@ -87,14 +87,14 @@
             self.incarnations[key] = local.incarnation
 
     @invariant()
-    def records_only_get_newer_and_the_dead_return_by_a_newer_incarnation(self) -> None:
+    def records_are_superseded_only_by_newer_and_dead_members_return_with_a_newer_incarnation(self) -> None:
         if not hasattr(self, "cluster"):
             return
         for number, process in self.cluster.processes.items():
             detector = process.detector
             if self.detectors.get(number) is not detector:
                 self.detectors[number] = detector
-                self.records = {key: each for key, each in self.records.items() if key[0] != number}
+                self.records = {key: known for key, known in self.records.items() if key[0] != number}
             for ident, record in detector.table.records.items():
                 old = self.records.get((number, ident))
                 if old is not None:
@@ -105,7 +105,7 @@
                 self.records[number, ident] = record
 
     @invariant()
-    def tables_stay_within_their_bounds_and_agree_with_digests_and_suspicions(self) -> None:
+    def tables_stay_within_bounds_and_match_digests_and_suspicions(self) -> None:
         if not hasattr(self, "cluster"):
             return
         for process in self.cluster.processes.values():
@@ -124,7 +124,7 @@
             assert set(membership._replays._latest) | set(membership.flaps._returns) <= set(table.records)
 
     @invariant()
-    def who_is_isolated_calls_nobody_absent_but_who_left(self) -> None:
+    def an_isolated_member_reports_only_departed_members_as_absent(self) -> None:
         if not hasattr(self, "cluster"):
             return
         now = self.cluster.now_us()
@@ -136,7 +136,7 @@
                         assert record.state is MemberState.LEFT
 
     def teardown(self) -> None:
-        """Once faults end, all views become equal, and true."""
+        """After all faults end, every view converges to the actual state."""
         if not hasattr(self, "cluster"):
             return
         cluster = self.cluster
@@ -148,9 +148,9 @@
         resumed = [process.suspended_until for process in cluster.processes.values()]
         cluster.run(max([cluster.now, *resumed]) + 12.0)
         cluster.sample()
-        truth = {number: each.detector.local.generation for number, each in cluster.processes.items()}
+        actual = {number: process.detector.local.generation for number, process in cluster.processes.items()}
         for sample in cluster.samples[-MEMBERS:]:
-            assert dict(sample.live) == truth, (sample.observer, sample.live, truth)
+            assert dict(sample.live) == actual, (sample.observer, sample.live, actual)
 
 
 TestHistories = Histories.TestCase
@@ -159,8 +159,8 @@
 )
 
 
-def test_records_of_thousands_of_invented_members_do_not_grow_the_table_beyond_its_bound() -> None:
-    """A sender that has the key reports members without end."""
+def test_records_of_thousands_of_fictitious_members_do_not_exceed_the_table_limit() -> None:
+    """Guards against a sender with the key that reports an unlimited number of members."""
     cluster = VirtualCluster(2, 1)
     cluster.run(1.0)
     table, rng = cluster.processes[0].detector.table, random.Random(1)
--- a/tests/cluster/test_virtual_time_scenarios.py
+++ b/tests/cluster/test_virtual_time_scenarios.py
@@ -1,4 +1,4 @@
-"""Each failure scenario in virtual time, by several seeds: the promise of `topazbank.cluster`, judged from outside."""
+"""Black-box test of the guarantees of `topazbank.cluster`, by failure scenarios in virtual time with several seeds."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize("members", [5, 12])
 @pytest.mark.parametrize("name", SCENARIOS)
-def test_nobody_alive_is_declared_dead_and_views_converge_in_each_scenario(name: str, members: int) -> None:
+def test_no_live_member_is_declared_dead_and_views_converge_in_each_scenario(name: str, members: int) -> None:
     for seed in range(3):
         scenario = SCENARIOS[name](members, random.Random(seed), 1.0)
         outcome = VirtualCluster(members, seed).run_scenario(scenario)
@@ -22,30 +22,30 @@
 
 
 @pytest.mark.parametrize("members", [3, 8, 24])
-def test_a_death_is_known_to_all_within_the_time_that_the_settings_state(members: int) -> None:
+def test_all_members_know_of_a_death_within_the_time_derived_from_the_settings(members: int) -> None:
     detection_s: list[float] = []
     for seed in range(10):
         scenario = SCENARIOS["killed"](members, random.Random(seed), 1.0)
         outcome = VirtualCluster(members, seed).run_scenario(scenario)
-        assert len(outcome.detection_s) == members - 1, f"seed {seed}: not all knew"
+        assert len(outcome.detection_s) == members - 1, (
+            f"seed {seed}: {len(outcome.detection_s)} members detected the death, expected {members - 1}"
+        )
         detection_s += outcome.detection_s
-    aim_s = ProtocolSettings().detection_p99_us(members) / 1e6
-    if (
-        members > 3
-    ):  # of three, one suspect is a third of the cluster: a mass suspicion, which takes twice as long
-        assert sorted(detection_s)[int(0.99 * len(detection_s)) - 1] <= aim_s
-    assert aim_s <= 4.0 and max(detection_s) <= 4.0
+    detection_target_s = ProtocolSettings().detection_p99_us(members) / 1e6
+    if members > 3:  # one suspect of three is a mass suspicion, which doubles the timeout
+        assert sorted(detection_s)[int(0.99 * len(detection_s)) - 1] <= detection_target_s
+    assert detection_target_s <= 4.0 and max(detection_s) <= 4.0
 
 
-def test_one_seed_replays_all() -> None:
+def test_the_same_seed_replays_the_same_run() -> None:
     scenario = SCENARIOS["very_lossy"](6, random.Random(4), 0.5)
-    one, other = VirtualCluster(6, 4), VirtualCluster(6, 4)
-    assert one.run_scenario(scenario).suspicions == other.run_scenario(scenario).suspicions
-    assert one.changes == other.changes and one.sent == other.sent
+    first, second = VirtualCluster(6, 4), VirtualCluster(6, 4)
+    assert first.run_scenario(scenario).suspicions == second.run_scenario(scenario).suspicions
+    assert first.changes == second.changes and first.sent == second.sent
 
 
 @pytest.mark.parametrize("members", [8, 100, 400])
-def test_messages_a_member_and_second_do_not_grow_with_the_cluster(members: int) -> None:
+def test_message_rate_per_member_does_not_grow_with_the_cluster(members: int) -> None:
     cluster = VirtualCluster(members, 1, measure_bytes=True, settled=True)
     cluster.run(1.0)
     cluster.sent.clear()
@@ -54,7 +54,7 @@
     assert cluster.sent["longest"] <= ProtocolSettings().datagram_bytes
 
 
-def test_under_loss_no_member_sends_more_than_the_bound_for_trouble() -> None:
+def test_under_loss_no_member_exceeds_the_fault_message_rate() -> None:
     cluster = VirtualCluster(24, 1, measure_bytes=True)
     cluster.run(3.0)
     cluster.faults.loss = 0.4
