--- a/tests/test_fast_parser.py
+++ b/tests/test_fast_parser.py
@@ -1,4 +1,4 @@
-"""The fast parser reads a message as h11 does, or leaves it to h11."""
+"""The fast parser parses a message to the same result as h11, or does not accept it."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def parse_with_h11(reader: h11.Connection, data: bytes, head_type: type) -> object:
-    """Start line, headers and body as h11 reads them; None where it is incomplete, malformed, or followed by more."""
+    """Parse one message with h11; return None if it is incomplete, malformed or followed by other data."""
     reader.receive_data(data)
     head: h11.Request | h11.Response | None = None
     body = b""
@@ -37,7 +37,7 @@
         return None
     start = (head.method, head.target) if isinstance(head, h11.Request) else head.status_code
     if head.http_version != b"1.1" or reader.their_state is not h11.DONE:
-        return None  # the connection ends with it, which the fast parser accepts of no message
+        return None  # the fast parser accepts no message that ends the connection
     return start, list(head.headers), body
 
 
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("lines", NOT_PLAIN_HEADERS)
-def test_messages_with_unusual_headers_are_left_to_h11(lines: bytes) -> None:
+def test_messages_with_unusual_headers_are_not_accepted(lines: bytes) -> None:
     assert not check_request(b"POST /api HTTP/1.1\r\nHost: x\r\n" + lines + b"\r\n\r\nabc")
     assert not check_response(b"HTTP/1.1 200 OK\r\nX: y\r\n" + lines + b"\r\n\r\nabc")
 
@@ -117,21 +117,21 @@
         b"POST /\x80 HTTP/1.1",
     ],
 )
-def test_unusual_request_lines_are_left_to_h11(line: bytes) -> None:
+def test_unusual_request_lines_are_not_accepted(line: bytes) -> None:
     assert not check_request(line + b"\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc")
 
 
 @pytest.mark.parametrize("hosts", [b"", b"Host: x\r\nHost: x\r\n"])
-def test_a_request_without_exactly_one_host_is_left_to_h11(hosts: bytes) -> None:
+def test_a_request_without_exactly_one_host_is_not_accepted(hosts: bytes) -> None:
     assert not check_request(b"GET /api HTTP/1.1\r\n" + hosts + b"X: y\r\n\r\n")
 
 
 @pytest.mark.parametrize("status", [b"100", b"101", b"199", b"204", b"205", b"304", b"600", b"2000", b"20"])
-def test_bodiless_and_interim_responses_are_left_to_h11(status: bytes) -> None:
+def test_bodiless_and_interim_responses_are_not_accepted(status: bytes) -> None:
     assert not check_response(b"HTTP/1.1 " + status + b" X\r\nContent-Length: 3\r\n\r\nabc")
 
 
-def test_truncated_too_long_and_followed_messages_are_left_to_h11() -> None:
+def test_truncated_too_long_and_followed_messages_are_not_accepted() -> None:
     for end in range(len(REQUEST)):
         assert parse_request(REQUEST[:end], BODY_BYTES_MAX) is None
     for end in range(len(RESPONSE)):
@@ -146,18 +146,18 @@
     )
 
 
-_fragments = st.sampled_from(
+_inserted_bytes = st.sampled_from(
     [b"\r", b"\n", b"\r\n", b" ", b"\t", b":", b"\x00", b"\x7f", b"\xe9", b"0", b"3", b",", b"x", b""]
 )
-_changes = st.lists(st.tuples(st.integers(0, 130), st.integers(0, 3), _fragments), max_size=3)
+_mutations = st.lists(st.tuples(st.integers(0, 130), st.integers(0, 3), _inserted_bytes), max_size=3)
 
 
 @settings(max_examples=400, deadline=None)
-@given(st.sampled_from([REQUEST, RESPONSE]), _changes)
+@given(st.sampled_from([REQUEST, RESPONSE]), _mutations)
 def test_both_parsers_agree_on_mutated_messages(
-    message: bytes, changes: list[tuple[int, int, bytes]]
+    message: bytes, mutations: list[tuple[int, int, bytes]]
 ) -> None:
-    for start, removed, inserted in changes:
+    for start, removed, inserted in mutations:
         message = message[:start] + inserted + message[start + removed :]
     check_request(message)
     check_response(message)
--- a/topazbank/http/answering.py
+++ b/topazbank/http/answering.py
@@ -1,7 +1,7 @@
 """The sending half of a client's HTTP connection: answers, streamed answers, flow control and the connection's end.
 
-Promise: a client can tell a complete answer from a truncated one, whatever version of HTTP/1 it speaks, and an answer
-that ends the connection arrives although the client may still be sending.
+Guarantees: a client of any HTTP/1 version can distinguish a complete answer from a truncated one.  The last answer on a
+connection is delivered even if the client is still sending.
 """
 
 from __future__ import annotations
@@ -22,39 +22,37 @@
 
 log = logging.getLogger(__name__)
 
-_DISCARDED_BYTES_MAX: Final = 128 * BUFFERED_BODY_BYTES_MAX  # behind a last answer, so that it arrives
+_DISCARDED_BYTES_MAX: Final = 128 * BUFFERED_BODY_BYTES_MAX  # after the last answer, to deliver it
 _RESET_ON_CLOSE: Final = struct.pack("ii", 1, 0)  # struct linger: on, 0 s
 
 
 class AnsweringConnection(ClientConnection):
-    """Sends answers; its subclass reads requests."""
+    """Sends answers; the subclass reads requests."""
 
     def __init__(self, table: ConnectionTable, sock: socket.socket) -> None:
         super().__init__(table, sock)
-        self._stream: ResponseStream | None = None  # the answer that is being streamed
-        self._framing: StreamFraming | None = None  # of `_stream`
+        self._stream: ResponseStream | None = None  # the streamed answer in progress
+        self._framing: StreamFraming | None = None  # the framing of `_stream`
         self._write_blocked = False  # whether the kernel has not accepted all of the last answer
-        self._discarded_bytes: int | None = (
-            None  # received after the last answer; None: there may be more answers
-        )
+        self._discarded_bytes: int | None = None  # after the last answer; None: not sent yet
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register it (called by asyncio)."""
+        """Register the connection (called by asyncio)."""
         super().connection_made(transport)
         assert self._transport is not None
         self._transport.set_write_buffer_limits(high=0)
 
     # -- Hooks ----------------------------------------------------------------------------------------
 
-    def _answer_sent(self, closes: bool, unread_state: ConnectionState) -> None:
-        """An answer is written: end the connection if it `closes`, else turn to the next request.
+    def _answer_sent(self, close_connection: bool, unread_state: ConnectionState) -> None:
+        """Continue after a written answer: close the connection if `close_connection`, else read the next request.
 
-        `unread_state`: the connection's state, and so its time limit, while the client has not read all of the answer.
+        `unread_state`: the connection state, which sets the time limit, until the client has read all of the answer.
         """
         raise NotImplementedError
 
     def _next_request(self) -> None:
-        """Turn to the request behind the answered one, if all is answered and written."""
+        """Process the next pipelined request once the current answer has been written completely."""
         raise NotImplementedError
 
     # -- Answers --------------------------------------------------------------------------------------
@@ -62,30 +60,32 @@
     def _can_send(self) -> bool:
         return self._transport is not None and not self._transport.is_closing()
 
-    def _send_answer(self, status: int, headers: Headers, body: bytes, closes: bool, to_head: bool) -> None:
+    def _send_answer(
+        self, status: int, headers: Headers, body: bytes, close_connection: bool, is_head_request: bool
+    ) -> None:
         """Write a complete answer."""
         assert self._transport is not None
-        self._transport.write(format_answer(status, headers, body, closes, to_head))
-        self._answer_sent(closes, ConnectionState.CLOSING)
+        self._transport.write(format_answer(status, headers, body, close_connection, is_head_request))
+        self._answer_sent(close_connection, ConnectionState.CLOSING)
 
     def _begin_stream(
-        self, content_headers: Headers, stream: ResponseStream, http_1_1: bool, closes: bool
+        self, content_headers: Headers, stream: ResponseStream, http_1_1: bool, close_connection: bool
     ) -> None:
-        """Write the beginning of a streamed answer; stream_data and stream_ended follow."""
+        """Write the first part of a streamed answer; calls of stream_data and stream_ended follow."""
         assert self._transport is not None
-        self._framing = stream_framing(stream.length, http_1_1, closes)
+        self._framing = stream_framing(stream.length, http_1_1, close_connection)
         self._stream = stream
         stream.receiver = self
         self._table.set_state(self, ConnectionState.AWAITING_ANSWER)
         self._transport.write(self._framing.head(content_headers) + self._framing.frame(stream.first_data))
 
     def stream_data(self, data: bytes) -> None:
-        """Forward what came next of a streamed answer."""
+        """Forward the next part of a streamed answer."""
         if self._transport is not None and not self._transport.is_closing() and self._framing is not None:
             self._transport.write(self._framing.frame(data))
 
     def stream_ended(self, complete: bool) -> None:
-        """End a streamed answer; a truncated one ends its connection, so that the client can tell."""
+        """End a streamed answer; a truncated one closes the connection, so that the client detects it."""
         framing = self._framing
         self._stream, self._framing = None, None
         if self._transport is None or self._transport.is_closing() or framing is None:
@@ -98,25 +98,25 @@
             return
         if framing.chunked:
             self._transport.write(LAST_CHUNK)
-        self._answer_sent(framing.closes, ConnectionState.STREAMING_ANSWER)
+        self._answer_sent(framing.close_connection, ConnectionState.STREAMING_ANSWER)
 
     # -- Flow control ---------------------------------------------------------------------------------
 
     def pause_writing(self) -> None:
-        """Pause a streamed answer's server: the client does not read (called by asyncio)."""
+        """Pause the streamed answer at the server, since the client does not read (called by asyncio)."""
         self._write_blocked = True
         if self._stream is not None:
             self._stream.pause(True)
             self._table.set_state(self, ConnectionState.STREAMING_ANSWER)
 
     def resume_writing(self) -> None:
-        """Go on: the kernel has accepted all that was written (called by asyncio)."""
+        """Continue once the kernel has accepted all written data (called by asyncio)."""
         self._write_blocked = False
         if self._stream is not None:
             self._table.set_state(self, ConnectionState.AWAITING_ANSWER)
             self._stream.pause(False)
         elif self._discarded_bytes is not None:
-            self._table.set_state(self, ConnectionState.CLOSING)  # the client has to close its side now
+            self._table.set_state(self, ConnectionState.CLOSING)  # waits for the client to close
         else:
             self._next_request()
 
@@ -127,10 +127,10 @@
     # -- Closing --------------------------------------------------------------------------------------
 
     def _linger(self, state: ConnectionState) -> None:
-        """Close the sending side and discard what still comes.
+        """Close the sending side and discard any further input.
 
-        Guards against losing the last answer: a close with unread bytes is a reset, which discards what the client has
-        not read yet (RFC 9112, 9.6).
+        Prevents the loss of the last answer: closing a socket with unread input sends a reset, which discards any data
+        that the client has not read yet (RFC 9112, 9.6).
         """
         if self._transport is not None and not self._transport.is_closing():
             self._discarded_bytes = 0
@@ -140,13 +140,13 @@
                 self._transport.resume_reading()
 
     def _discard(self, count: int) -> None:
-        """Discard `count` bytes behind the last answer, up to a bound."""
+        """Count `count` discarded bytes after the last answer; pause reading above the limit."""
         self._discarded_bytes = (self._discarded_bytes or 0) + count
         if self._discarded_bytes > _DISCARDED_BYTES_MAX:
             self._pause_reading()
 
     def _reset(self) -> None:
-        """Close with a reset: to a client of HTTP/1.0 an ordinary close means that the answer is complete."""
+        """Close with a reset: an HTTP/1.0 client takes an ordinary close for the end of a complete answer."""
         with contextlib.suppress(OSError):
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         self.abort()
--- a/topazbank/http/attempt.py
+++ b/topazbank/http/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt or health check over HTTP, and what its end proves."""
+"""One attempt or health check over HTTP, and the classification of its outcome."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 from topazbank.http.connection import UpstreamConnection
 from topazbank.http.messages import HttpResponse
 
-RequestFormatter = Callable[[float], bytes]  # called with the remaining seconds, when the request is written
+RequestFormatter = Callable[[float], bytes]  # called with the remaining seconds when the request is written
 
 
 @dataclass(slots=True, eq=False)
 class Pool:
-    """The idle connections to a server, and the attempts that wait for a connect to it."""
+    """The idle connections to a server, and the attempts whose connect is in progress."""
 
-    # The longest idle first, each with the timer that closes it; bounded by the limit on all connections.
+    # Ordered from the longest idle, each with the timer that closes it.  The connection limit bounds the length.
     idle: list[tuple[UpstreamConnection, Timer]] = field(default_factory=list)
     connecting: set[HttpAttempt] = field(default_factory=set)
 
 
 class HttpAttempt(Attempt):
-    """One attempt or health check over HTTP, from the connect to its one outcome."""
+    """One attempt or health check over HTTP, from the connect to its single outcome."""
 
     def __init__(
         self,
@@ -42,12 +42,12 @@
         self.pool: Pool = endpoint.pool
         self.format_request = format_request
         self.is_health_check = False
-        self.report: Mapping[str, float] | None = None  # of a streamed response
+        self.report: Mapping[str, float] | None = None  # the load report of a streamed response
         self.connection: UpstreamConnection | None = None
         self.connect_task: asyncio.Task[bool] | None = None
 
     def release(self, outcome: Outcome) -> None:
-        """Close the connection where the attempt was abandoned: HTTP/1.1 has no other way to cancel a request."""
+        """Close the connection of an abandoned attempt: HTTP/1.1 has no other way to cancel a request."""
         self.pool.connecting.discard(self)
         if outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.CONNECT_FAILED, Outcome.UNSENT):
             if self.connection is not None:
@@ -56,20 +56,20 @@
                 self.connect_task.cancel()
 
     def cancel_unwritten(self) -> None:
-        """End it unsent unless the request's last byte has gone to the kernel."""
+        """End the attempt as unsent unless the kernel has accepted the last byte of the request."""
         if self.connection is None or not self.connection.written:
             self.end(Outcome.UNSENT)
 
     def time_out(self) -> None:
-        """End it at its deadline."""
+        """End the attempt at its deadline."""
         written = self.connection is not None and self.connection.written
         self.end(Outcome.TIMED_OUT if written else Outcome.CONNECT_FAILED)
 
 
 def classify_outcome(response: HttpResponse | None, written: bool, malformed: bool) -> Outcome:
-    """What the end of an exchange proves; the request counts as not executed only where that is certain.
+    """Classify the end of an exchange; a request counts as not executed only if that is certain.
 
-    `malformed`: what came was no valid response, so the server is there, in contrast to a connection that was lost.
+    `malformed`: the received data was not a valid response.  The server is reachable, unlike after a lost connection.
     """
     if response is None and not written:
         return Outcome.CONNECT_FAILED
--- a/topazbank/http/client.py
+++ b/topazbank/http/client.py
@@ -1,6 +1,6 @@
-"""The HTTP client of servers: connection pools, attempts and health checks.
+"""The HTTP client for upstream servers: connection pools, attempts and health checks.
 
-Promise: nothing is resent silently, and only a request whose last byte was written may have been executed.  A
+Guarantees: no request is resent silently, and only a request whose last byte was written may have been executed.  A
 connection carries one request at a time.
 """
 
@@ -29,12 +29,12 @@
 
 log = logging.getLogger(__name__)
 
-_REUSE_DELAY_RATIO: Final = 0.12  # of the connect timeout: an idle connection is not reused earlier
-_IDLE_MARGIN_RATIO: Final = 0.1  # an idle connection is closed this part of its time before the server would
+_REUSE_DELAY_RATIO: Final = 0.12  # minimum idle time before reuse, as a share of the connect timeout
+_IDLE_MARGIN_RATIO: Final = 0.1  # share of the server's idle timeout by which this side closes earlier
 
 
 class HttpUpstreamClient:
-    """All HTTP connections to servers, within a limit shared with other protocols."""
+    """Manages all HTTP connections to servers, within a limit shared with other protocols."""
 
     def __init__(
         self,
@@ -43,7 +43,11 @@
         connection_limit: ConnectionLimit,
         report_columns: Collection[str] = (),
     ) -> None:
-        """`idle_timeout_s`: after which servers close; `report_columns`: of load reports; none: there are none."""
+        """Create a client without endpoints.
+
+        `idle_timeout_s`: the time after which servers close idle connections.  `report_columns`: the columns of load
+        reports; empty if servers send no load reports.
+        """
         self._connect_timeout_s = connect_timeout_s
         self._idle_s = idle_timeout_s * (1.0 - _IDLE_MARGIN_RATIO)
         self._reuse_delay_s = _REUSE_DELAY_RATIO * connect_timeout_s
@@ -55,22 +59,22 @@
     # -- Endpoints ------------------------------------------------------------------------------------
 
     def add_endpoint(self, endpoint: Endpoint) -> None:
-        """Make the connection pool of a server that was added."""
+        """Create the connection pool of an added server."""
         endpoint.pool = self._pools[endpoint.name] = Pool()
 
     def endpoint_restarted(self, endpoint: Endpoint) -> None:
-        """Use no connection opened so far again; attempts end unsent, which is no fault of the server."""
-        self._end_unwritten(endpoint, Outcome.UNSENT)
+        """Stop using the connections opened so far; unwritten attempts end as unsent, not as a server failure."""
+        self._end_unwritten_attempts(endpoint, Outcome.UNSENT)
 
     def drain_endpoint(self, endpoint: Endpoint) -> None:
-        """End what is not written and close what is idle: a slow connect may outlast the drain grace."""
-        self._end_unwritten(endpoint, Outcome.CONNECT_FAILED)
+        """End unwritten attempts and close idle connections: a slow connect may outlast the drain grace period."""
+        self._end_unwritten_attempts(endpoint, Outcome.CONNECT_FAILED)
 
     def remove_endpoint(self, endpoint: Endpoint) -> None:
-        """Forget a server that was removed."""
+        """Delete the connection pool of a removed server."""
         del self._pools[endpoint.name]
 
-    def _end_unwritten(self, endpoint: Endpoint, outcome: Outcome) -> None:
+    def _end_unwritten_attempts(self, endpoint: Endpoint, outcome: Outcome) -> None:
         self.close_idle(endpoint)
         for attempt in list(endpoint.pool.connecting):
             attempt.end(outcome)
@@ -84,7 +88,7 @@
         return self._start(HttpAttempt(endpoint, partial(format_request, call), deadlines, on_ended, call))
 
     def check_health(self, endpoint: Endpoint, give_up_at: float, on_ended: OutcomeCallback) -> HttpAttempt:
-        """Start a health check; its response has the load report where there are reports."""
+        """Start a health check; its response includes the load report if servers send load reports."""
         target = b"/stats" if self._report_columns else b"/health/live"
         data = format_message(b"GET %b HTTP/1.1" % target, [(b"Host", endpoint.name.encode())])
         attempt = HttpAttempt(endpoint, lambda _: data, AttemptDeadlines(give_up_at), on_ended)
@@ -106,7 +110,7 @@
             attempt.connect_task = loop.create_task(self._connect(attempt))
             attempt.connect_task.add_done_callback(self._connect_ended)
         else:
-            # This process's own limit: it says nothing of the server.
+            # The limit is local to this process and does not indicate a server failure.
             log.warning("connection limit reached: attempt at %s is not sent", attempt.endpoint.name)
             attempt.end(Outcome.UNSENT)
         return attempt
@@ -123,21 +127,21 @@
         if call is None:
             connection.request(data, on_response)
         else:
-            rest = call.spooled_body.chunks() if call.spooled_body is not None else None
-            connection.request(data, on_response, rest, call.accepts_stream)
+            body_chunks = call.spooled_body.chunks() if call.spooled_body is not None else None
+            connection.request(data, on_response, body_chunks, call.accepts_stream)
 
     def _response_received(
         self, attempt: HttpAttempt, connection: UpstreamConnection, response: HttpResponse | None
     ) -> None:
         if response is not None and response.stream is not None:
             connection.on_stream_end = partial(self._stream_ended, attempt, connection, response.stream)
-            neutral = self._neutral_response(attempt, Outcome.DELIVERED, response)
-            attempt.report = neutral.report
-            attempt.response_started(neutral)
+            core_response = self._to_core_response(attempt, Outcome.DELIVERED, response)
+            attempt.report = core_response.report
+            attempt.response_started(core_response)
             return
         self._return_to_pool(attempt, connection)
         outcome = classify_outcome(response, connection.written, connection.malformed)
-        attempt.end(outcome, None if response is None else self._neutral_response(attempt, outcome, response))
+        attempt.end(outcome, None if response is None else self._to_core_response(attempt, outcome, response))
 
     def _stream_ended(
         self, attempt: HttpAttempt, connection: UpstreamConnection, stream: ResponseStream, complete: bool
@@ -147,7 +151,7 @@
         failure = Outcome.CANCELLED if stream.is_aborted else Outcome.CONNECTION_LOST
         attempt.end(Outcome.DELIVERED if complete else failure, Response(b"", None, attempt.report))
 
-    def _neutral_response(self, attempt: HttpAttempt, outcome: Outcome, response: HttpResponse) -> Response:
+    def _to_core_response(self, attempt: HttpAttempt, outcome: Outcome, response: HttpResponse) -> Response:
         if attempt.is_health_check:
             delivered = outcome is Outcome.DELIVERED
             report = parse_health_report(response.body, self._report_columns) if delivered else None
@@ -159,7 +163,7 @@
     # -- Connecting -----------------------------------------------------------------------------------
 
     async def _connect(self, attempt: HttpAttempt) -> bool:
-        """Connect and write; return whether there is a connection now."""
+        """Connect and write the request; return whether the connect succeeded."""
         endpoint = attempt.endpoint
         try:
             sock = new_socket(endpoint.address)
@@ -173,7 +177,7 @@
             attempt.end(Outcome.CONNECT_FAILED)
             return False
         connection.on_lost = self._connection_limit.release
-        attempt.connect_task = None  # this task, which must not be cancelled from now on
+        attempt.connect_task = None  # this task must not be cancelled any more
         if attempt.on_ended is None:
             connection.abort()
         else:
@@ -186,10 +190,10 @@
 
     @staticmethod
     def _connect_timed_out(attempt: HttpAttempt, sock: socket.socket) -> None:
-        """End an attempt whose connect takes too long, unless the kernel has completed it.
+        """End an attempt whose connect timed out, unless the kernel has completed the connect.
 
-        Guards against a delay of this process being taken for a server that is down: the connect would then look late,
-        and healthy servers would be ejected.  The attempt's own deadline still bounds it.
+        A delay of this process makes a completed connect look late.  Without the check, healthy servers would be
+        counted as down and ejected.  The deadline of the attempt still applies.
         """
         if attempt.connection is None and not is_connected(sock):
             attempt.end(Outcome.CONNECT_FAILED)
@@ -197,16 +201,15 @@
     # -- Idle connections -----------------------------------------------------------------------------
 
     def _take_idle(self, pool: Pool) -> UpstreamConnection | None:
-        """The most recently used connection that has been idle for the reuse delay, None where there is none.
+        """Remove and return the most recently used connection that has been idle for the reuse delay, or None.
 
-        Guards against a server that ends a connection, or sends more bytes, just after its response: for as long as
-        that is on the network, a request written meanwhile may be executed and its response lost, or be matched with
-        another's.
+        A server may close a connection, or send more bytes, just after its response.  A request written before that
+        arrives here may be executed and its response lost, or be matched with the wrong response.
         """
-        closes_by = asyncio.get_running_loop().time() + self._idle_s - self._reuse_delay_s
+        latest_expiry = asyncio.get_running_loop().time() + self._idle_s - self._reuse_delay_s
         for index in reversed(range(len(pool.idle))):
             connection, timer = pool.idle[index]
-            if timer.when() > closes_by:
+            if timer.when() > latest_expiry:
                 continue
             del pool.idle[index]
             timer.cancel()
@@ -216,7 +219,7 @@
         return None
 
     def _return_to_pool(self, attempt: HttpAttempt, connection: UpstreamConnection) -> None:
-        """Keep a connection for the next request, for less long than the server keeps it."""
+        """Keep a connection for the next request, for a shorter time than the server keeps it."""
         endpoint = attempt.endpoint
         if not connection.reusable:
             return
@@ -233,13 +236,13 @@
         connection.abort()
 
     def max_idle_connections(self) -> int:
-        """How many idle connections the server with the most of them has."""
+        """Return the highest number of idle connections to a single server."""
         return max((len(pool.idle) for pool in self._pools.values()), default=0)
 
     def close_oldest_idle(self) -> None:
-        """Close the longest idle connection to that server."""
-        fullest = max(self._pools.values(), key=lambda pool: len(pool.idle))
-        connection, timer = fullest.idle.pop(0)
+        """Close the longest idle connection to the server with the most idle connections."""
+        largest_pool = max(self._pools.values(), key=lambda pool: len(pool.idle))
+        connection, timer = largest_pool.idle.pop(0)
         timer.cancel()
         connection.abort()
 
@@ -255,7 +258,7 @@
             connection.abort()
 
     async def close(self) -> None:
-        """Close what is idle and wait for connects in progress to end."""
+        """Close idle connections and wait for connects in progress to end."""
         tasks = [
             attempt.connect_task
             for pool in self._pools.values()
--- a/topazbank/http/connection.py
+++ b/topazbank/http/connection.py
@@ -1,7 +1,8 @@
 """One connection to a server: writes a request, reads its response, and streams a large response to the client.
 
-Promise: it is known whether a request's last byte has gone to the kernel, and a connection is reusable only if its last
-exchange ended exactly where the framing says.  h11 parses what the fast parser leaves.
+Guarantees: `written` indicates whether the kernel has accepted the last byte of a request.  A connection is reusable
+only if its last exchange ended exactly at the end given by the framing.  h11 parses messages that the fast parser does
+not accept.
 """
 
 from __future__ import annotations
@@ -30,10 +31,10 @@
 
 log = logging.getLogger(__name__)
 
-_SLOW_RESPONSE_S: Final = 0.03  # a response of unknown length is streamed if it is incomplete after so long
-_CHUNKS_PER_TURN: Final = 16  # of a large request body, before the event loop turns to others
-_STREAM_STALL_S: Final = 20.0  # without a byte of a streamed response
-_STREAM_LIMIT_S: Final = 600.0  # for all of a streamed response: 32 MB at 64 kB a second, with a margin
+_SLOW_RESPONSE_S: Final = 0.03  # after this, a partial response of unknown length is streamed
+_CHUNKS_PER_LOOP_ITERATION: Final = 16  # chunks of a large request body per event loop iteration
+_STREAM_STALL_S: Final = 20.0  # maximum time without a byte of a streamed response
+_STREAM_LIMIT_S: Final = 600.0  # for a whole streamed response: 32 MB at 64 kB/s, with a margin
 _INTERIM_RESPONSES_MAX: Final = 8  # 1xx responses before the final one
 
 ResponseCallback = Callable[[HttpResponse | None], None]
@@ -51,40 +52,41 @@
     """One connection to a server; it carries one request at a time."""
 
     def __init__(self, sock: socket.socket, body_bytes_max: int, stall_s: float | None = None) -> None:
-        """`body_bytes_max`: a longer response is streamed or fails.
+        """Create the protocol for a connected socket.
 
-        `stall_s`: how long a response that has begun may make no progress; None: its attempt's deadline bounds it.
+        `body_bytes_max`: a longer response is streamed or fails.  `stall_s`: the maximum time without progress of a
+        partial response; None: only the deadline of the attempt applies.
         """
         self.sock = sock
         self.reusable = True
-        self.malformed = False  # whether what came was no valid response
-        self.written = False  # whether the request's last byte has gone to the kernel
+        self.malformed = False  # whether the received data was not a valid response
+        self.written = False  # whether the kernel has accepted the last byte of the request
         self.on_lost: Callable[[], None] = _ignore_lost
-        self.on_stream_end: Callable[[bool], None] = _ignore_stream_end  # called with whether it was complete
+        self.on_stream_end: Callable[[bool], None] = _ignore_stream_end  # argument: whether complete
         self._transport: asyncio.Transport | None = None
         self._body_bytes_max = body_bytes_max
         self._stall_s = stall_s
         self._stall_timer: asyncio.TimerHandle | None = None
-        self._slow_timer: asyncio.TimerHandle | None = None  # when a response of unknown length is streamed
+        self._slow_timer: asyncio.TimerHandle | None = None  # for a response of unknown length
         # The exchange in progress.
         self._on_response: ResponseCallback | None = None
-        self._request_rest: Iterator[bytes] | None = None  # chunks of its body that are not written yet
+        self._unwritten_chunks: Iterator[bytes] | None = None  # chunks of its body that are not written yet
         self._accepts_stream = False
         self._interim_responses = 0
-        self._reader: h11.Connection | None = None  # of a response that the fast parser did not accept
+        self._reader: h11.Connection | None = None  # parses a response that the fast parser did not accept
         self._head: h11.Response | None = None
-        self._headers: Headers = []  # of _head: h11 builds each pair anew whenever they are iterated
+        self._headers: Headers = []  # copy of the headers of _head: h11 rebuilds each pair on every iteration
         self._body = bytearray()
         # The streamed response in progress.
         self._stream: ResponseStream | None = None
         self._stream_timer: asyncio.TimerHandle | None = None
-        self._reading_paused = False  # because its client does not read
+        self._reading_paused = False  # whether reading is paused because the client does not read
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin (called by asyncio)."""
+        """Store the transport (called by asyncio)."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        # With no high-water mark, resume_writing means that all has gone to the kernel.
+        # With a high-water mark of 0, resume_writing means that the kernel has accepted all data.
         transport.set_write_buffer_limits(high=0)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -98,13 +100,13 @@
         self.on_lost()
 
     def is_idle(self) -> bool:
-        """Whether it may carry another request; an end or bytes that nobody has read yet rule that out."""
+        """Whether the connection can carry another request; an unread end of stream or unread bytes prevent that."""
         is_open = self._transport is not None and not self._transport.is_closing()
         busy = self._on_response is not None or self._stream is not None
         return is_open and self.reusable and not busy and has_nothing_unread(self.sock)
 
     def abort(self) -> None:
-        """Close at once; what is not written yet never will be."""
+        """Close immediately and discard data that is not written yet."""
         self.reusable = False
         if self._transport is not None:
             self._transport.abort()
@@ -115,29 +117,29 @@
         self,
         data: bytes,
         on_response: ResponseCallback,
-        rest: Iterator[bytes] | None = None,
+        body_chunks: Iterator[bytes] | None = None,
         accepts_stream: bool = False,
     ) -> None:
         """Write a request; `on_response` is called once, with the response or with None if the exchange failed.
 
-        `rest`: chunks of its body behind `data`, written as the server reads them.  `accepts_stream`: a response over
-        the bound is passed on once it has begun; `on_stream_end` is called at its end.
+        `body_chunks`: the body after `data`, written as the server reads it.  `accepts_stream`: a response over the
+        size limit is forwarded while it is received, and `on_stream_end` is called at its end.
         """
         assert self._transport is not None
         self._on_response, self.written, self._interim_responses = on_response, False, 0
         self._reader = None
-        self._request_rest, self._accepts_stream = rest, accepts_stream
+        self._unwritten_chunks, self._accepts_stream = body_chunks, accepts_stream
         self._write(data)
 
     def _write(self, data: bytes) -> None:
-        """Write `data`, and the chunks that follow as far as the kernel accepts them at once."""
+        """Write `data`, then further chunks for as long as the kernel accepts them without blocking."""
         transport = self._transport
         assert transport is not None
-        for _ in range(_CHUNKS_PER_TURN):
+        for _ in range(_CHUNKS_PER_LOOP_ITERATION):
             transport.write(data)
-            # A failed write closes the transport and empties its buffer, with nothing of it sent.
+            # A failed write closes the transport and empties its buffer without sending the data.
             if transport.is_closing() or transport.get_write_buffer_size():
-                return  # resume_writing goes on
+                return  # resume_writing continues
             data = self._next_chunk()
             if not data:
                 self.written = True
@@ -145,14 +147,14 @@
         asyncio.get_running_loop().call_soon(self._continue_writing, data)
 
     def _next_chunk(self) -> bytes:
-        return next(self._request_rest, b"") if self._request_rest is not None else b""
+        return next(self._unwritten_chunks, b"") if self._unwritten_chunks is not None else b""
 
     def _continue_writing(self, data: bytes) -> None:
         if self._on_response is not None and self._transport is not None and not self._transport.is_closing():
             self._write(data)
 
     def resume_writing(self) -> None:
-        """Go on with the request: the kernel has accepted all that was written (called by asyncio)."""
+        """Write the next chunk once the kernel has accepted all written data (called by asyncio)."""
         if self._on_response is None:
             return
         data = self._next_chunk()
@@ -164,25 +166,25 @@
     # -- Reading a response ---------------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
-        """Read what has come (called by asyncio)."""
+        """Parse received data (called by asyncio)."""
         if self._stream is not None:
             self._parse(data)
             self._restart_stall_timer(_STREAM_STALL_S)
             return
         if self._on_response is None:
-            self.abort()  # unsolicited: no request can be matched to it (RFC 9112, 9.2)
+            self.abort()  # unsolicited data without a matching request (RFC 9112, 9.2)
             return
         if self._reader is None:
-            plain = parse_response(data, self._body_bytes_max)
-            if plain is not None:
-                self._finish(plain, True)
+            response = parse_response(data, self._body_bytes_max)
+            if response is not None:
+                self._finish(response, True)
                 return
         self._parse(data)
         if self._stall_s is not None and self._has_partial_response():
             self._restart_stall_timer(_STREAM_STALL_S if self._stream is not None else self._stall_s)
 
     def eof_received(self) -> bool:
-        """End a response that ends with its connection (called by asyncio)."""
+        """End a response that is delimited by the end of the connection (called by asyncio)."""
         if self._on_response is not None or self._stream is not None:
             self._parse(b"")
         return False
@@ -203,12 +205,12 @@
                 self._finish(None)  # truncated by the end of the connection
 
     def _handle_event(self, reader: h11.Connection) -> bool:
-        """Handle one event of the parser; return whether to go on."""
+        """Handle one parser event; return whether to continue."""
         event = reader.next_event()
         if isinstance(event, h11.InformationalResponse):
             self._interim_responses += 1
             if self._interim_responses > _INTERIM_RESPONSES_MAX:
-                self._fail_malformed("too many 1xx responses")
+                self._fail_malformed(f"more than {_INTERIM_RESPONSES_MAX} interim (1xx) responses")
                 return False
         elif isinstance(event, h11.Response):
             return self._handle_head(event, reader)
@@ -228,11 +230,11 @@
         self._head, self._headers = head, list(head.headers)
         length = declared_length(self._headers)
         if length is not None and length > self._body_bytes_max:
-            return self._body_too_long(length)
-        rest = reader.trailing_data[0]
-        if not body_follows_head(self._headers, head.status_code, rest):
+            return self._stream_or_fail(length)
+        unread = reader.trailing_data[0]
+        if not body_follows_head(self._headers, head.status_code, unread):
             return True
-        self._body += rest  # spares h11 two events
+        self._body += unread  # saves two h11 events
         self._finish(self._buffered_response(), reader.our_state is h11.DONE)
         return False
 
@@ -242,26 +244,26 @@
             return self._stream is not None
         self._body += data
         if len(self._body) > self._body_bytes_max:
-            return self._body_too_long(None)
+            return self._stream_or_fail(None)
         if self._accepts_stream and self._slow_timer is None:
             loop = asyncio.get_running_loop()
-            self._slow_timer = loop.call_later(_SLOW_RESPONSE_S, self._response_is_slow)
+            self._slow_timer = loop.call_later(_SLOW_RESPONSE_S, self._stream_slow_response)
         return True
 
     def _has_partial_response(self) -> bool:
-        """Whether part of the response has come, and not all of it."""
+        """Whether the response has been received in part."""
         begun = self._reader is not None and bool(self._reader.trailing_data[0])
         return self._on_response is not None and (self._head is not None or begun)
 
     def _buffered_response(self) -> HttpResponse | None:
-        """The response that has come; None where it may be truncated."""
+        """Return the received response, or None if it may be truncated."""
         head = self._head
         if head is None or not (head.status_code in BODILESS_STATUSES or has_defined_end(self._headers)):
             return None
         return HttpResponse(head.status_code, self._headers, bytes(self._body))
 
     def _fail_malformed(self, reason: str) -> None:
-        """End the exchange: the server has sent something else than a response.  The request was executed."""
+        """End the exchange after an invalid response.  The request counts as executed."""
         log.debug("malformed response: %s", reason)
         self.malformed = True
         if self._stream is not None:
@@ -280,47 +282,47 @@
 
     # -- Streaming a response -------------------------------------------------------------------------
 
-    def _body_too_long(self, length: int | None) -> bool:
-        """Stream a response that is over the bound, or fail; return whether to go on reading.
+    def _stream_or_fail(self, length: int | None) -> bool:
+        """Stream a response over the size limit, or fail it; return whether to continue reading.
 
-        `length`: as declared, bytes; None: it is not known.
+        `length`: the declared length in bytes; None: unknown.
         """
         if self._accepts_stream and self._is_streamable() and (length or 0) <= BODY_BYTES_MAX:
             self._begin_stream(length)
         else:
-            self._fail_malformed("too long")
+            self._fail_malformed(f"body exceeds {self._body_bytes_max} bytes")
         return self._stream is not None
 
     def _is_streamable(self) -> bool:
         return self._head is not None and self._head.status_code == 200 and has_defined_end(self._headers)
 
-    def _response_is_slow(self) -> None:
-        """Stream a response of unknown length that comes slowly: its client's deadline is for its first bytes."""
+    def _stream_slow_response(self) -> None:
+        """Stream a slow response of unknown length: the deadline of the client applies to the first bytes only."""
         self._slow_timer = None
         unknown_length = not any(name == b"content-length" for name, _ in self._headers)
         if unknown_length and self._is_streamable() and self._body and self._on_response is not None:
-            self._body_too_long(None)
+            self._stream_or_fail(None)
             self._restart_stall_timer(_STREAM_STALL_S)
 
     def _begin_stream(self, length: int | None) -> None:
-        """Pass on what has come; the rest follows as the client reads."""
+        """Forward the data received so far; the remainder follows as the client reads."""
         assert self._head is not None
         if not self.written:
-            self._fail_malformed("it came before its request was written")
+            self._fail_malformed("received before the request was written")
             return
         self._cancel_timers()
         stream = ResponseStream(length, bytes(self._body), self._pause_reading, self.abort)
         self._stream, self._body = stream, bytearray()
         loop = asyncio.get_running_loop()
         self._stream_timer = loop.call_later(
-            _STREAM_LIMIT_S, self._fail_malformed, "its time limit has passed"
+            _STREAM_LIMIT_S, self._fail_malformed, f"streamed response exceeded {_STREAM_LIMIT_S} s"
         )
         on_response, self._on_response = self._on_response, None
         if on_response is not None:
             on_response(HttpResponse(self._head.status_code, self._headers, b"", stream))
 
     def _pause_reading(self, paused: bool) -> None:
-        """Read nothing while the client does not read: back-pressure on the server."""
+        """Pause or resume reading from the server, as back-pressure while the client does not read."""
         if self._transport is None or self._transport.is_closing() or paused is self._reading_paused:
             return
         self._reading_paused = paused
@@ -349,14 +351,14 @@
     # -- Time limits ----------------------------------------------------------------------------------
 
     def _restart_stall_timer(self, limit_s: float) -> None:
-        """Fail the response unless it goes on within `limit_s`."""
+        """Fail the response if no data arrives within `limit_s`."""
         self._cancel_timers()
         if not self._reading_paused and (self._on_response is not None or self._stream is not None):
             loop = asyncio.get_running_loop()
-            self._stall_timer = loop.call_later(limit_s, self._fail_malformed, "it stalled")
+            self._stall_timer = loop.call_later(limit_s, self._fail_malformed, "response stalled")
 
     def _cancel_timers(self) -> None:
-        """Cancel the stall timer, and the timer of a slow response once it has been passed on."""
+        """Cancel the stall timer, and the slow-response timer once the response has been forwarded."""
         if self._slow_timer is not None and self._on_response is None:
             self._slow_timer.cancel()
             self._slow_timer = None
@@ -368,7 +370,7 @@
 async def connect(
     address: Address, body_bytes_max: int, stall_s: float | None = None, sock: socket.socket | None = None
 ) -> UpstreamConnection:
-    """Connect to a server; raise OSError where that fails.  `sock`: a new socket to use."""
+    """Connect to a server; raise OSError on failure.  `sock`: an unconnected socket to use."""
     loop = asyncio.get_running_loop()
     sock = sock or new_socket(address)
     try:
--- a/topazbank/http/messages.py
+++ b/topazbank/http/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses of HTTP/1.1: headers, their serialized form, types shared by client and server; no I/O."""
+"""Headers, serialization and types shared by the HTTP/1.1 client and server; no I/O."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from topazbank.core.call import Headers
 
 FRAMING_HEADERS: Final = (b"content-length", b"transfer-encoding")
-CONTENT_HEADERS: Final = (b"content-type", b"content-encoding")  # they say how to read a message's body
-# RFC 9110, 7.6.1: these concern one connection and are not forwarded.
+CONTENT_HEADERS: Final = (b"content-type", b"content-encoding")  # they define how to interpret a message body
+# RFC 9110, 7.6.1: these headers apply to a single connection and are not forwarded.
 _HOP_BY_HOP_HEADERS: Final = frozenset(
     (b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade")
 )
@@ -19,32 +19,37 @@
 
 @dataclass(slots=True)
 class HttpResponse:
-    """A server's response: complete, or the beginning of a streamed one."""
+    """A response from a server: complete, or the head of a streamed response."""
 
     status: int
     headers: Headers
     body: bytes
-    stream: ResponseStream | None = None  # the body, where the response is streamed
+    stream: ResponseStream | None = None  # the body of a streamed response
 
     def header(self, name: bytes) -> str | None:
-        """The first value of a header, by its name in lower case."""
-        return next((v.decode("latin-1") for n, v in self.headers if n == name), None)
+        """Return the first value of a header; `name` is in lower case."""
+        return next((value.decode("latin-1") for key, value in self.headers if key == name), None)
 
 
 def end_to_end_headers(headers: Iterable[tuple[bytes, bytes]], *dropped: bytes) -> Headers:
-    """The headers that may be forwarded (RFC 9110, 7.6.1), without those named in `dropped`."""
-    return [(n, v) for n, v in headers if n not in _HOP_BY_HOP_HEADERS and n not in dropped]
+    """Return the headers that may be forwarded (RFC 9110, 7.6.1), except those named in `dropped`."""
+    return [
+        (name, value) for name, value in headers if name not in _HOP_BY_HOP_HEADERS and name not in dropped
+    ]
 
 
 def format_message(start_line: bytes, headers: Headers, body: bytes = b"") -> bytes:
-    """The bytes of a request or a response (RFC 9112, 2.1).
+    """Serialize a request or a response (RFC 9112, 2.1).
 
-    h11 is not used to send: its checks of outgoing messages cost a good part of the CPU per request.  All parts are
-    constants or were read by h11 or the fast parser, so none can contain the end of a line.
+    h11 is not used for sending: its checks of outgoing messages take a large part of the CPU time per request.  All
+    parts are constants or were parsed by h11 or the fast parser, so none can contain a line break.
     """
     return b"\r\n".join([start_line, *[b"%b: %b" % header for header in headers], b"", body])
 
 
 def data_bytes(event: Any) -> bytes:
-    """The data of an h11.Data event: a bytearray, though h11 declares bytes, which compiled code relies on."""
+    """Return the data of an h11.Data event as bytes: h11 declares bytes but uses bytearray.
+
+    Compiled code relies on the declared type.
+    """
     return bytes(event.data)
--- a/topazbank/http/request_reading.py
+++ b/topazbank/http/request_reading.py
@@ -1,4 +1,4 @@
-"""Reads a client's HTTP request as a call, and checks what h11 leaves to its user; no I/O."""
+"""Converts a client's HTTP request to a call, with the checks that h11 does not make; no I/O."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from topazbank.http.fast_parser import PlainRequest
 from topazbank.http.messages import CONTENT_HEADERS, FRAMING_HEADERS, end_to_end_headers
 
-_CALL_HEADERS: Final = frozenset(  # a second one is an error: a server may read the other of the two
+_CALL_HEADERS: Final = frozenset(  # duplicates are rejected: a server may use the other value
     (
         b"x-call-id",
         b"x-call-class",
@@ -34,13 +34,13 @@
 def check_head(head: h11.Request) -> None:
     """Check a request's version and framing before its body is read; raise InvalidRequest."""
     if head.http_version not in (b"1.0", b"1.1"):
-        raise InvalidRequest(505, "HTTP/1.1 is spoken here")
+        raise InvalidRequest(505, "HTTP version: expected 1.0 or 1.1")
     framing = {name: value for name, value in head.headers if name in FRAMING_HEADERS}
     if b"transfer-encoding" in framing and (len(framing) > 1 or head.http_version != b"1.1"):
-        # RFC 9112, 6.1 and 11.2: with two ways of framing one request can be smuggled inside another.
-        raise InvalidRequest(400, "two ways to tell the body's end")
+        # RFC 9112, 6.1 and 11.2: conflicting framing headers allow request smuggling.
+        raise InvalidRequest(400, "both Content-Length and Transfer-Encoding are present")
     if int(framing.get(b"content-length", b"0")) > BODY_BYTES_MAX:
-        raise InvalidRequest(413, "the body is too large")
+        raise InvalidRequest(413, f"body exceeds {BODY_BYTES_MAX} bytes")
 
 
 def parse_call(
@@ -49,18 +49,18 @@
     request_classes: RequestClasses,
     answer: Callable[[FinalAnswer], None],
 ) -> Call:
-    """Read a client's request; raise InvalidRequest where it is malformed or the settings do not allow it."""
-    headers = list(head.headers)  # h11 builds each pair anew whenever they are iterated
+    """Convert a request to a call; raise InvalidRequest if it is malformed or the settings do not allow it."""
+    headers = list(head.headers)  # h11 rebuilds each pair on every iteration
     values = _header_values(headers)
     target = origin_form(head.target)
     timeout_s = _parse_number(values[b"x-budget"], "x-budget")
     cost = values.get(b"x-call-cost")
     request_class = request_classes.request_class(values[b"x-call-class"])
     if head.method != (b"GET" if request_class.idempotency is Idempotency.IDEMPOTENT else b"POST"):
-        raise InvalidRequest(405, "not the method of the class")
+        raise InvalidRequest(405, "method: not allowed for the request class")
     caller = values.get(b"x-caller") or None
     if b"host" not in values:
-        headers.append((b"host", b"sidecar"))  # HTTP/1.0 allows none, HTTP/1.1 requires one (RFC 9112, 3.2)
+        headers.append((b"host", b"sidecar"))  # optional in HTTP/1.0, required in HTTP/1.1 (RFC 9112, 3.2)
     call = Call(
         call_id=values[b"x-call-id"],
         request_class=request_class,
@@ -86,26 +86,26 @@
 
 
 def _header_values(headers: Headers) -> dict[bytes, str]:
-    """Header values by name, the last of each; raise InvalidRequest where a call's header lacks or is repeated."""
+    """Return the last value of each header; raise InvalidRequest for a missing or duplicate call header."""
     values: dict[bytes, str] = {}
     for name, value in headers:
         if name in _CALL_HEADERS and name in values:
-            raise InvalidRequest(400, f"{name.decode()} stands twice")
+            raise InvalidRequest(400, f'duplicate header "{name.decode()}"')
         values[name] = value.decode("latin-1").strip()
     for name in (b"x-call-id", b"x-call-class", b"x-budget"):
         if not values.get(name):
-            raise InvalidRequest(400, f"{name.decode()} is missing")
+            raise InvalidRequest(400, f'missing header "{name.decode()}"')
     return values
 
 
 def origin_form(target: bytes) -> bytes:
-    """Path and query of a request's target, which may be in absolute form (RFC 9112, 3.2.2)."""
+    """Return path and query of a request target, which may be in absolute form (RFC 9112, 3.2.2)."""
     match = _SCHEME_AND_AUTHORITY.match(target)
     return target if match is None else target[match.end() :] or b"/"
 
 
 def _connection_options(headers: Headers) -> list[bytes]:
-    """Headers that the client limits to its connection (RFC 9110, 7.6.1), except those that a call consists of."""
+    """Return the header names listed in Connection (RFC 9110, 7.6.1), except call headers and Host."""
     options = [
         option.strip()
         for name, value in headers
@@ -117,18 +117,18 @@
 
 def _parse_number(text: str, name: str) -> float:
     if not _NUMBER.fullmatch(text):
-        raise InvalidRequest(400, f"{name}: a number is needed")
+        raise InvalidRequest(400, f"{name}: expected a number, not {text!r:.40}")
     return float(text)
 
 
-def call_id_in(data: bytes) -> str:
-    """The id of a request that is not parsed, for the log."""
+def call_id_from_data(data: bytes) -> str:
+    """Find the call id in an unparsed request, for the log."""
     match = _CALL_ID.search(data)
-    return match[1].decode("latin-1") if match is not None else "without id"
+    return match[1].decode("latin-1") if match is not None else "(no id)"
 
 
 def is_complete(data: bytes) -> bool:
-    """Whether `data` begins with a complete request; raise h11.RemoteProtocolError where it cannot become one."""
+    """Whether `data` starts with a complete request; raise h11.RemoteProtocolError if it is malformed."""
     reader = h11.Connection(h11.SERVER)
     reader.receive_data(data)
     while True:
--- a/topazbank/http/request_writing.py
+++ b/topazbank/http/request_writing.py
@@ -1,4 +1,4 @@
-"""Writes a call as an HTTP request to a server; no I/O."""
+"""Serializes a call as an HTTP request to a server; no I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def format_request(call: Call, remaining_s: float) -> bytes:
-    """An attempt's request: the client's, with the time that is left for it; a spooled body is not included."""
+    """Return the client's request with the remaining time budget of an attempt; excludes a spooled body."""
     idempotent = call.request_class.idempotency is Idempotency.IDEMPOTENT
     headers = [
         *(call.headers if call.headers is not None else _call_headers(call)),
@@ -22,7 +22,7 @@
 
 
 def _call_headers(call: Call) -> Headers:
-    """The headers of a call that came in another protocol; its server accepts only visible characters."""
+    """Build the headers of a call received over another protocol, whose server accepts only visible characters."""
     headers = [
         (b"Host", b"sidecar"),
         (b"X-Call-Id", call.call_id.encode()),
--- a/topazbank/http/response_reading.py
+++ b/topazbank/http/response_reading.py
@@ -1,4 +1,4 @@
-"""Rules for reading a server's response beyond what h11 checks; no I/O."""
+"""Rules for parsing server responses beyond the checks of h11; no I/O."""
 
 from __future__ import annotations
 
@@ -9,30 +9,33 @@
 from topazbank.core.call import Headers
 from topazbank.http.messages import FRAMING_HEADERS
 
-# RFC 9110, 15.3.5 and 15.4.5: responses with these statuses have no body, whatever their headers say.
+# RFC 9110, 15.3.5 and 15.4.5: responses with these statuses have no body, regardless of their headers.
 BODILESS_STATUSES: Final = (204, 304)
-_SENT_REQUEST: Final = (h11.Request(method="GET", target="/", headers=[("Host", "-")]), h11.EndOfMessage())
+_PLACEHOLDER_REQUEST: Final = (
+    h11.Request(method="GET", target="/", headers=[("Host", "-")]),
+    h11.EndOfMessage(),
+)
 
 
 def new_response_reader() -> h11.Connection:
-    """A parser for one response.
+    """Create a parser for one response.
 
-    It need not know the request: only to HEAD and CONNECT are responses framed differently (RFC 9112, 6.3), and
-    neither is sent here.
+    A placeholder request is sufficient: only responses to HEAD and CONNECT are framed differently (RFC 9112, 6.3), and
+    this client sends neither.
     """
     reader = h11.Connection(h11.CLIENT)
-    for event in _SENT_REQUEST:
+    for event in _PLACEHOLDER_REQUEST:
         reader.send(event)
     return reader
 
 
 def declared_length(headers: Headers) -> int | None:
-    """The length that a response declares in bytes, None where it declares none; h11 has checked the value."""
+    """Return the declared body length in bytes, or None; h11 has validated the value."""
     return next((int(value) for name, value in headers if name == b"content-length"), None)
 
 
 def body_follows_head(headers: Headers, status: int, unread: bytes) -> bool:
-    """Whether `unread`, all that came behind a response's head, is exactly its body, as with most responses."""
+    """Whether `unread`, all data received after the response head, is exactly the body, as in most responses."""
     framing = {name: value for name, value in headers if name in FRAMING_HEADERS}
     if list(framing) != [b"content-length"] or int(framing[b"content-length"]) != len(unread):
         return False
@@ -40,10 +43,10 @@
 
 
 def has_defined_end(headers: Headers) -> bool:
-    """Whether a complete body can be told from a truncated one.
+    """Whether a complete body can be distinguished from a truncated one.
 
-    Its framing tells, or an announced end of the connection.  Any other response that ends with its connection
-    (RFC 9112, 6.3, case 8) may be truncated.
+    That requires a framing header or an announced close of the connection.  Any other response that ends with its
+    connection (RFC 9112, 6.3, case 8) may be truncated.
     """
     if any(name in FRAMING_HEADERS for name, _ in headers):
         return True
--- a/topazbank/http/server.py
+++ b/topazbank/http/server.py
@@ -1,7 +1,7 @@
-"""The HTTP server for clients: reads requests, one at a time, and hands them on as calls.
+"""The HTTP server for clients: reads one request at a time and passes it on as a call.
 
-What a client sends behind a request in progress (pipelining, RFC 9112, 9.3.2) waits in h11's buffer, bounded, and is
-only inspected for its completeness, so that a client that stalls there is noticed.  The sending half is in `answering`.
+Pipelined requests (RFC 9112, 9.3.2) are kept in the bounded buffer of h11 while a request is in progress.  They are
+only checked for completeness, to detect a client that stalls in the middle of one.  The sending half is in `answering`.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from topazbank.http.answering import AnsweringConnection
 from topazbank.http.fast_parser import PlainRequest, parse_request
 from topazbank.http.messages import data_bytes
-from topazbank.http.request_reading import call_id_in, check_head, is_complete, origin_form, parse_call
+from topazbank.http.request_reading import call_id_from_data, check_head, is_complete, origin_form, parse_call
 
 log = logging.getLogger(__name__)
 
@@ -32,18 +32,18 @@
 
 
 class HttpConnection(AnsweringConnection):
-    """One HTTP connection of a client; it carries one request at a time."""
+    """One HTTP connection from a client; it carries one request at a time."""
 
     def __init__(self, table: ConnectionTable, sock: socket.socket) -> None:
         super().__init__(table, sock)
         self._reader = h11.Connection(h11.SERVER)  # reads one request; answers are not passed through it
-        self._head: h11.Request | PlainRequest | None = None  # of the request that is read or not answered
+        self._head: h11.Request | PlainRequest | None = None  # head of the unanswered request
         self._body = BodyBuffer(table.callbacks.spool)
         self._call: Call | None = None  # the request in progress
-        self._pipelined_error: str | None = None  # why what is behind the request in progress is malformed
+        self._pipelined_error: str | None = None  # error in the data after the request in progress
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Unregister it and end its request (called by asyncio)."""
+        """Unregister the connection and end its request (called by asyncio)."""
         super().connection_lost(exc)
         if self._call is not None:
             self._counters.count(ClientEvent.CLIENT_DISCONNECTED)
@@ -59,29 +59,29 @@
         return self._call is not None
 
     def is_idle(self) -> bool:
-        """Whether it may be closed: no request is in progress, incomplete or unread."""
+        """Whether the connection may be closed: no request is in progress, incomplete or unread."""
         begun = self._head is not None or self._stream is not None or self._reader.trailing_data[0]
         return not begun and super().is_idle()
 
     # -- Reading --------------------------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
-        """Read what has come (called by asyncio)."""
+        """Process received data (called by asyncio)."""
         if self._discarded_bytes is not None:
             self._discard(len(data))
             return
         if self._call is None and self._stream is None and peer_has_closed(self._sock):
-            self._drop_unread(data)
+            self._drop_unread_request(data)
             return
         if self._is_between_requests():
-            plain = parse_request(data, BUFFERED_BODY_BYTES_MAX)
-            if plain is not None:
-                self._handle_plain(plain)
+            plain_request = parse_request(data, BUFFERED_BODY_BYTES_MAX)
+            if plain_request is not None:
+                self._handle_plain_request(plain_request)
                 return
             data = data.lstrip(b"\r\n")  # empty lines before a request line are ignored (RFC 9112, 2.2)
         if not data:
             if self.state is ConnectionState.NEW:
-                self._note_partial(0)
+                self._record_progress(0)
             return
         self._reader.receive_data(data)
         if self._call is not None or self._stream is not None:
@@ -91,18 +91,20 @@
         elif len(self._reader.trailing_data[0]) > BUFFERED_BODY_BYTES_MAX:
             self._pause_reading()
 
-    def _drop_unread(self, data: bytes) -> None:
-        """Close without reading: the client has disconnected while its request waited.
+    def _drop_unread_request(self, data: bytes) -> None:
+        """Close without reading the request: the client has already disconnected.
 
-        Guards an overloaded process against work for clients that gave up: it would delay the requests behind until
-        their clients give up too.
+        An overloaded process would otherwise work for clients that gave up, which delays later requests until their
+        clients give up too.
         """
         self._counters.count(ClientEvent.CLIENT_DISCONNECTED_UNREAD)
-        log.info("%s: client disconnected before request %s was read", self.describe(), call_id_in(data))
+        log.info(
+            "%s: client disconnected before request %s was read", self.describe(), call_id_from_data(data)
+        )
         self.abort(client_disconnected=True)
 
     def _is_between_requests(self) -> bool:
-        """Whether nothing of a request has come and none is in progress."""
+        """Whether no request is in progress or received in part."""
         if (
             self._call is not None
             or self._stream is not None
@@ -112,7 +114,7 @@
             return False
         return self._reader.their_state is h11.IDLE and not self._reader.trailing_data[0]
 
-    def _handle_plain(self, request: PlainRequest) -> None:
+    def _handle_plain_request(self, request: PlainRequest) -> None:
         self._head = request
         try:
             self._request_complete(request.body)
@@ -120,7 +122,7 @@
             self._request_failed(error)
 
     def _read(self, count: int = 0) -> None:
-        """Read up to the end of one request; `count` bytes of it came now."""
+        """Read up to the end of one request; `count` bytes are newly received."""
         try:
             while self._handle_event():
                 pass
@@ -129,26 +131,26 @@
         if self._head is None and not self._reader.trailing_data[0]:
             self.partial = None
         elif self._call is None and self._stream is None and self._discarded_bytes is None:
-            self._note_partial(count)
+            self._record_progress(count)
 
     def _request_failed(self, error: Exception) -> None:
-        """Answer a request that raised `error` while it was read or handed on."""
+        """Answer a request whose reading or dispatch raised `error`."""
         if isinstance(error, InvalidRequest):
             self._reject(error)
         elif isinstance(error, h11.RemoteProtocolError):
             self._reject(InvalidRequest(400, str(error)))
         elif isinstance(error, SpoolFull):
-            self._reject(InvalidRequest(503, str(error)))  # not forwarded, so a retry is harmless
+            self._reject(InvalidRequest(503, str(error)))  # not forwarded, so the client may retry
         else:
-            # A defect: it fails this request only.
+            # A bug in this process fails only this request.
             log.error("a request could not be handled", exc_info=error)
             if self._head is None:
-                self.abort()  # it was answered already
+                self.abort()  # already answered
             else:
                 self._reject(InvalidRequest(500, "internal error"))
 
     def _handle_event(self) -> bool:
-        """Handle one event of the parser; return whether to go on."""
+        """Handle one parser event; return whether to continue."""
         event = self._reader.next_event()
         if isinstance(event, h11.Request):
             self._head = event
@@ -157,7 +159,7 @@
         elif isinstance(event, h11.Data):
             self._body.append(data_bytes(event))
             if len(self._body) > BODY_BYTES_MAX:
-                raise InvalidRequest(413, "the body is too large")
+                raise InvalidRequest(413, f"body exceeds {BODY_BYTES_MAX} bytes")
         elif isinstance(event, h11.EndOfMessage):
             self._request_complete(self._body.finish())
             return False
@@ -169,8 +171,8 @@
             interim = h11.InformationalResponse(status_code=100, headers=[])
             self._transport.write(self._reader.send(interim) or b"")
 
-    def _note_partial(self, count: int) -> None:
-        """Note the progress of a request that is not complete; `count` bytes of it came now."""
+    def _record_progress(self, count: int) -> None:
+        """Record the progress of an incomplete request; `count` bytes are newly received."""
         now = asyncio.get_running_loop().time()
         if self.partial is None:
             self.partial = PartialRequest(now)
@@ -195,7 +197,7 @@
             self._route(head, path, body)
         finally:
             if self._call is None and isinstance(body, SpooledBody):
-                body.release()  # rejected; the body of a call is released once the call is over
+                body.release()  # rejected; a call releases its body when it ends
 
     def _route(self, head: h11.Request | PlainRequest, path: bytes, body: bytes | SpooledBody) -> None:
         if path == _READY_PATH:
@@ -207,7 +209,7 @@
         else:
             call = parse_call(head, body, self._request_classes, self._answer_call)
             if self._callbacks.is_in_flight(call.call_id):
-                raise InvalidRequest(409, "x-call-id is that of another request, which is still out")
+                raise InvalidRequest(409, "x-call-id: another request with this id is still in flight")
             call.has_disconnected = self.has_disconnected
             self._call = call
             self._table.set_state(self, ConnectionState.AWAITING_ANSWER)
@@ -215,12 +217,17 @@
             self._inspect_if_unanswered()
 
     def _reject(self, error: InvalidRequest) -> None:
-        """Reject the request and end the connection: nothing more is expected of this client."""
+        """Reject the request and close the connection without reading further requests."""
         self._counters.count(ClientEvent.REQUEST_REJECTED)
         log.info("%s: request rejected: %s", self.describe(), error)
         self.partial = None
         self._abandon_request()
-        self._answer(error.status, [(b"Content-Type", b"text/plain")], f"{error}\n".encode(), closes=True)
+        self._answer(
+            error.status,
+            [(b"Content-Type", b"text/plain")],
+            f"{error}\n".encode(),
+            close_connection=True,
+        )
 
     def _abandon_request(self) -> None:
         """End the request in progress without an answer from a server."""
@@ -235,15 +242,15 @@
     # -- Pipelined requests ---------------------------------------------------------------------------
 
     def _inspect_if_unanswered(self) -> None:
-        """Inspect what came with a request that was handed on, unless that is answered already.
+        """Inspect the data received after a dispatched request, unless the request is already answered.
 
-        A method of its own: the compiler would take `_call` for still set in the caller, which has just set it.
+        This is a separate method because mypyc assumes that `_call` is still set in the caller, which has just set it.
         """
         if self._call is not None and self._reader.trailing_data[0]:
             self._inspect_pipelined()
 
     def _inspect_pipelined(self, count: int = 0) -> None:
-        """Inspect what waits behind the request in progress; `count` bytes of it came now."""
+        """Inspect the data after the request in progress; `count` bytes are newly received."""
         pipelined = self._reader.trailing_data[0].lstrip(b"\r\n")
         now = asyncio.get_running_loop().time()
         if self.partial is None:
@@ -252,23 +259,23 @@
             complete = is_complete(pipelined)
         except h11.RemoteProtocolError as error:
             self._pipelined_error = str(error)
-            self._pause_reading()  # the request in progress is answered, and the connection ends with that
+            self._pause_reading()  # the connection is closed after the answer in progress
             complete = False
         else:
             self.partial.received(now, count)
         if complete or not pipelined:
             self.partial = None
         elif len(pipelined) > BUFFERED_BODY_BYTES_MAX and self._pipelined_error is None:
-            self.partial.pause(now)  # reading pauses, so the client cannot make progress
+            self.partial.pause(now)  # the client cannot make progress while reading is paused
         if len(pipelined) > BUFFERED_BODY_BYTES_MAX:
             self._pause_reading()
         if self._stream is None:
-            waits = self.partial is not None and not self.partial.is_paused
-            state = ConnectionState.AWAITING_ANSWER_PARTIAL if waits else ConnectionState.AWAITING_ANSWER
+            is_waiting = self.partial is not None and not self.partial.is_paused
+            state = ConnectionState.AWAITING_ANSWER_PARTIAL if is_waiting else ConnectionState.AWAITING_ANSWER
             self._table.set_state(self, state)
 
     def _next_request(self) -> None:
-        """Turn to what came behind the answered request."""
+        """Process the data received after the answered request."""
         if self._transport is None or self._transport.is_closing() or self._write_blocked:
             return
         if self._call is not None or self._stream is not None:
@@ -294,15 +301,15 @@
         else:
             self._answer(500, [], b"")
 
-    def _answer(self, status: int, headers: Headers, body: bytes, closes: bool = False) -> None:
+    def _answer(self, status: int, headers: Headers, body: bytes, close_connection: bool = False) -> None:
         self._call = None
         if not self._can_send():
             return
-        closes = closes or self._must_close()
-        to_head = self._head is not None and self._head.method == b"HEAD"
+        close_connection = close_connection or self._must_close()
+        is_head_request = self._head is not None and self._head.method == b"HEAD"
         self._head = None
         self._body.discard()
-        self._send_answer(status, headers, body, closes, to_head)
+        self._send_answer(status, headers, body, close_connection, is_head_request)
 
     def _answer_streamed(self, answer: FinalAnswer) -> None:
         stream = answer.stream
@@ -312,21 +319,21 @@
             stream.abort()
             return
         http_1_1 = self._head is None or self._head.http_version == b"1.1"
-        closes = self._must_close()
+        close_connection = self._must_close()
         self._head = None
-        self._begin_stream(answer.content_headers or [], stream, http_1_1, closes)
+        self._begin_stream(answer.content_headers or [], stream, http_1_1, close_connection)
 
     def _must_close(self) -> bool:
-        """Whether the connection ends with this answer."""
-        was_read = isinstance(self._head, PlainRequest) or self._reader.their_state is h11.DONE
-        return self._table.draining or self._pipelined_error is not None or not was_read
+        """Whether the connection is closed after this answer."""
+        is_fully_read = isinstance(self._head, PlainRequest) or self._reader.their_state is h11.DONE
+        return self._table.draining or self._pipelined_error is not None or not is_fully_read
 
-    def _answer_sent(self, closes: bool, unread_state: ConnectionState) -> None:
-        """End the connection, or turn to what came behind the request."""
+    def _answer_sent(self, close_connection: bool, unread_state: ConnectionState) -> None:
+        """Close the connection, or continue with the data received after the request."""
         if self._transport is None or self._transport.is_closing():
             return
         state = unread_state if self._write_blocked else ConnectionState.CLOSING
-        if closes or self._pipelined_error is not None:
+        if close_connection or self._pipelined_error is not None:
             self._linger(state)
             return
         pipelined = self._reader.trailing_data[0]
@@ -342,12 +349,12 @@
     # -- Time limits ----------------------------------------------------------------------------------
 
     def limit_reached(self) -> None:
-        """End it: its state has lasted for as long as it may, or its partial request has taken that long."""
+        """End the connection or its request: the time limit of the state or of the partial request has passed."""
         if self.state is ConnectionState.AWAITING_ANSWER_PARTIAL:
-            self._fail_in_progress()
+            self._fail_request_in_progress()
         elif self.state in (ConnectionState.CLOSING, ConnectionState.STREAMING_ANSWER):
             self._counters.count(ClientEvent.CONNECTION_TIMED_OUT)
-            log.info("%s: closed, its client does not read the answer", self.describe())
+            log.info("%s: connection closed: client does not read the answer", self.describe())
             self.abort()
         elif self.is_idle():
             self._counters.count(ClientEvent.CONNECTION_TIMED_OUT)
@@ -356,21 +363,23 @@
             self._request_timed_out()
 
     def _request_timed_out(self) -> None:
-        """Reject a request whose client has stalled, or sends too slowly."""
+        """Reject a request whose client has stalled or sends too slowly."""
         self._counters.count(ClientEvent.REQUEST_TIMED_OUT)
-        self._reject(InvalidRequest(408, "the request took too long to come"))
+        self._reject(InvalidRequest(408, "request not received within the time limit"))
 
-    def _fail_in_progress(self) -> None:
-        """Answer the request in progress now, as failed, since it may have been executed.
+    def _fail_request_in_progress(self) -> None:
+        """Answer the request in progress as failed, since it may have been executed.
 
-        Its client has stalled in the middle of a request behind it and is owed an error within the limit; that error
-        must not pass for the answer to the request in progress, which comes first.
+        The client has stalled in the middle of the next pipelined request and must receive an error within the time
+        limit.  The request in progress is answered first, so that the client does not take that error for its answer.
         """
         if self._call is None:
             return
         self._counters.count(ClientEvent.UNANSWERED_FAILED_FOR_PARTIAL)
         log.info(
-            "%s: request %s failed for the incomplete one behind it", self.describe(), self._call.call_id
+            "%s: request %s failed: the next pipelined request is incomplete",
+            self.describe(),
+            self._call.call_id,
         )
         self._abandon_request()
-        self._answer(500, [], b"", closes=True)
+        self._answer(500, [], b"", close_connection=True)
