--- a/tests/operations/test_admin_api.py
+++ b/tests/operations/test_admin_api.py
@@ -1,4 +1,4 @@
-"""The admin API, over loopback."""
+"""The admin API over loopback connections."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from topazbank.operations.admin_api import CONNECTIONS_MAX, LINE_BYTES_MAX, AdminCommands, AdminServer
 from topazbank.operations.drain import Drain, DrainState
 
-PATIENCE_S = 10.0
+TIMEOUT_S = 10.0
 
 
 @contextlib.contextmanager
@@ -28,13 +28,13 @@
         server.stop()
 
 
-def call(address: Address, *pieces: bytes, ends: bool = False) -> bytes:
-    """Send these pieces one after the other; return all that is answered."""
-    with socket.create_connection(address, PATIENCE_S) as sock:
-        for piece in pieces:
-            sock.sendall(piece)
-            time.sleep(0.005 if len(pieces) > 1 else 0.0)
-        if ends:
+def call(address: Address, *chunks: bytes, close_write_side: bool = False) -> bytes:
+    """Send the chunks one after the other; return the whole answer."""
+    with socket.create_connection(address, TIMEOUT_S) as sock:
+        for chunk in chunks:
+            sock.sendall(chunk)
+            time.sleep(0.005 if len(chunks) > 1 else 0.0)
+        if close_write_side:
             sock.shutdown(socket.SHUT_WR)
         return b"".join(iter(lambda: sock.recv(4096), b""))
 
@@ -89,17 +89,17 @@
         assert call(address, b"status\nstandby\n") == b"200 serving\n"
         assert call(address, b"status\n") == b"200 serving\n"
         assert call(address, *[bytes([byte]) for byte in b"status\r\n"]) == b"200 serving\n"
-        assert call(address, b"status", ends=True) == b"200 serving\n"
+        assert call(address, b"status", close_write_side=True) == b"200 serving\n"
 
 
 def test_more_idle_connections_than_the_limit_do_not_lock_a_client_out() -> None:
     with admin_server() as address, contextlib.ExitStack() as idle:
         for _ in range(10 * CONNECTIONS_MAX):
-            sock = idle.enter_context(socket.create_connection(address, PATIENCE_S))
+            sock = idle.enter_context(socket.create_connection(address, TIMEOUT_S))
             sock.sendall(b"stat")
-            began = time.monotonic()
+            started_at_s = time.monotonic()
             assert call(address, b"status\n") == b"200 serving\n"
-            assert time.monotonic() - began < 1.0
+            assert time.monotonic() - started_at_s < 1.0
 
 
 def test_an_order_wakes_the_loop_and_changes_the_state_before_it_is_answered() -> None:
--- a/tests/operations/test_connection_split.py
+++ b/tests/operations/test_connection_split.py
@@ -1,4 +1,4 @@
-"""The split of a limit on connections between two processes of one sidecar."""
+"""The split of a connection limit between two processes of one sidecar."""
 
 from __future__ import annotations
 
--- a/tests/operations/test_drain.py
+++ b/tests/operations/test_drain.py
@@ -21,12 +21,12 @@
 def test_a_drain_fails_the_readiness_check_at_once_and_accepts_connections_a_little_longer() -> None:
     drain = serving()
     assert drain.start_drain(10.0) is DrainState.DRAINING and not drain.is_ready()
-    during_accept_time = drain.decide(10.0 + 0.9 * ACCEPT_AFTER_DRAIN_S, 3)
+    during_accept_period = drain.decide(10.0 + 0.9 * ACCEPT_AFTER_DRAIN_S, 3)
     assert (
-        during_accept_time.accepts_connections
-        and during_accept_time.closes_idle
-        and not during_accept_time.closes_unused
-        and not during_accept_time.finished
+        during_accept_period.accepts_connections
+        and during_accept_period.closes_idle
+        and not during_accept_period.closes_unused
+        and not during_accept_period.finished
     )
     assert drain.decide(10.0 + ACCEPT_AFTER_DRAIN_S, 3).closes_unused
 
@@ -76,7 +76,7 @@
     drain.terminate(0.0, has_successor=False)
     assert (
         drain.decide(0.1, 0).accepts_connections and not drain.decide(0.1, 0).finished
-    )  # clients still open connections
+    )  # clients may still open connections
     assert not drain.decide(2.0 + 0.9 * TERMINATION_GRACE_S, 1).finished
     assert drain.decide(2.0 + TERMINATION_GRACE_S, 1).finished
 
--- a/topazbank/operations/__init__.py
+++ b/topazbank/operations/__init__.py
@@ -1,1 +1,1 @@
-"""Operations: the admin API, draining, and the hand-over between two processes of one sidecar during an upgrade."""
+"""Operations: admin API, draining, and hand-over between two processes of one sidecar during an upgrade."""
--- a/topazbank/operations/admin_api.py
+++ b/topazbank/operations/admin_api.py
@@ -1,8 +1,8 @@
 """The admin API: one command line per connection (`status`, `standby` or `active`), one line back.
 
-The answer begins with 200, or with 400 for a refused or unknown command, and comes within a second under any load.
-Therefore the server runs in a thread of its own: an event loop that is behind with requests would answer too late.  A
-command changes the drain's state machine at once, under its lock; the event loop is woken to act on it.
+The answer begins with 200, or with 400 for a refused or unknown command, and is sent within a second under any load.
+The server therefore runs in its own thread: an overloaded event loop would answer too late.  A command changes the
+drain's state machine immediately, under its lock, and wakes the event loop to apply the new state.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 log = logging.getLogger(__name__)
 
-LINE_BYTES_MAX = 256  # a longer command is answered with 400
-CONNECTIONS_MAX = 16  # a further one closes the oldest
-_COMMAND_TIMEOUT_S = 10.0  # a connection without a command is closed after this
-_CLOSE_TIMEOUT_S = 1.0  # after the answer, for the client to close its side
+LINE_BYTES_MAX = 256  # longer commands are answered with 400
+CONNECTIONS_MAX = 16  # one more closes the oldest connection
+_COMMAND_TIMEOUT_S = 10.0  # a connection that sends no command is closed after this time
+_CLOSE_TIMEOUT_S = 1.0  # time for the client to close its side after the answer
 _READ_BYTES = 4096
-_SELECT_TIMEOUT_S = 0.5  # while connections are open, so that their timeouts are checked
+_SELECT_TIMEOUT_S = 0.5  # interval of the timeout checks while connections are open
 _STOP_TIMEOUT_S = 1.0
 _STACK_BYTES = 256 * 1024  # the platform's default of 8 MB would count against the memory limit
 _BACKLOG = 128
@@ -36,7 +36,7 @@
 
 @unique
 class Command(Enum):
-    """A command of the admin API, by its word on the wire."""
+    """A command of the admin API; the value is its name on the wire."""
 
     STATUS = "status"
     STANDBY = "standby"
@@ -44,7 +44,7 @@
 
 
 def parse_command(line: bytes) -> Command | None:
-    """Parse one line, with or without its line end; None where it is no command."""
+    """Parse one line, with or without its line ending; return None if it is not a command."""
     try:
         return Command(line.strip(b" \t\r\n").decode("ascii"))
     except ValueError:
@@ -55,12 +55,12 @@
     """Executes commands on the drain's state machine."""
 
     def __init__(self, drain: Drain, on_change: Callable[[], None]) -> None:
-        """`on_change` is called after each order, in the caller's thread."""
+        """`on_change` is called after each `standby` or `active` command, in the caller's thread."""
         self._drain = drain
         self._on_change = on_change
 
     def answer(self, line: bytes) -> str:
-        """Execute a command; return the status code and the state afterwards."""
+        """Execute a command; return the status code and the resulting state."""
         command = parse_command(line)
         if command is None:
             return "400 not known: status, standby or active"
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True, eq=False)
 class _AdminConnection:
-    """One client's connection."""
+    """A client's connection."""
 
     sock: socket.socket
     close_at_s: float
@@ -91,20 +91,20 @@
 
 
 class AdminServer:
-    """Listens for clients of the admin API, in a thread.
+    """Listens for clients of the admin API in its own thread.
 
-    Connections are bounded by CONNECTIONS_MAX.  Clients that connect and send nothing can't lock others out: the newest
-    connection is always accepted, and the oldest one makes way for it.
+    At most CONNECTIONS_MAX connections are open.  Idle clients can't lock others out: a new connection is always
+    accepted, and the oldest one is closed to make room.
     """
 
     def __init__(self, address: Address, answer: Callable[[bytes], str]) -> None:
-        """Listen at `address`; raise OSError where that fails.  `answer` is called in the server's thread."""
+        """Listen at `address`; raise OSError if that fails.  `answer` is called in the server's thread."""
         self._answer = answer
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self._sock = socket.create_server(address, family=family, backlog=_BACKLOG)
         self._sock.setblocking(False)
         self.address: Address = self._sock.getsockname()[:2]
-        self._connections: dict[socket.socket, _AdminConnection] = {}  # the oldest first
+        self._connections: dict[socket.socket, _AdminConnection] = {}  # oldest first
         self._selector = selectors.DefaultSelector()
         self._selector.register(self._sock, selectors.EVENT_READ)
         self._wake_read, self._wake_write = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
@@ -113,7 +113,7 @@
         self._thread = threading.Thread(target=self._run, name="admin-api", daemon=True)
 
     def start(self) -> None:
-        """Start the thread."""
+        """Start the thread with a stack of _STACK_BYTES."""
         default_bytes = threading.stack_size(_STACK_BYTES)
         try:
             self._thread.start()
@@ -121,7 +121,7 @@
             threading.stack_size(default_bytes)
 
     def stop(self) -> None:
-        """Stop the thread and close all connections; commands under way get no answer."""
+        """Stop the thread and close all connections; pending commands get no answer."""
         self._stopping = True
         os.write(self._wake_write, b"x")
         self._thread.join(timeout=_STOP_TIMEOUT_S)
@@ -132,7 +132,7 @@
                 try:
                     self._handle_readable(key.fileobj)
                 except Exception:
-                    log.exception("the admin API failed on a command")  # a defect: other connections go on
+                    log.exception("unhandled error in the admin API")  # a bug; others are still served
             self._close_expired(time.monotonic())
         for connection in list(self._connections.values()):
             self._close(connection)
@@ -158,7 +158,7 @@
         connection = _AdminConnection(sock, time.monotonic() + _COMMAND_TIMEOUT_S)
         self._connections[sock] = connection
         self._selector.register(sock, selectors.EVENT_READ)
-        self._read(connection)  # the command has usually arrived with the connection
+        self._read(connection)  # the command has usually arrived already
 
     def _read(self, connection: _AdminConnection) -> None:
         try:
@@ -181,9 +181,9 @@
             connection.line = line
 
     def _reply(self, connection: _AdminConnection, answer: str) -> None:
-        """Send the answer and close the write side only.
+        """Send the answer and close only the write side.
 
-        Closing the socket with unread bytes would send a reset, by which the client could lose the answer.
+        Closing the socket with unread bytes would send a reset, and the client could lose the answer.
         """
         connection.answered, connection.close_at_s = True, time.monotonic() + _CLOSE_TIMEOUT_S
         try:
--- a/topazbank/operations/connection_split.py
+++ b/topazbank/operations/connection_split.py
@@ -1,26 +1,26 @@
-"""How two processes of one sidecar share a limit on connections during an upgrade; no I/O."""
+"""Splits a connection limit between two processes of one sidecar during an upgrade; no I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-_NEW_CONNECTIONS_MARGIN = 8  # that the old process may open beyond those it has
+_NEW_CONNECTIONS_MARGIN = 8  # connections the old process may open beyond its current ones
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimitSplit:
-    """Each process's part of a limit on connections while both run."""
+    """Each process's part of a connection limit while both run."""
 
     old: int
     new: int
 
 
 def split_connection_limit(limit: int, open_connections: int) -> ConnectionLimitSplit:
-    """Split a limit between the old process, which has so many connections open, and the new one.
+    """Split `limit` between the old process, which has `open_connections`, and the new one.
 
-    Half each, unless the old process has more open: it closes none for the new one's sake.  The new process always gets
-    a quarter, with which it can take over, as the old one closes its idle connections.
+    Each process gets half.  The old process gets more if it has more connections open, so that it need not close any.
+    The new process always gets at least a quarter: enough to take over while the old one closes its idle connections.
     """
-    wanted_by_old = max(limit // 2, open_connections + _NEW_CONNECTIONS_MARGIN)
-    old = min(wanted_by_old, limit - limit // 4)
+    old_process_need = max(limit // 2, open_connections + _NEW_CONNECTIONS_MARGIN)
+    old = min(old_process_need, limit - limit // 4)
     return ConnectionLimitSplit(old, max(limit - old, 1))
