--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -1,4 +1,4 @@
-"""Upgrades and drains of real processes, as the platform starts and ends them, under load."""
+"""Upgrades and drains of real processes under load, started and ended as the platform does."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def reserved_port() -> socket.socket:
-    """Return a bound socket that doesn't listen: the port is reserved, and a program may listen at it."""
+    """Return a bound socket that doesn't listen: it reserves the port, and another process can still listen at it."""
     sock = socket.socket()
     for option in (socket.SO_REUSEADDR, socket.SO_REUSEPORT):
         sock.setsockopt(socket.SOL_SOCKET, option, 1)
@@ -32,7 +32,7 @@
 
 
 class Sidecars:
-    """The processes of one sidecar, by number; each has an admin address of its own."""
+    """The processes of one sidecar by number; each has its own admin address."""
 
     def __init__(self, folder: Path, server: FakeServer, discovery: FakeDiscovery) -> None:
         self._folder = folder
@@ -78,7 +78,7 @@
         return line.decode()
 
     async def wait_until_serving(self, number: int) -> None:
-        """Wait until this process answers its status with 200."""
+        """Wait until the process answers `status` with 200."""
         async with asyncio.timeout(PATIENCE_S):
             while True:
                 with contextlib.suppress(OSError):
@@ -88,7 +88,7 @@
 
 
 class Load:
-    """Clients that send requests without pause, on persistent and on new connections; failures are recorded."""
+    """Clients that continuously send requests on persistent and on new connections, and record failures."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
@@ -105,7 +105,7 @@
         await asyncio.gather(*self._tasks)
 
     async def _send_requests(self, number: int) -> None:
-        """Every other client reuses its connection; a request that crosses the close of a reused one is sent again."""
+        """Every other client reuses its connection; a request lost to the close of a reused connection is retried."""
         count = 0
         connection: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
         while not self._stopped:
@@ -116,10 +116,10 @@
                 connection = connection or await asyncio.open_connection(*self._address)
                 connection[1].write(data)
                 status, headers, _ = await read_answer(connection[0])
-            except (OSError, asyncio.IncompleteReadError) as broken:
+            except (OSError, asyncio.IncompleteReadError) as error:
                 connection = None
                 if is_new:
-                    self.failures.append(f"{number}-{count}: {broken!r}")
+                    self.failures.append(f"{number}-{count}: {error!r}")
                 count -= not is_new
                 continue
             self.served += status == 200
@@ -162,15 +162,15 @@
             for number in range(1, 4):
                 await sidecars.start()
                 await sidecars.wait_until_serving(number)
-                before = sidecars.processes[number - 1]
-                before.send_signal(signal.SIGTERM)
-                assert await asyncio.wait_for(before.wait(), PATIENCE_S) == 0
-                reached = load.served + 50
-                await until(lambda reached=reached: load.served > reached)  # type: ignore[misc]
+                predecessor = sidecars.processes[number - 1]
+                predecessor.send_signal(signal.SIGTERM)
+                assert await asyncio.wait_for(predecessor.wait(), PATIENCE_S) == 0
+                target = load.served + 50
+                await until(lambda target=target: load.served > target)  # type: ignore[misc]
             await load.stop()
             assert not load.failures
-            ran = [headers["x-call-id"] for _, headers, _ in server.requests]
-            assert len(ran) == len(set(ran)) == load.served
+            handled_ids = [headers["x-call-id"] for _, headers, _ in server.requests]
+            assert len(handled_ids) == len(set(handled_ids)) == load.served
 
     play(scenario())
 
@@ -179,9 +179,9 @@
 def test_a_new_process_killed_during_its_start_does_not_harm_the_old_one(
     tmp_path: Path, after_s: float
 ) -> None:
-    """A second process starts and is killed at some point of its start, perhaps when it holds the listening socket.
+    """A second process is killed during its startup, possibly while it holds the listening socket.
 
-    The old process goes on alone.  A third process takes over from the old one, which then exits by SIGTERM.
+    The old process continues alone.  A third process takes over from it, and the old one exits on SIGTERM.
     """
 
     async def scenario() -> None:
@@ -197,10 +197,10 @@
             await sidecars.wait_until_serving(2)
             sidecars.processes[0].send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(sidecars.processes[0].wait(), PATIENCE_S) == 0
-            reached = load.served + 50
-            await until(lambda: load.served > reached)
+            target = load.served + 50
+            await until(lambda: load.served > target)
             await load.stop()
-            # The connections that the killed process had accepted fail with it, and no others: one per client.
+            # Only connections that the killed process had accepted may fail: at most one per client.
             assert len(load.failures) <= 8
 
     play(scenario())
@@ -212,10 +212,10 @@
             await sidecars.start()
             await sidecars.wait_until_serving(0)
             load.start()
-            bad = await sidecars.start(settings=None)
-            assert await asyncio.wait_for(bad.wait(), PATIENCE_S) == 2
-            reached = load.served + 50
-            await until(lambda: load.served > reached)
+            misconfigured = await sidecars.start(settings=None)
+            assert await asyncio.wait_for(misconfigured.wait(), PATIENCE_S) == 2
+            target = load.served + 50
+            await until(lambda: load.served > target)
             await load.stop()
             assert not load.failures and (await sidecars.command(0, "status")) == "200 serving\n"
 
@@ -223,9 +223,9 @@
 
 
 def test_a_hung_old_process_and_a_stale_socket_do_not_stop_a_start(tmp_path: Path) -> None:
-    """The old process is stopped, so that it never answers at the hand-over socket; a second one starts beside it.
+    """The old process is suspended and never answers at the hand-over socket; a second process starts beside it.
 
-    Then both are killed, and the socket's path is left behind; a third one starts.
+    Both are then killed and leave the socket's path behind; a third process starts.
     """
 
     async def scenario() -> None:
@@ -234,12 +234,12 @@
             await sidecars.wait_until_serving(0)
             sidecars.processes[0].send_signal(signal.SIGSTOP)
             await sidecars.start()
-            await sidecars.wait_until_serving(1)  # by SO_REUSEPORT, beside the hung one
+            await sidecars.wait_until_serving(1)  # with SO_REUSEPORT, beside the hung process
             sidecars.processes[0].send_signal(signal.SIGCONT)
             for process in sidecars.processes:
                 process.kill()
                 await process.wait()
-            assert list(tmp_path.glob("*.sock"))  # left behind by both
+            assert list(tmp_path.glob("*.sock"))  # the stale path of the killed processes
             await sidecars.start()
             await sidecars.wait_until_serving(2)
             assert (await ask(sidecars.listen, request()))[0] == 200
@@ -258,7 +258,7 @@
             load.start()
             assert await sidecars.command(0, "standby") == "200 emptying\n"
             assert (await ask(sidecars.listen, request(path="/health/ready")))[0] == 503
-            assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b""  # an idle connection is closed
+            assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b""  # the idle connection is closed
             await load.stop()
             async with asyncio.timeout(4.0):
                 while await sidecars.command(0, "status") != "200 empty\n":
@@ -276,11 +276,11 @@
     assert take_over(tmp_path / "none.sock").client_socket is None
     (tmp_path / "file.sock").write_text("x", encoding="utf-8")
     assert take_over(tmp_path / "file.sock").client_socket is None
-    deep = tmp_path / ("d" * 100) / ("e" * 100)
-    deep.mkdir(parents=True)
+    long_folder = tmp_path / ("d" * 100) / ("e" * 100)
+    long_folder.mkdir(parents=True)
     with socket.socket(socket.AF_UNIX) as sock:
-        folder = os.open(deep, os.O_RDONLY)
+        folder = os.open(long_folder, os.O_RDONLY)
         sock.bind(f"/proc/self/fd/{folder}/hung.sock")
         os.close(folder)
         sock.listen(1)
-        assert take_over(deep / "hung.sock").client_socket is None  # it accepts and never answers
+        assert take_over(long_folder / "hung.sock").client_socket is None  # nothing answers
--- a/topazbank/operations/handover.py
+++ b/topazbank/operations/handover.py
@@ -1,12 +1,12 @@
-"""Takes over the listening sockets and the snapshot of the process that serves as this sidecar now.
+"""Takes over the listening sockets and the snapshot of this sidecar's running process.
 
 The old process listens on a Unix socket in $TMPDIR that only its user may open (topazbank.operations.handover_server).
-The new one connects before it listens for clients and receives the listening sockets themselves (SCM_RIGHTS) with a
-snapshot.  Both then accept from one queue, so that no connection is refused or reset when the old process closes its
-copy.  The connection between the two stays open while both run: its end tells each of them that the other has ended.
+The new process connects before it listens for clients.  It receives the listening sockets (SCM_RIGHTS) and a snapshot.
+Both processes then accept from one queue, so no connection is refused or reset when the old process closes its copy.
+The connection between them stays open while both run; when it closes, the other process has ended.
 
-Where that fails (no socket, a hung process or one of another version, no Unix sockets) the new process starts without a
-hand-over and listens beside the old one by SO_REUSEPORT.  docs/design/operations.md compares the ways.
+If the hand-over fails (no socket, a hung process, another version, no Unix sockets), the new process starts without it
+and listens beside the old one with SO_REUSEPORT.  docs/design/operations.md compares the alternatives.
 """
 
 from __future__ import annotations
@@ -26,21 +26,21 @@
 
 log = logging.getLogger(__name__)
 
-SERVING_MESSAGE = b"s"  # the new process tells the old one that it takes requests
+SERVING_MESSAGE = b"s"  # sent by the new process once it takes requests
 SOCKETS_KEY = "sockets"
-SOCKET_NAMES = ["clients", "peers"]  # in the snapshot, in the order in which the sockets are sent
-_RESPONSE_TIMEOUT_S = 1.0  # a process that hangs is started beside
+SOCKET_NAMES = ["clients", "peers"]  # names in the snapshot, in the order of the sockets sent
+_RESPONSE_TIMEOUT_S = 1.0  # after this, the new process starts beside a hung one
 _SOCKETS_MAX = 4
-_CREDENTIALS = struct.Struct("3i")  # SO_PEERCRED: process, user, group
+_CREDENTIALS = struct.Struct("3i")  # SO_PEERCRED: process ID, user ID, group ID
 _SOCKET_TIMEOUT_MIN_S = 0.001  # 0 would make the socket non-blocking
 
 
 @dataclass(slots=True)
 class InheritedState:
-    """What a process has from its predecessor; empty where there is none."""
+    """The state a process receives from its predecessor; empty if there is none."""
 
     client_socket: socket.socket | None = None  # listens for clients
-    gossip_socket: socket.socket | None = None  # receives other sidecars' datagrams
+    gossip_socket: socket.socket | None = None  # receives datagrams from other sidecars
     snapshot: Mapping[str, Any] = field(default_factory=dict)
     link: socket.socket | None = None  # open while the predecessor runs
 
@@ -51,7 +51,7 @@
 
 @contextlib.contextmanager
 def short_path(path: Path) -> Iterator[str]:
-    """Yield a name of `path` that fits a Unix socket's address (108 bytes), however long the folder's name is."""
+    """Yield an alias of `path` that fits a Unix socket address (108 bytes), however long the folder's path is."""
     folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{folder}/{path.name}"
@@ -62,13 +62,13 @@
 def check_same_user(link: socket.socket) -> None:
     """Raise ForeignProcess unless the process at the other end belongs to this process's user."""
     credentials = link.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _CREDENTIALS.size)
-    _, user, _ = _CREDENTIALS.unpack(credentials)
-    if user != os.getuid():
-        raise ForeignProcess("the process at the hand-over socket belongs to another user")
+    _, user_id, _ = _CREDENTIALS.unpack(credentials)
+    if user_id != os.getuid():
+        raise ForeignProcess(f"hand-over socket: expected a peer with user ID {os.getuid()}, found {user_id}")
 
 
 def take_over(path: Path | None) -> InheritedState:
-    """Take over from the process that listens at `path`; return an empty state where none does or it fails.
+    """Take over from the process that listens at `path`; return an empty state if there is none or the hand-over fails.
 
     Blocks for at most about _RESPONSE_TIMEOUT_S.
     """
@@ -90,7 +90,7 @@
 
 
 def _receive(link: socket.socket) -> InheritedState:
-    """Receive the sockets and the snapshot; close the sockets where the snapshot is refused."""
+    """Receive the sockets and the snapshot; close the sockets if the snapshot is invalid."""
     deadline_s = time.monotonic() + _RESPONSE_TIMEOUT_S
     header, descriptors, _, _ = socket.recv_fds(link, HEADER_BYTES, _SOCKETS_MAX)
     sockets = [socket.socket(fileno=descriptor) for descriptor in descriptors]
@@ -98,7 +98,9 @@
         header += _read_exactly(link, HEADER_BYTES - len(header), deadline_s)
         snapshot = decode_snapshot(header, _read_exactly(link, body_length(header), deadline_s))
         if snapshot.get(SOCKETS_KEY) != SOCKET_NAMES[: len(sockets)] or not sockets:
-            raise InvalidSnapshot("the sockets received are not those that it names")
+            raise InvalidSnapshot(
+                f"snapshot key {SOCKETS_KEY!r} does not match the {len(sockets)} sockets received"
+            )
     except (OSError, InvalidSnapshot):
         for sock in sockets:
             sock.close()
@@ -113,6 +115,6 @@
         link.settimeout(max(deadline_s - time.monotonic(), _SOCKET_TIMEOUT_MIN_S))
         chunk = link.recv(count - len(data))
         if not chunk:
-            raise InvalidSnapshot("cut short")
+            raise InvalidSnapshot(f"snapshot is truncated: at least {count - len(data)} bytes missing")
         data += chunk
     return data
--- a/topazbank/operations/handover_server.py
+++ b/topazbank/operations/handover_server.py
@@ -1,4 +1,4 @@
-"""Hands the listening sockets and a snapshot to the next process of this sidecar, and notices whether that one runs."""
+"""Hands the listening sockets and a snapshot to this sidecar's next process and monitors whether that process runs."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class HandoverServer:
-    """The serving process's side of a hand-over: one successor at a time, the latest."""
+    """The old process's side of a hand-over; a new successor replaces the one before it."""
 
     def __init__(
         self,
@@ -39,9 +39,9 @@
         on_limits_shared: Callable[[bool], None],
         on_successor_serving: Callable[[], None] = lambda: None,
     ) -> None:
-        """`listening_sockets`: in the order of SOCKET_NAMES.
+        """`listening_sockets` returns the sockets in the order of SOCKET_NAMES.
 
-        `on_limits_shared` is called with True once another process of this sidecar runs, with False once none does.
+        `on_limits_shared` is called with True when another process of this sidecar runs, with False when it has ended.
         """
         self._path = path
         self._listening_sockets = listening_sockets
@@ -49,11 +49,11 @@
         self._on_limits_shared = on_limits_shared
         self._on_successor_serving = on_successor_serving
         self._sock: socket.socket | None = None
-        self._link: socket.socket | None = None  # to the successor
-        self.has_successor = False  # and it takes requests
+        self._link: socket.socket | None = None  # connection to the successor
+        self.has_successor = False  # a successor is connected and takes requests
 
     def start(self, inherited: InheritedState) -> None:
-        """Listen for a successor; tell the predecessor that this process takes requests."""
+        """Listen for a successor; notify the predecessor that this process takes requests."""
         self._listen()
         if inherited.link is not None:
             with contextlib.suppress(OSError):
@@ -62,7 +62,7 @@
             loop.add_reader(inherited.link, self._on_predecessor_ended, inherited.link)
 
     def stop(self) -> None:
-        """Stop listening; remove the socket's path unless a successor has put its own there."""
+        """Stop listening; remove the socket's path unless a successor has replaced it."""
         loop = asyncio.get_running_loop()
         for sock in (self._sock, self._link):
             if sock is not None:
@@ -73,23 +73,23 @@
         self._sock = self._link = None
 
     def _listen(self) -> None:
-        """Listen at the path in place of any other process; do without where there are no Unix sockets.
+        """Listen at the path in place of any other process; run without hand-over if Unix sockets are not available.
 
-        The socket is bound to a name of its own and renamed, so that a client always finds one that listens.
+        The socket is bound to a temporary name and then renamed, so that a client always finds a listening socket.
         """
-        own_path = self._path.with_name(f"{self._path.name}.{os.getpid()}")
+        temporary_path = self._path.with_name(f"{self._path.name}.{os.getpid()}")
         try:
             self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
             self._sock.setblocking(False)
-            with short_path(own_path) as name:
-                own_path.unlink(missing_ok=True)
+            with short_path(temporary_path) as name:
+                temporary_path.unlink(missing_ok=True)
                 self._sock.bind(name)
-            own_path.chmod(_OWNER_ONLY_MODE)
+            temporary_path.chmod(_OWNER_ONLY_MODE)
             self._sock.listen(_BACKLOG)
-            own_path.replace(self._path)
+            temporary_path.replace(self._path)
             asyncio.get_running_loop().add_reader(self._sock, self._accept)
         except OSError as error:
-            log.debug("hand-over is not available: %s", error)
+            log.debug("hand-over socket is not available: %s", error)
             if self._sock is not None:
                 self._sock.close()
                 self._sock = None
@@ -115,16 +115,16 @@
         log.info("handed over to another process")
 
     def _send_state(self, link: socket.socket) -> None:
-        """Send sockets and snapshot in one write: the event loop must not wait for a successor that hangs."""
+        """Send the sockets and the snapshot in one write, so that a hung successor can't block the event loop."""
         sockets = self._listening_sockets()
         data = encode_snapshot({SOCKETS_KEY: SOCKET_NAMES[: len(sockets)], **self._snapshot()})
         link.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * len(data))
         sent = socket.send_fds(link, [data], [sock.fileno() for sock in sockets])
         if sent < len(data):
-            raise BlockingIOError("the snapshot is longer than the connection's send buffer")
+            raise BlockingIOError(f"snapshot of {len(data)} bytes exceeds the send buffer, sent {sent} bytes")
 
     def _read_link(self, link: socket.socket) -> None:
-        """The successor serves, or has ended."""
+        """Handle a message from the successor, which now takes requests, or the end of its connection."""
         try:
             message = link.recv(_MESSAGE_BYTES)
         except BlockingIOError:
@@ -138,7 +138,7 @@
             self._on_successor_ended()
 
     def _on_successor_ended(self) -> None:
-        """Go on alone; listen again, as the successor's socket may stand at the path in place of this one's."""
+        """Serve alone and listen again, as the successor may have replaced this process's socket at the path."""
         self._drop_link()
         self._on_limits_shared(False)
         log.warning("the successor process has ended")
--- a/topazbank/operations/service.py
+++ b/topazbank/operations/service.py
@@ -1,4 +1,4 @@
-"""One process of a sidecar: takes over from the former process, serves with its admin API, hands over to the next."""
+"""One process of a sidecar: takes over from its predecessor, serves requests and the admin API, then hands over."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 
 
 def handover_path(config: SidecarConfig) -> Path | None:
-    """The path of the hand-over socket of the sidecar at this address; None: there is no hand-over."""
+    """Return the path of this sidecar's hand-over socket; None if hand-over is not configured."""
     if not config.handover_folder:
         return None
     return Path(config.handover_folder) / f"topazbank-{config.listen[0]}-{config.listen[1]}.sock"
 
 
 class SidecarService:
-    """One process of a sidecar, from its start to its end."""
+    """One process of a sidecar, from start to exit."""
 
     def __init__(self, config: SidecarConfig, components: Components) -> None:
-        """Take over from the former process, if one runs; raise OSError where an address can't be listened at."""
+        """Take over from the predecessor, if one runs; raise OSError if listening at an address fails."""
         path = handover_path(config)
         self._inherited = take_over(path)
-        former = state_from_json(self._inherited.snapshot) if self._inherited.snapshot else None
-        self.sidecar = _sidecar(config, components, self._inherited, former)
+        predecessor = state_from_json(self._inherited.snapshot) if self._inherited.snapshot else None
+        self.sidecar = _sidecar(config, components, self._inherited, predecessor)
         self._handover = self._handover_server(path)
-        if former is not None:
-            self._take_new_share(former)
+        if predecessor is not None:
+            self._apply_new_process_limits(predecessor)
         self._admin = self._admin_server(config)
         self._loop: asyncio.AbstractEventLoop | None = None
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serve until `stop` is set, then finish the requests in flight and return."""
+        """Serve until `stop` is set, then finish the requests in flight."""
         self._loop = asyncio.get_running_loop()
         if self._admin is not None:
             self._admin.start()
@@ -77,7 +77,7 @@
         return self._handover is not None and self._handover.has_successor
 
     def _wake_loop(self) -> None:
-        """Make the event loop act on the drain's new state; called in the admin server's thread."""
+        """Make the event loop apply the drain's new state; called in the admin server's thread."""
         assert self._loop is not None
         self._loop.call_soon_threadsafe(self.sidecar.apply_drain)
 
@@ -87,15 +87,15 @@
             HandoverState(self.sidecar.endpoint_list, clients, servers, self.sidecar.cluster_state)
         )
 
-    def _take_new_share(self, former: HandoverState) -> None:
-        """Limit connections to what the former process leaves."""
+    def _apply_new_process_limits(self, predecessor: HandoverState) -> None:
+        """Limit connections to the part that the predecessor leaves to this process."""
         limit = self.sidecar.max_connections
-        clients = split_connection_limit(limit, former.client_connections).new
-        servers = split_connection_limit(limit, former.server_connections).new
+        clients = split_connection_limit(limit, predecessor.client_connections).new
+        servers = split_connection_limit(limit, predecessor.server_connections).new
         self.sidecar.set_max_connections(clients, servers)
 
     def _on_limits_shared(self, shared: bool) -> None:
-        """Share the limits with another process of this sidecar, or use all of them again."""
+        """Share the connection limits with another process of this sidecar, or use them in full again."""
         if not shared:
             self.sidecar.set_max_connections(None, None)
             self.sidecar.resume_membership()
@@ -111,14 +111,17 @@
 
 
 def _sidecar(
-    config: SidecarConfig, components: Components, inherited: InheritedState, former: HandoverState | None
+    config: SidecarConfig,
+    components: Components,
+    inherited: InheritedState,
+    predecessor: HandoverState | None,
 ) -> Sidecar:
-    if former is not None and former.endpoints is not None:
-        config = replace(config, cached_endpoints=former.endpoints, inherited=True)
+    if predecessor is not None and predecessor.endpoints is not None:
+        config = replace(config, cached_endpoints=predecessor.endpoints, inherited=True)
     return Sidecar(
         config,
         components,
         client_socket=inherited.client_socket,
         gossip_socket=inherited.gossip_socket,
-        cluster_state=former.cluster_state if former is not None else None,
+        cluster_state=predecessor.cluster_state if predecessor is not None else None,
     )
