--- a/tests/operations/test_snapshot.py
+++ b/tests/operations/test_snapshot.py
@@ -1,4 +1,4 @@
-"""The snapshot that one process of a sidecar hands to the next."""
+"""Encoding and decoding of the hand-over snapshot."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     encode_snapshot,
 )
 
-# Written by the program before its names were changed.
-FORMER = (
+# Written by an earlier version of the program.
+EARLIER_SNAPSHOT = (
     b'0001000000fff15e7cca{"sockets":["clients","peers"],"list":{"index":42,"snapshot":true,"endpoints":'
     b'[{"name":"s-0","zone":"z1","type":"b","group":3,"status":"active","weight":2.0,'
     b'"since_ms":1700000000000,"address":"10.0.0.7:8100"}]},"clients":17,"nodes":9,"tier":{"own":[7,3]}}'
@@ -29,7 +29,7 @@
 
 
 def test_a_snapshot_of_the_former_program_is_read_and_written_alike() -> None:
-    values = decode_snapshot(FORMER[:HEADER_BYTES], FORMER[HEADER_BYTES:])
+    values = decode_snapshot(EARLIER_SNAPSHOT[:HEADER_BYTES], EARLIER_SNAPSHOT[HEADER_BYTES:])
     state = state_from_json(values)
     assert state.endpoints is not None and state.endpoints.version == 42
     (entry,) = state.endpoints.entries
@@ -40,7 +40,7 @@
     )
     assert (state.client_connections, state.server_connections) == (17, 9)
     assert state.cluster_state == {"own": [7, 3]}
-    assert encode_snapshot({"sockets": values["sockets"], **state_to_json(state)}) == FORMER
+    assert encode_snapshot({"sockets": values["sockets"], **state_to_json(state)}) == EARLIER_SNAPSHOT
 
 
 def test_a_field_that_is_not_valid_is_left_out_and_the_others_are_taken() -> None:
@@ -51,9 +51,9 @@
 
 def test_a_truncated_or_corrupted_snapshot_is_refused() -> None:
     data = encode_snapshot({"list": {"index": 4}})
-    for cut in range(len(data)):
+    for length in range(len(data)):
         with pytest.raises(InvalidSnapshot):
-            decode_snapshot(data[:cut][:HEADER_BYTES], data[:cut][HEADER_BYTES:])
+            decode_snapshot(data[:length][:HEADER_BYTES], data[:length][HEADER_BYTES:])
     for position in range(len(data)):
         corrupted = data[:position] + bytes([data[position] ^ 0x55]) + data[position + 1 :]
         with pytest.raises(InvalidSnapshot):
@@ -62,7 +62,7 @@
 
 def test_a_snapshot_of_another_version_or_of_excessive_length_is_refused_by_its_header() -> None:
     data = encode_snapshot({})
-    with pytest.raises(InvalidSnapshot, match="version 2"):
+    with pytest.raises(InvalidSnapshot, match="snapshot version: expected 1, received 2"):
         body_length(b"0002" + data[4:HEADER_BYTES])
-    with pytest.raises(InvalidSnapshot, match="too long"):
+    with pytest.raises(InvalidSnapshot, match="snapshot length of 4294967295 bytes exceeds 4194304 bytes"):
         body_length(data[:4] + b"ffffffff" + data[12:HEADER_BYTES])
--- a/topazbank/operations/handover_state.py
+++ b/topazbank/operations/handover_state.py
@@ -1,4 +1,4 @@
-"""What one process of a sidecar tells the next, and its form in the snapshot."""
+"""The state that a sidecar's process hands to the next one, and its encoding in the snapshot."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 class HandoverState:
     """The state of a process at the time of a hand-over."""
 
-    endpoints: EndpointList | None  # None: the snapshot holds no valid list
+    endpoints: EndpointList | None  # None: no valid list in the snapshot
     client_connections: int = 0
     server_connections: int = 0
-    cluster_state: Mapping[str, Any] | None = None  # None: the sidecar is in no cluster
+    cluster_state: Mapping[str, Any] | None = None  # None: the sidecar is not in a cluster
 
 
 def state_to_json(state: HandoverState) -> dict[str, Any]:
-    """The snapshot's values; their keys are read by other versions of the program and don't change."""
+    """Return the snapshot's values; other versions of the program read the keys, so they must not change."""
     values: dict[str, Any] = {"clients": state.client_connections, "nodes": state.server_connections}
     if state.endpoints is not None:
         values = {"list": encode_list(state.endpoints.version, state.endpoints.entries)} | values
@@ -34,7 +34,7 @@
 
 
 def state_from_json(values: Mapping[str, Any]) -> HandoverState:
-    """Read the snapshot's values; what is not valid in them is left out."""
+    """Read the snapshot's values; invalid values are replaced by the defaults."""
     cluster_state = values.get("tier")
     return HandoverState(
         _endpoints(values.get("list")),
@@ -48,7 +48,7 @@
     try:
         return parse_list(value)
     except ValueError as error:
-        log.warning("the endpoint list of the former process is invalid: %s", error)
+        log.warning("invalid endpoint list from the previous process: %s", error)
         return None
 
 
