--- a/topazbank/balancing/fleet.py
+++ b/topazbank/balancing/fleet.py
@@ -22,13 +22,13 @@
     """
 
     def sample(self, now: int, chance: Callable[[], float]) -> Sequence[str]:
-        """Sample the names of servers for one request at clock time `now`; empty if the plan does not apply.
+        """Return a random sample of server names for one request; empty if the plan does not apply to the request.
 
-        `chance` returns uniformly distributed random numbers from 0 to 1.
+        `now` is the clock time; `chance` returns uniformly distributed random numbers from 0 to 1.
         """
 
     def capacity(self, server: str) -> float:
-        """Limit of this sidecar's requests in flight to a server; the plan applies to the server below it."""
+        """Limit of this sidecar's requests in flight to a server; at the limit, the plan does not select the server."""
 
     def slow_start_ratio(self, server: str, now: int) -> float:
         """The usable part of the balancer's slow-start budget for a server, at most 1."""
--- a/topazbank/balancing/health_checks.py
+++ b/topazbank/balancing/health_checks.py
@@ -34,7 +34,8 @@
 TYPICAL_TIME_SMOOTHING: Final = 0.1  # the typical check time averages about the last ten checks
 ACCEPTABLE_SPENT_RATIO: Final = 0.5  # the maximum expected spent ratio at the highest priority
 ACCEPTABLE_SPENT_SPREAD: Final = 0.3  # the maximum is lower by this at the lowest priority
-OVERLOAD_ADMITTED_RATIO: Final = 0.01  # requests admitted despite expected overload, to verify the estimate
+# Part of the requests with expected overload that are admitted nevertheless, to verify the prediction.
+OVERLOAD_ADMITTED_RATIO: Final = 0.01
 BUSY_LOAD_MIN: Final = 1.0  # below this relative load a server is idle; slow responses have another cause
 RELATIVE_CAPACITY_MIN: Final = 0.1  # part of the mean capacity; a nominal capacity of zero is invalid
 SPENT_CLIP: Final = 3.0  # caps a spent ratio at this multiple of the expected one: one jam is not typical
@@ -43,7 +44,7 @@
 
 @dataclass(slots=True)
 class CheckedChoice:
-    """The server selected for a request by its health checks."""
+    """The server that the health checks for a request indicate."""
 
     server: Server | None  # None: do not send the request
     widen: bool = False  # whether to select from the servers of all zones first
@@ -136,7 +137,7 @@
         self._spent_ratio_by_load.add(attempt.load_when_sent, min(spent_ratio, spent_ratio_max))
 
     def requests_per_us(self) -> float | None:
-        """Requests per microsecond that a server receives, by health checks and responses; None: unknown."""
+        """A server's requests per microsecond, estimated from health checks and responses; None: unknown."""
         return self._spent_ratio_by_load.throughput(self._context.longest_objective_us)
 
     def _is_worth_zone_crossing(self, best: Server | None) -> bool:
@@ -147,7 +148,10 @@
         return expected is not None and idle is not None and expected - idle > self._costs.zone_crossing
 
     def _is_overloaded(self, server: Server, request: Request) -> bool:
-        """Whether even this server is expected to respond too late; admits a few requests to verify the estimate."""
+        """Whether to shed a request because even this server is expected to respond too late.
+
+        A few such requests are admitted nevertheless, to verify the prediction.
+        """
         is_busy = (self._relative_load(server) or 0.0) >= BUSY_LOAD_MIN
         expected = self._expected_spent_ratio(server) if is_busy else None
         acceptable = ACCEPTABLE_SPENT_RATIO - ACCEPTABLE_SPENT_SPREAD * (1.0 - request.priority_rank)
@@ -156,7 +160,7 @@
         return self._context.random.random() >= OVERLOAD_ADMITTED_RATIO
 
     def _relative_load(self, server: Server) -> float | None:
-        """The requests in flight by its last check, relative to its capacity; None: unknown."""
+        """A server's requests in flight as of its last check, relative to its capacity; None: unknown."""
         if server.reported_in_flight is None:
             return None
         ready = len(self._servers.ready)
--- a/topazbank/balancing/load.py
+++ b/topazbank/balancing/load.py
@@ -85,9 +85,9 @@
             self.in_objective -= attempt.server.ejected_until is None
 
     def exclude(self, server: Server) -> None:
-        """Stop counting the attempts at a server that is being ejected: they are no load on the others."""
+        """Stop counting a server's attempts as load on the fleet when it is ejected: they are no load on the others."""
         self.in_objective -= server.in_objective
 
     def include(self, server: Server) -> None:
-        """Count the attempts at a server again after its ejection has ended."""
+        """Resume counting a server's attempts as load on the fleet when its ejection ends."""
         self.in_objective += server.in_objective
--- a/topazbank/balancing/outlier_ejection.py
+++ b/topazbank/balancing/outlier_ejection.py
@@ -54,7 +54,7 @@
         self.responses = 0  # total from all servers
         # The clock time when a server was last ejected as unreachable.
         self._last_unreachable_at = -context.longest_objective_us - 1
-        # Probation uses idempotent requests.  If no class is idempotent, it uses requests with an idempotency key.
+        # Probation tests ejected servers with idempotent requests, or with keyed ones if no class is idempotent.
         kinds = [request_class.idempotency for request_class in context.settings.classes]
         self._has_idempotent = Idempotency.IDEMPOTENT in kinds
         self._probation_kind = Idempotency.IDEMPOTENT if self._has_idempotent else Idempotency.KEYED
--- a/topazbank/balancing/request_lifecycle.py
+++ b/topazbank/balancing/request_lifecycle.py
@@ -181,7 +181,7 @@
             self._answer_if_none_pending(request)
 
     def _send_checked(self, request: Request) -> None:
-        """Send a request to the server chosen by its health checks."""
+        """Send a request to the server that its health checks indicate, or answer the request if there is none."""
         choice = self._checks.choose(request)
         if choice.widen:
             self._select_and_send(request)
--- a/topazbank/balancing/requests.py
+++ b/topazbank/balancing/requests.py
@@ -31,7 +31,7 @@
     in_objective: bool = True  # pending, and its latency objective has not passed
     may_have_run: bool = True  # false once the outcome proves that it did not run
     response_started: bool = False
-    load_when_sent: float | None = None  # server load by its last health check, relative to its size
+    load_when_sent: float | None = None  # server load as of its last health check, relative to its size
     counted_late: bool = False  # whether it was already counted as a sign of overload
 
 
--- a/topazbank/balancing/response_times.py
+++ b/topazbank/balancing/response_times.py
@@ -46,7 +46,7 @@
         return self._usual_us.get((request.request_class.name, request.cost_bucket), default_us)
 
     def overdue_us(self, request: Request, server: Server) -> int:
-        """How long an attempt at this server may take before it is overdue, in microseconds."""
+        """How long an attempt sent to this server may take before it is overdue, in microseconds."""
         objective_us = request.request_class.latency_objective_us
         usual_us = OVERDUE_USUAL_MULTIPLE * self.usual_us(request) * max(server.latency_ratio, 1.0)
         return int(max(usual_us, OVERDUE_OBJECTIVE_RATIO * objective_us, self._context.settings.tick_us))
--- a/topazbank/core/attempts.py
+++ b/topazbank/core/attempts.py
@@ -28,7 +28,7 @@
 
 
 class Attempt:
-    """An attempt at a server; each protocol has its own subclass."""
+    """An attempt sent to a server; each protocol has its own subclass."""
 
     def __init__(
         self,
--- a/topazbank/core/sidecar.py
+++ b/topazbank/core/sidecar.py
@@ -179,7 +179,7 @@
             ]
             self._trace.record_start(self._clock.now(), classes, settings.fleet_size)
         log.info(
-            "initial endpoint list: version %d, %d servers; polled within %.1f s, drain grace %.2f s, %d sidecars",
+            "initial endpoint list: version %d, %d servers; polls up to %.1f s apart, drain grace %.2f s, %d sidecars",
             self._config.cached_endpoints.version,
             len(self._config.cached_endpoints.entries),
             settings.rules.poll_within_us / 1e6,
--- a/topazbank/discovery/registration_view.py
+++ b/topazbank/discovery/registration_view.py
@@ -222,7 +222,9 @@
     def _add(self, name: str, now: float, change: ViewChange) -> None:
         if name in self._known_names and self._flaps.node_returned(name, now):
             log.warning(
-                "zookeeper: node %s is flapping; draining until registered for %g s", name, FLAP_HOLD_S
+                "zookeeper: node %s is flapping; draining until it has stayed registered for %g s",
+                name,
+                FLAP_HOLD_S,
             )
         self._remember(name)
         self.nodes[name] = RegisteredNode(name, updated_at=now)
--- a/topazbank/estimation/latency_check.py
+++ b/topazbank/estimation/latency_check.py
@@ -20,7 +20,8 @@
         self.slow_at = slow_at
         self.overload_at = max(slow_at, overload_at)
         self.slow_counted = False  # whether the result for `slow_at` has been counted
-        self.pending = True  # False once the result for `overload_at` is counted or can no longer come
+        # False once the result for `overload_at` has been counted, or the attempt has ended without one.
+        self.pending = True
 
 
 class DecayingShare:
--- a/topazbank/estimation/load_estimator.py
+++ b/topazbank/estimation/load_estimator.py
@@ -39,7 +39,7 @@
 # With this share of attempts above OVERLOAD_RATIO the fleet is overloaded, even before any response is late.
 OVERLOAD_SHARE = 0.5
 OVERLOAD_CHECKS_MIN = 8  # fewer checks are too noisy to indicate overload
-PENDING_CHECKS_MAX = 4096  # per latency objective; above it the oldest checks can no longer expire
+PENDING_CHECKS_MAX = 4096  # per latency objective; above it the oldest checks are dropped and never expire
 
 
 class LoadEstimator:
--- a/topazbank/estimation/load_gossip.py
+++ b/topazbank/estimation/load_gossip.py
@@ -19,7 +19,7 @@
 from topazbank.estimation.fleet_size import FleetSize
 
 MESSAGE_VERSION = 1
-MESSAGE_BYTES_MAX = 256  # the platform's limit
+MESSAGE_BYTES_MAX = 256  # limit set by the platform
 ENTRY = struct.Struct("<HB")
 ENTRIES_MAX = (MESSAGE_BYTES_MAX - 1) // ENTRY.size  # the largest counts have priority
 COUNT_MAX = 255
--- a/topazbank/estimation/poll_schedule.py
+++ b/topazbank/estimation/poll_schedule.py
@@ -18,7 +18,7 @@
 
 from typing import Final
 
-UPDATE_DEADLINE_S: Final = 6.0  # the platform's limit
+UPDATE_DEADLINE_S: Final = 6.0  # limit set by the platform
 RESPONSE_MAX_S: Final = 2.0  # response time of the registry, including queueing
 # Maximum time between the starts of two polls.  If it were longer, a poll that an overloaded registry rejects after
 # RESPONSE_MAX_S would not be repeated before the deadline.
@@ -30,11 +30,11 @@
 # for three failed polls.  In a large fleet the polls of all sidecars must not keep the registry overloaded.
 INTERVAL_RATIO_SMALL_FLEET: Final = 0.25
 INTERVAL_RATIO_LARGE_FLEET: Final = 0.8
-SIDECARS_PER_POLL_WINDOW: Final = 160.0  # number of sidecars that may each poll once within the allowed time
+SIDECARS_PER_POLL_WINDOW: Final = 160.0  # sidecars that may each poll once per `poll_within_us`
 RETRY_JITTER_RATIO: Final = 0.5  # keeps sidecars that started together from polling in step
 
 WATCH_TIMEOUT_MIN_S = 8.0
-WATCH_TIMEOUT_MAX_S: Final = 60.0  # the platform's limit
+WATCH_TIMEOUT_MAX_S: Final = 60.0  # limit set by the platform
 FLEET_WATCH_TIMEOUTS_PER_S: Final = 5.0  # rate over the whole fleet, at one registry
 WATCH_JITTER_RATIO: Final = 0.25
 
--- a/topazbank/planning/link.py
+++ b/topazbank/planning/link.py
@@ -86,7 +86,7 @@
         self._backoff_s = min(2.0 * self._backoff_s, BACKOFF_MAX_S)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """asyncio.Protocol callback."""
+        """asyncio.Protocol callback: store the transport and create the message decoder."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._unpacker = msgpack.Unpacker(max_buffer_size=2 * DOCUMENT_BYTES_MAX)
--- a/topazbank/planning/planner_server.py
+++ b/topazbank/planning/planner_server.py
@@ -148,7 +148,7 @@
         self.last_received_at_s = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """asyncio's callback."""
+        """asyncio.Protocol callback: add the connection; abort it if CONNECTIONS_MAX are already open."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self.last_received_at_s = asyncio.get_running_loop().time()
@@ -158,11 +158,11 @@
         self._server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """asyncio's callback."""
+        """asyncio.Protocol callback: remove the connection."""
         self._server.connections.discard(self)
 
     def pause_writing(self) -> None:
-        """asyncio's callback: the client sends requests without reading the responses."""
+        """asyncio.Protocol callback: abort, since the client sends requests without reading the responses."""
         self.abort()
 
     def abort(self) -> None:
@@ -171,7 +171,7 @@
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """asyncio's callback: handle each complete message."""
+        """asyncio.Protocol callback: handle each complete message; abort the connection on an invalid one."""
         self.last_received_at_s = asyncio.get_running_loop().time()
         self._server.bytes_in += len(data)
         try:
--- a/topazbank/planning/wire.py
+++ b/topazbank/planning/wire.py
@@ -214,7 +214,7 @@
     members = []
     for member in value:
         if not isinstance(member, list) or len(member) != 2:
-            raise InvalidDocument("tier: expected pairs of an ident and a life")
+            raise InvalidDocument("tier: expected [ident, life] pairs")
         members.append(
             ProcessGeneration(_validate_integer(member[0], "ident"), _validate_integer(member[1], "life"))
         )
@@ -229,7 +229,7 @@
 
 def _decode_bucket(value: object) -> tuple[int, int]:
     if not isinstance(value, list) or len(value) != 2:
-        raise InvalidDocument("times: expected pairs of a bucket and a count")
+        raise InvalidDocument("times: expected [bucket, count] pairs")
     return _validate_integer(value[0], "bucket") % BUCKETS_MAX, _validate_integer(value[1], "count")
 
 
--- a/topazbank/quota/rules.py
+++ b/topazbank/quota/rules.py
@@ -15,7 +15,8 @@
 from typing import NamedTuple
 
 MILLIUNITS_PER_UNIT = 1000
-CLOCK_DRIFT_PPM = 10_000  # 1 %: quartz clocks drift by far less, but a migrated virtual machine's by far more
+# 1 %: a quartz clock drifts by about 20 ppm, the clock of a migrated virtual machine by far more.
+CLOCK_DRIFT_PPM = 10_000
 RENEWALS_PER_LEASE = 5  # a lease survives the loss of four renewals in a row
 LEASE_SERVERS_MAX = 16
 
--- a/topazbank/quota/wire.py
+++ b/topazbank/quota/wire.py
@@ -21,7 +21,7 @@
 
 MAGIC = 0xD9  # differs from the first bytes of the cluster's and the load gossip's datagrams
 VERSION = 1
-DATAGRAM_BYTES_MAX = 256  # the platform's bound
+DATAGRAM_BYTES_MAX = 256  # limit set by the platform
 _BODY = struct.Struct("!BBBB6s6sIIIQIQI")  # of _Fields
 _IDENT_BYTES = 6
 _AMOUNT_MAX = (1 << 63) - 1
