--- a/tests/msgpackrpc/test_mapping.py
+++ b/tests/msgpackrpc/test_mapping.py
@@ -1,4 +1,4 @@
-"""The formats: calls, answers and servers' responses, and what cannot be translated."""
+"""Tests of the mapping between messages and calls, answers and server responses, including invalid ones."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     return read_call(message, REQUEST_CLASSES, lambda answer: None)
 
 
-def test_every_field_of_a_call_is_read() -> None:
+def test_all_fields_of_a_call_are_read() -> None:
     call = read("amend", idempotency_key="k-1", cost_us=120, again=True, type="text/plain")
     assert (call.call_id, call.request_class.name, call.target, call.body) == (
         "c-1",
@@ -54,12 +54,12 @@
     assert call.idempotency_key == "k-1" and call.content_headers == [(b"content-type", b"text/plain")]
 
 
-def test_a_key_stands_for_its_path_and_without_either_the_path_is_the_root() -> None:
+def test_missing_path_is_derived_from_the_key_or_defaults_to_the_root() -> None:
     assert read(without="path", key="7f").target == b"/api/7f"
     assert read(without="path").target == b"/api" and read(without="path").key is None
 
 
-def test_a_forwarded_call_has_its_client_s_fields_and_the_remaining_time() -> None:
+def test_forwarded_call_has_the_fields_of_its_client_and_the_remaining_time() -> None:
     call = read("amend", idempotency_key="k-1", again=True)
     request = read_rpc(msgpack.unpackb(format_call(9, call, 0.75), raw=False))
     assert (request.msgid, request.request_class, request.path, request.request_id, request.body) == (
@@ -73,12 +73,12 @@
     assert request.headers["idempotency-key"] == "k-1" and request.headers["x-caller"] == "acme"
 
 
-def test_a_call_is_translated_to_http_with_every_field_in_its_header() -> None:
+def test_call_is_converted_to_http_with_each_field_in_its_header() -> None:
     call = read("amend", idempotency_key="k-1", again=True, cost_us=5, type="text/plain")
     head, _, body = format_request(call, 0.5).partition(b"\r\n\r\n")
     request_line, *headers = head.split(b"\r\n")
     assert request_line == b"POST /api/7f?q=1 HTTP/1.1" and body == b"\0b"
-    for each in (
+    for header in (
         b"X-Call-Id: c-1",
         b"X-Call-Class: amend",
         b"X-Caller: acme",
@@ -89,7 +89,7 @@
         b"content-type: text/plain",
         b"Content-Length: 2",
     ):
-        assert each in headers
+        assert header in headers
 
 
 @pytest.mark.parametrize(
@@ -129,11 +129,12 @@
         ({"body": ["x"]}, 400, "body"),
     ],
 )
-def test_an_invalid_call_is_rejected_with_the_name_of_its_field(
+def test_invalid_call_is_rejected_with_the_name_of_the_field(
     changes: dict[str, Any], status: int | None, field: str
 ) -> None:
     if status is None:
-        assert read(**changes, body=None).request_class.name == "look"  # a text of either MessagePack type
+        # The method may be of either MessagePack string type.
+        assert read(**changes, body=None).request_class.name == "look"
         return
     with pytest.raises(InvalidRequest) as raised:
         read(**changes)
@@ -141,19 +142,19 @@
 
 
 @pytest.mark.parametrize("params", [[], [{}, b"", 3], [7], [[]], {"id": "x"}, "x", None])
-def test_params_of_another_shape_are_rejected(params: Any) -> None:
+def test_params_of_an_unexpected_shape_are_rejected(params: Any) -> None:
     with pytest.raises(InvalidRequest):
         read_params("pay", params)
 
 
-def test_a_content_type_that_cannot_stand_in_a_header_is_left_out() -> None:
+def test_content_type_that_is_not_a_valid_header_value_is_omitted() -> None:
     for invalid in ("a\r\nX-Evil: 1", "", "é", 7, "x" * 2000):
         assert read(type=invalid).content_headers is None
     response = RpcResponse(1, None, {b"body": b"x", b"type": b"a\r\nSet-Cookie: x"})
     assert read_response(response, ())[1].content_headers is None  # type: ignore[union-attr]
 
 
-# A call counts as not executed only if its server says so: any other reading would let it be executed twice.
+# A call counts as not executed only if its server explicitly says so; otherwise a retry could execute it twice.
 @pytest.mark.parametrize(
     ("error", "result", "outcome"),
     [
@@ -178,13 +179,13 @@
         ([503, b"full", {b"rejected": True}], {b"body": b"x"}, Outcome.REJECTED),
     ],
 )
-def test_only_a_server_s_explicit_rejection_proves_that_a_call_was_not_executed(
+def test_only_an_explicit_rejection_by_the_server_counts_as_not_executed(
     error: Any, result: Any, outcome: Outcome
 ) -> None:
     assert read_response(RpcResponse(1, error, result), ())[0] is outcome
 
 
-def test_load_reports_of_results_and_errors_are_read_without_their_invalid_values() -> None:
+def test_load_reports_of_results_and_errors_are_read_without_invalid_values() -> None:
     load = {
         b"util": 0.5,
         b"queue": float("nan"),
@@ -200,8 +201,8 @@
     ):
         response = read_response(message, ("util", "queue", "qps", "eps", "inflight"))[1]
         assert response is not None and response.report == {"util": 0.5}
-    none = read_response(RpcResponse(1, None, {b"load": [1]}), ("util",))[1]
-    assert none is not None and none.report is None
+    without_report = read_response(RpcResponse(1, None, {b"load": [1]}), ("util",))[1]
+    assert without_report is not None and without_report.report is None
 
 
 @pytest.mark.parametrize(
@@ -218,5 +219,5 @@
         (FinalAnswer(Verdict.FAILED), [500, "failed", {}], None),
     ],
 )
-def test_final_answers_have_one_form(answer: FinalAnswer, error: Any, result: Any) -> None:
+def test_final_answers_are_encoded_as_responses(answer: FinalAnswer, error: Any, result: Any) -> None:
     assert msgpack.unpackb(format_answer(9, answer), raw=False) == [1, 9, error, result]
--- a/topazbank/msgpackrpc/__init__.py
+++ b/topazbank/msgpackrpc/__init__.py
@@ -1,1 +1,1 @@
-"""MessagePack-RPC: the server that clients speak to and the client that speaks to servers (docs/msgpack-rpc.md)."""
+"""MessagePack-RPC: the server for clients and the client for upstream servers (docs/msgpack-rpc.md)."""
--- a/topazbank/msgpackrpc/answer_writing.py
+++ b/topazbank/msgpackrpc/answer_writing.py
@@ -14,7 +14,7 @@
 
 
 def format_answer(msgid: int, answer: FinalAnswer) -> bytes:
-    """A call's final answer as a response."""
+    """Encode a call's final answer as a response."""
     if answer.verdict is Verdict.SERVED:
         result: dict[str, Any] = {"body": answer.body}
         if answer.content_headers:
@@ -27,12 +27,12 @@
 
 
 def format_rejection(msgid: int, error: InvalidRequest) -> bytes:
-    """The response to a request that is not accepted."""
+    """Encode the error response to a rejected request."""
     return encode_response(msgid, [error.status, str(error), {}], None)
 
 
 def format_readiness(msgid: int, ready: bool) -> bytes:
-    """The response to a readiness check."""
+    """Encode the response to a readiness check."""
     if ready:
         return encode_response(msgid, None, {"ready": True})
     return format_rejection(msgid, InvalidRequest(503, "draining"))
--- a/topazbank/msgpackrpc/answering.py
+++ b/topazbank/msgpackrpc/answering.py
@@ -1,7 +1,7 @@
-"""The sending half of a client's MessagePack-RPC connection: flow control and the bounds on answers not read yet.
+"""The sending half of a client's MessagePack-RPC connection: flow control and limits on unread answers.
 
-Promise: a client that reads no answers makes this process hold at most UNREAD_BYTES_MAX of them, all such clients
-together UNREAD_BYTES_TOTAL_MAX, and none for longer than `_UNREAD_LIMIT_S`.
+Invariant: a client that does not read its answers makes this process buffer at most UNREAD_BYTES_MAX, and all such
+clients together at most UNREAD_BYTES_TOTAL_MAX.  No answer stays buffered for longer than `_UNREAD_TIMEOUT_S`.
 """
 
 from __future__ import annotations
@@ -17,84 +17,84 @@
 
 log = logging.getLogger(__name__)
 
-_HIGH_WATER_BYTES: Final = 64 * 1024  # of unread answers; beyond it no further calls are read
-# Of one connection; beyond it the connection ends.  Not Final, so that tests of the compiled copy can lower it.
+_HIGH_WATER_BYTES: Final = 64 * 1024  # unread answers above which no further calls are read
+# Unread answers above which a connection is closed.  Not Final, so that tests of the compiled modules can lower it.
 UNREAD_BYTES_MAX = 1024 * 1024
-UNREAD_BYTES_TOTAL_MAX: Final = 8 * 1024 * 1024  # of all connections; this process may use 32 MB of memory
-_UNREAD_LIMIT_S: Final = 2.0  # a client that reads nothing for so long counts as disconnected
+UNREAD_BYTES_TOTAL_MAX: Final = 8 * 1024 * 1024  # over all connections; the process may use 32 MB of memory
+_UNREAD_TIMEOUT_S: Final = 2.0  # a client that reads nothing for this long counts as disconnected
 
 
 class AnsweringConnection(ClientConnection):
-    """Sends answers; its subclass reads calls."""
+    """Sends answers; the subclass reads calls."""
 
-    _unread_bytes_total: ClassVar[int] = 0  # of all connections above their high-water mark
+    _unread_bytes_total: ClassVar[int] = 0  # over all connections above their high-water mark
 
     def __init__(self, table: ConnectionTable, sock: socket.socket) -> None:
         super().__init__(table, sock)
-        self._unread_bytes = 0  # this connection's part of _unread_bytes_total
+        self._unread_bytes = 0  # this connection's share of _unread_bytes_total
         self._unread_timer: asyncio.TimerHandle | None = None  # set while above the high-water mark
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register it (called by asyncio)."""
+        """Register the connection (called by asyncio)."""
         super().connection_made(transport)
         assert self._transport is not None
         self._transport.set_write_buffer_limits(high=_HIGH_WATER_BYTES)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Unregister it (called by asyncio)."""
+        """Unregister the connection (called by asyncio)."""
         super().connection_lost(exc)
-        self._unblock_writing()
+        self._clear_unread()
 
-    def _answers_read(self) -> None:
-        """The client has read answers: go on reading calls."""
+    def _on_answers_read(self) -> None:
+        """Resume reading calls after the client has read its answers."""
         raise NotImplementedError
 
     def _write(self, data: bytes) -> None:
-        """Write an answer; end the connection where it exceeds a bound."""
+        """Write an answer; close the connection if its unread answers exceed a limit."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return
         transport.write(data)
         if self._unread_timer is not None:
-            self._count_unread(transport.get_write_buffer_size())
+            self._update_unread_bytes(transport.get_write_buffer_size())
 
     def is_write_blocked(self) -> bool:
         """Whether the client reads more slowly than it sends calls."""
         return self._unread_timer is not None
 
     def pause_writing(self) -> None:
-        """Read no further calls: the client does not read its answers (called by asyncio)."""
+        """Stop reading calls because the client does not read its answers (called by asyncio)."""
         self._pause_reading()
         loop = asyncio.get_running_loop()
-        self._unread_timer = loop.call_later(_UNREAD_LIMIT_S, self._end_unread)
+        self._unread_timer = loop.call_later(_UNREAD_TIMEOUT_S, self._close_unread)
         if self._transport is not None:
-            self._count_unread(self._transport.get_write_buffer_size())
+            self._update_unread_bytes(self._transport.get_write_buffer_size())
 
     def resume_writing(self) -> None:
-        """Go on (called by asyncio)."""
-        self._unblock_writing()
-        self._answers_read()
+        """Resume reading calls (called by asyncio)."""
+        self._clear_unread()
+        self._on_answers_read()
 
-    def _count_unread(self, unread_bytes: int) -> None:
+    def _update_unread_bytes(self, unread_bytes: int) -> None:
         AnsweringConnection._unread_bytes_total += unread_bytes - self._unread_bytes
         self._unread_bytes = unread_bytes
         total = AnsweringConnection._unread_bytes_total
         if unread_bytes > UNREAD_BYTES_MAX or total > UNREAD_BYTES_TOTAL_MAX:
-            self._end_unread()
+            self._close_unread()
 
-    def _end_unread(self) -> None:
-        log.info("%s: closed, its client does not read its answers", self.describe())
+    def _close_unread(self) -> None:
+        log.info("%s: connection closed: client does not read its answers", self.describe())
         self._counters.count(ClientEvent.CONNECTION_TIMED_OUT)
         self.abort(client_disconnected=True)
 
-    def _unblock_writing(self) -> None:
+    def _clear_unread(self) -> None:
         AnsweringConnection._unread_bytes_total -= self._unread_bytes
         self._unread_bytes = 0
         if self._unread_timer is not None:
             self._unread_timer.cancel()
             self._unread_timer = None
 
-    # -- Reading, as far as flow control goes ---------------------------------------------------------
+    # -- Flow control of reading ----------------------------------------------------------------------
 
     def _pause_reading(self) -> None:
         if self._transport is not None:
--- a/topazbank/msgpackrpc/attempt.py
+++ b/topazbank/msgpackrpc/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt or health check over MessagePack-RPC, on a connection that it shares with others."""
+"""One attempt or health check over MessagePack-RPC on a shared connection."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 RequestFormatter = Callable[[int, float], bytes]  # called with a message id and the remaining seconds
 
-_ABANDONED: Final = (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.CONNECT_FAILED, Outcome.UNSENT)
+_ABANDONING_OUTCOMES: Final = (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.CONNECT_FAILED, Outcome.UNSENT)
 
 
 class RpcAttempt(Attempt):
@@ -30,30 +30,30 @@
         non_idempotent: bool = False,
         call: Call | None = None,
     ) -> None:
-        """`non_idempotent`: it is never retried once it may have been executed."""
+        """`non_idempotent`: the attempt is not retried once it may have been executed."""
         super().__init__(endpoint, deadlines, on_ended, call)
         self.format_request = format_request
         self.non_idempotent = non_idempotent
         self.msgid = -1
-        self.written = False  # whether its last byte has gone to the kernel
+        self.written = False  # whether the kernel has accepted its last byte
         self.connection: RpcUpstreamConnection | None = None
-        self._is_final = deadlines.is_final  # whether its request is over with it, so that no retry follows
+        self._is_final = deadlines.is_final  # whether no retry of its request can follow
 
     def release(self, outcome: Outcome) -> None:
-        """Leave the connection, where its end was decided here and not by the connection."""
-        if self.connection is not None and outcome in _ABANDONED:
+        """Leave the connection if the attempt ended without it, as by a timeout or a cancellation."""
+        if self.connection is not None and outcome in _ABANDONING_OUTCOMES:
             self.connection.abandon(self, may_be_retried=not self._is_final and not self.non_idempotent)
 
     def cancel(self, final: bool) -> None:
-        """Stop waiting; `final`: its request has its answer, so no retry follows."""
+        """Stop waiting for the response; `final`: its request is answered, so no retry follows."""
         self._is_final = final
         self.end(Outcome.CANCELLED)
 
     def cancel_unwritten(self) -> None:
-        """End it unsent unless its last byte has gone to the kernel."""
+        """End the attempt as unsent unless the kernel has accepted its last byte."""
         if not self.written:
             self.end(Outcome.UNSENT)
 
     def time_out(self) -> None:
-        """End it at its deadline."""
+        """End the attempt at its deadline."""
         self.end(Outcome.TIMED_OUT if self.written else Outcome.CONNECT_FAILED)
--- a/topazbank/msgpackrpc/client.py
+++ b/topazbank/msgpackrpc/client.py
@@ -1,8 +1,8 @@
-"""The MessagePack-RPC client of servers: connection pools, attempts and health checks.
+"""The MessagePack-RPC client of upstream servers: connection pools, attempts and health checks.
 
-Which attempts share a connection (docs/design/msgpack-rpc.md compares the ways): an attempt that is abandoned while its
-request may be retried takes its connection with it.  Attempts of non-idempotent classes, which are never retried once
-they may have been executed, share only with one another; the others share in small numbers.
+Connection sharing (docs/design/msgpack-rpc.md compares the alternatives): abandoning an attempt whose request may be
+retried closes its connection.  Attempts of non-idempotent classes are never retried once they may have been executed,
+so many of them share a connection, but only with one another.  Only a few other attempts share a connection.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
 
 log = logging.getLogger(__name__)
 
-_IDLE_MARGIN_RATIO: Final = 0.1  # an idle connection is closed this part of its time before the server would
+_IDLE_MARGIN_RATIO: Final = 0.1  # part of the server's idle timeout by which this side closes first
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionSharing:
-    """How many attempts may share a connection, and how many connections a server is given."""
+    """Limits on the attempts per connection and on the connections per server."""
 
     non_idempotent_max: int = 32
     others_max: int = 4
@@ -43,18 +43,18 @@
 
 @dataclass(slots=True, eq=False)
 class Pool:
-    """The connections to a server, by what they carry."""
+    """The connections to a server, by the kind of their attempts."""
 
     non_idempotent: list[RpcUpstreamConnection] = field(default_factory=list)
     others: list[RpcUpstreamConnection] = field(default_factory=list)
 
     def all(self) -> list[RpcUpstreamConnection]:
-        """All connections to the server, also those that are connecting."""
+        """All connections to the server, including those that are connecting."""
         return [*self.non_idempotent, *self.others]
 
 
 class RpcUpstreamClient:
-    """All MessagePack-RPC connections to servers, within a limit shared with other protocols."""
+    """Manages all MessagePack-RPC connections to servers, within a limit shared with other protocols."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         report_columns: Collection[str] = (),
         sharing: ConnectionSharing | None = None,
     ) -> None:
-        """`idle_timeout_s`: after which servers close; `report_columns`: of load reports; none: there are none."""
+        """`idle_timeout_s`: of the servers; `report_columns`: columns of load reports, empty if there are none."""
         self.connect_timeout_s = connect_timeout_s
         self.connection_limit = connection_limit
         self.report_columns = report_columns
@@ -72,24 +72,24 @@
         self._sharing = sharing or ConnectionSharing()
         self._timers = Timers()
         self._pools: dict[Endpoint, Pool] = {}
-        self._idle: dict[RpcUpstreamConnection, None] = {}  # the longest idle first
+        self._idle: dict[RpcUpstreamConnection, None] = {}  # longest idle first
 
     # -- Endpoints ------------------------------------------------------------------------------------
 
     def add_endpoint(self, endpoint: Endpoint) -> None:
-        """Make the connection pool of a server that was added."""
+        """Create the connection pool of an added server."""
         endpoint.pool = self._pools[endpoint] = Pool()
 
     def endpoint_restarted(self, endpoint: Endpoint) -> None:
-        """Use no connection opened so far again; queued attempts end unsent, which is no fault of the server."""
+        """Stop using existing connections; queued attempts end as unsent, which does not count against the server."""
         self._withdraw_queued(endpoint, Outcome.UNSENT)
 
     def drain_endpoint(self, endpoint: Endpoint) -> None:
-        """End what is not begun to be written and close what is idle: it accepts nothing new."""
+        """End queued attempts and close idle connections, since the server accepts no new requests."""
         self._withdraw_queued(endpoint, Outcome.CONNECT_FAILED)
 
     def remove_endpoint(self, endpoint: Endpoint) -> None:
-        """Forget a server that was removed."""
+        """Remove the connection pool of a removed server."""
         del self._pools[endpoint]
 
     @staticmethod
@@ -102,7 +102,7 @@
     def send(
         self, endpoint: Endpoint, call: Call, deadlines: AttemptDeadlines, on_ended: OutcomeCallback
     ) -> RpcAttempt:
-        """Start an attempt; a body too large for a message ends it unsent, since servers that speak HTTP accept it."""
+        """Start an attempt; one whose body exceeds a message ends as unsent, since HTTP servers can accept it."""
         non_idempotent = call.request_class.idempotency is Idempotency.NON_IDEMPOTENT
         attempt = RpcAttempt(
             endpoint,
@@ -118,7 +118,7 @@
         return self._start(attempt)
 
     def check_health(self, endpoint: Endpoint, give_up_at: float, on_ended: OutcomeCallback) -> RpcAttempt:
-        """Start a health check; its response has the load report where there are reports."""
+        """Start a health check; its response contains the load report if reports are configured."""
         method = STATS_METHOD if self.report_columns else LIVE_METHOD
         deadlines = AttemptDeadlines(give_up_at)
         return self._start(
@@ -130,9 +130,9 @@
         if attempt.give_up_at <= loop.time():
             attempt.end(Outcome.UNSENT)
             return attempt
-        connection = self._connection_for(attempt.endpoint, attempt.non_idempotent)
+        connection = self._select_connection(attempt.endpoint, attempt.non_idempotent)
         if connection is None:
-            # This process's own limit: it says nothing of the server.
+            # The limit is local to this process, so it does not count against the server.
             log.warning("connection limit reached: attempt at %s is not sent", attempt.endpoint.name)
             attempt.end(Outcome.UNSENT)
             return attempt
@@ -141,8 +141,8 @@
         connection.add(attempt)
         return attempt
 
-    def _connection_for(self, endpoint: Endpoint, non_idempotent: bool) -> RpcUpstreamConnection | None:
-        """The least loaded connection with capacity, or a new one; None where the limits allow neither."""
+    def _select_connection(self, endpoint: Endpoint, non_idempotent: bool) -> RpcUpstreamConnection | None:
+        """Return the least loaded connection with capacity, or a new one; None if the limits allow neither."""
         pool: Pool = endpoint.pool
         candidates = pool.non_idempotent if non_idempotent else pool.others
         sharing = self._sharing
@@ -151,7 +151,7 @@
             if connection.has_capacity(attempts_max):
                 return connection
             if not connection.load and connection.sock is not None and not connection.is_finished():
-                connection.abort()  # it is idle, and its server has closed it
+                connection.abort()  # idle and closed by the server
         open_count = len(pool.non_idempotent) + len(pool.others)
         if open_count >= sharing.connections_max or not self.connection_limit.acquire():
             return None
@@ -187,9 +187,9 @@
 
     @staticmethod
     def _connect_timed_out(connection: RpcUpstreamConnection, sock: socket.socket) -> None:
-        """End a connect that takes too long, unless the kernel has completed it.
+        """End a connect that exceeds its timeout, unless the kernel has already completed it.
 
-        Guards against a delay of this process being taken for a server that is down.
+        Prevents a delay of this process from counting as a server that is down.
         """
         if not is_connected(sock):
             connection.end(Outcome.CONNECT_FAILED)
@@ -197,23 +197,23 @@
     # -- Idle connections -----------------------------------------------------------------------------
 
     def load_decreased(self, connection: RpcUpstreamConnection) -> None:
-        """Note a connection that may be idle now: it stays open for less long than its server keeps it."""
+        """Close a finished connection; start the idle timer of an idle one, to close it before its server does."""
         if connection.load:
             return
         is_ready = connection.endpoint.state is ServerState.READY
         if connection.is_finished() or connection.is_connecting() or not is_ready:
-            connection.abort()  # also a connect that no attempt waits for any more
+            connection.abort()  # including a connect that no attempt waits for any more
         elif connection.idle_timer is None and connection.usable:
             self._idle[connection] = None
             loop = asyncio.get_running_loop()
             connection.idle_timer = loop.call_later(self._idle_s, connection.abort)
 
     def connection_used(self, connection: RpcUpstreamConnection) -> None:
-        """Note that a connection is not idle any more."""
+        """Mark a connection as not idle."""
         self._idle.pop(connection, None)
 
     def connection_ended(self, connection: RpcUpstreamConnection) -> None:
-        """Forget a connection that was closed, or could not be established."""
+        """Remove a connection that was closed or could not be established."""
         self._idle.pop(connection, None)
         pool: Pool = connection.endpoint.pool
         candidates = pool.non_idempotent if connection.non_idempotent else pool.others
@@ -221,11 +221,11 @@
             candidates.remove(connection)
 
     def max_idle_connections(self) -> int:
-        """How many connections are idle, of all servers: the longest idle one is closed whichever server it is to."""
+        """The number of idle connections to all servers; `close_oldest_idle` closes the longest idle of them."""
         return len(self._idle)
 
     def close_oldest_idle(self) -> None:
-        """Close the longest idle connection."""
+        """Close the connection that has been idle longest, whichever server it is to."""
         next(iter(self._idle)).abort()
 
     def close_idle(self, endpoint: Endpoint) -> None:
@@ -235,7 +235,7 @@
                 connection.abort()
 
     async def close(self) -> None:
-        """Close all connections and wait for connects in progress to end."""
+        """Close all connections and wait until connects in progress have ended."""
         tasks = [
             connection.connect_task
             for pool in self._pools.values()
--- a/topazbank/msgpackrpc/connection.py
+++ b/topazbank/msgpackrpc/connection.py
@@ -1,9 +1,9 @@
-"""One connection to a server, which carries several attempts at a time; the end of each proves what it can.
+"""One connection to a server, shared by several concurrent attempts.
 
-Promise: an attempt is written once the one before it has gone to the kernel completely, so it is known of each whether
-its last byte was written, and what is still queued here can be withdrawn.  An attempt that may be retried elsewhere is
-abandoned only together with its connection: the protocol has no cancel, so its request could otherwise run beside the
-retry.
+Invariants: an attempt is written only after the kernel has accepted all of the previous one.  This process therefore
+knows whether the last byte of each attempt was written, and can withdraw queued attempts.  Abandoning an attempt that
+may be retried elsewhere closes its connection: the protocol has no cancellation, so the request could otherwise be
+executed concurrently with its retry.
 """
 
 from __future__ import annotations
@@ -27,16 +27,15 @@
 
 log = logging.getLogger(__name__)
 
-_ABANDONED_MAX: Final = (
-    256  # attempts whose responses may still come; with more, a connection is not used again
-)
+# Abandoned attempts without a response; a connection that reaches the limit carries no further attempts.
+_ABANDONED_MAX: Final = 256
 
 
 class RpcUpstreamConnection(SharedBufferProtocol):
-    """One connection to a server, from its connect on."""
+    """One connection to a server, starting from its connect."""
 
     def __init__(self, client: RpcUpstreamClient, endpoint: Endpoint, non_idempotent: bool) -> None:
-        """`non_idempotent`: whether it carries attempts of non-idempotent classes, or the others."""
+        """`non_idempotent`: whether the connection carries attempts of non-idempotent classes or of the others."""
         self.endpoint = endpoint
         self.non_idempotent = non_idempotent
         self.generation = endpoint.generation
@@ -48,39 +47,40 @@
         self._transport: asyncio.Transport | None = None
         self._decoder = Decoder()
         self._stall_timer: asyncio.TimerHandle | None = None
-        self._holds_slot = True  # of the connection limit
-        # Attempts by their progress; together they are bounded by the client's sharing limits.
+        self._holds_slot = True  # whether it counts towards the connection limit
+        # Attempts by progress; the client's sharing limits bound their total.
         self._queued: deque[RpcAttempt] = deque()
-        self._writing: RpcAttempt | None = None  # partly written: its last byte has not gone to the kernel
+        self._writing: RpcAttempt | None = None  # partly written: the kernel has not accepted its last byte
         self._in_flight: dict[int, RpcAttempt] = {}  # by message id
-        self._abandoned: dict[int, None] = {}  # message ids whose responses may still come; _ABANDONED_MAX
+        # Message ids of abandoned attempts that may still get a response; at most _ABANDONED_MAX.
+        self._abandoned: dict[int, None] = {}
         self._next_msgid = 0
-        self._suspect = False  # whether an attempt was abandoned and no response has come since
+        self._suspect = False  # whether an attempt was abandoned and no response received since
 
     # -- Load -----------------------------------------------------------------------------------------
 
     @property
     def load(self) -> int:
-        """How many attempts it carries."""
+        """The number of attempts on the connection."""
         return len(self._in_flight) + len(self._queued) + (self._writing is not None)
 
     def has_capacity(self, attempts_max: int) -> bool:
-        """Whether it may carry one more attempt, where `attempts_max` may share it."""
+        """Whether the connection can carry one more attempt, with at most `attempts_max` sharing it."""
         if not self.usable or self._suspect or self.load >= attempts_max:
             return False
         if self.generation != self.endpoint.generation:
             return False
         if self.sock is None or self._transport is None:
-            return True  # it is connecting
-        # Idle, there should be nothing to read; with attempts in flight there may be, and only an end counts.
+            return True  # still connecting
+        # An idle connection must have no unread data.  With attempts in flight it may, and only a close matters.
         return not peer_has_closed(self.sock) if self.load else has_nothing_unread(self.sock)
 
     def is_connecting(self) -> bool:
-        """Whether it is not established yet."""
+        """Whether the connection is not established yet."""
         return self._transport is None
 
     def is_finished(self) -> bool:
-        """Whether it carries nothing and will carry nothing more."""
+        """Whether the connection has no attempts and accepts no more."""
         return not self.load and (not self.usable or self._suspect)
 
     def _attempts(self) -> list[RpcAttempt]:
@@ -90,7 +90,7 @@
     # -- Writing requests -----------------------------------------------------------------------------
 
     def add(self, attempt: RpcAttempt) -> None:
-        """Carry an attempt."""
+        """Queue an attempt and write it as soon as possible."""
         attempt.connection = self
         self._cancel_idle_timer()
         self._client.connection_used(self)
@@ -98,10 +98,10 @@
         self._write_next()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to write (called by asyncio)."""
+        """Start writing (called by asyncio)."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        # With no high-water mark, resume_writing means that all has gone to the kernel.
+        # With a high-water mark of 0, resume_writing means that the kernel has accepted all data.
         transport.set_write_buffer_limits(high=0)
         if not self.usable:
             self.abort()
@@ -119,14 +119,14 @@
                 continue
             remaining_s = attempt.remaining_s()
             self._writing = attempt
-            attempt.msgid = self._new_msgid()
+            attempt.msgid = self._allocate_msgid()
             transport.write(attempt.format_request(attempt.msgid, remaining_s))
-            # A failed write closes the transport and empties its buffer, with nothing of it sent.
+            # A failed write closes the transport and empties its buffer without sending it.
             if not transport.is_closing() and not transport.get_write_buffer_size():
                 self._write_completed()
 
     def resume_writing(self) -> None:
-        """Go on: the kernel has accepted all that was written (called by asyncio)."""
+        """Write the next attempt after the kernel has accepted all written data (called by asyncio)."""
         self._write_completed()
         self._write_next()
 
@@ -136,8 +136,8 @@
             attempt.written = True
             self._in_flight[attempt.msgid] = attempt
 
-    def _new_msgid(self) -> int:
-        """A message id that neither an attempt in flight nor an abandoned one has: a late response may bear theirs."""
+    def _allocate_msgid(self) -> int:
+        """Return an id unused by attempts in flight or abandoned, whose responses may still arrive."""
         while True:
             msgid = self._next_msgid
             self._next_msgid = (msgid + 1) & MSGID_MAX
@@ -145,10 +145,11 @@
                 return msgid
 
     def abandon(self, attempt: RpcAttempt, may_be_retried: bool) -> None:
-        """Release an attempt that has ended before its response came.
+        """Release an attempt that ended before its response was received.
 
-        A queued one is withdrawn.  A partly written one must never become complete, so the connection ends.  With a
-        written one the connection ends if the request may be retried; otherwise the late response is dropped.
+        A queued attempt is withdrawn.  A partly written attempt must never become complete, so the connection is
+        closed.  For a written attempt the connection is closed if the request may be retried; otherwise the late
+        response is dropped.
         """
         if attempt in self._queued:
             self._queued.remove(attempt)
@@ -168,14 +169,14 @@
     # -- Reading responses ----------------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
-        """Read what has come (called by asyncio)."""
+        """Process received bytes (called by asyncio)."""
         if not self.load and not self._abandoned:
-            self.abort()  # unsolicited: no request can be matched to it
+            self.abort()  # unsolicited data: no request awaits a response
             return
         try:
             for message in self._decoder.feed(data):
                 if not isinstance(message, RpcResponse):
-                    raise RemoteProtocolError("a server sends responses")
+                    raise RemoteProtocolError("expected a response")
                 self._response_received(message)
                 if self._transport is None or self._transport.is_closing():
                     return
@@ -188,10 +189,10 @@
         self._suspect = False
         attempt = self._in_flight.pop(message.msgid, None)
         if attempt is None and self._writing is not None and self._writing.msgid == message.msgid:
-            # Answered before its last byte, as by a server that rejects what is too long.
+            # Answered before its last byte was written, as by a server that rejects a message that is too long.
             outcome, response = read_response(message, self._client.report_columns)
             self._writing.end(outcome, response)
-            self.end(Outcome.CONNECTION_LOST)  # the rest of it is never written
+            self.end(Outcome.CONNECTION_LOST)  # the rest of the request is never written
         elif attempt is not None:
             outcome, response = read_response(message, self._client.report_columns)
             self._client.load_decreased(self)
@@ -200,18 +201,18 @@
             del self._abandoned[message.msgid]
             self._client.load_decreased(self)
         else:
-            # A second response, or one to no request: whatever else this server sends here is doubtful.
-            log.debug("%s sent a response with an unknown message id", self.endpoint.name)
+            # A duplicate response, or one without a request: further responses on this connection are not trustworthy.
+            log.debug("%s: received a response with an unknown message id", self.endpoint.name)
             self.usable = False
             self._client.load_decreased(self)
 
     def _restart_stall_timer(self) -> None:
-        """Limit the time between two reads of one response."""
+        """Limit the time between two reads of a response."""
         self._cancel_stall_timer()
         if self._decoder.pending:
             limit_s = self._client.connect_timeout_s
             loop = asyncio.get_running_loop()
-            self._stall_timer = loop.call_later(limit_s, self._fail_malformed, "it stalled")
+            self._stall_timer = loop.call_later(limit_s, self._fail_malformed, "read timed out")
 
     def _cancel_stall_timer(self) -> None:
         if self._stall_timer is not None:
@@ -219,25 +220,25 @@
             self._stall_timer = None
 
     def _fail_malformed(self, reason: str) -> None:
-        """End it: what came is no response.  Written attempts may have been executed, and the server is there."""
-        log.debug("%s sent a malformed response: %s", self.endpoint.name, reason)
+        """Close the connection after an invalid response: written attempts may have been executed; the server is up."""
+        log.debug("%s: received a malformed response: %s", self.endpoint.name, reason)
         self.end(Outcome.ERROR)
 
     # -- Closing --------------------------------------------------------------------------------------
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the attempts that it carries (called by asyncio)."""
+        """End the attempts on the connection (called by asyncio)."""
         self.release_slot()
         self.end(Outcome.CONNECTION_LOST)
 
     def release_slot(self) -> None:
-        """Release its place in the connection limit, once: a connect aborted as it completes ends twice."""
+        """Release its slot of the connection limit only once: a connect aborted as it completes ends twice."""
         if self._holds_slot:
             self._holds_slot = False
             self._client.connection_limit.release()
 
     def end(self, written_outcome: Outcome) -> None:
-        """Close at once: written attempts end with this outcome, and the others were never executed."""
+        """Close immediately: written attempts end with this outcome; the others were never executed."""
         attempts = self._attempts()
         self._in_flight, self._writing, self._queued = {}, None, deque()
         self.abort()
@@ -247,7 +248,7 @@
             attempt.end(written_outcome if attempt.written else Outcome.CONNECT_FAILED)
 
     def withdraw_queued(self, outcome: Outcome) -> None:
-        """End what is not begun to be written, and carry nothing more: the server accepts nothing new."""
+        """End queued attempts and accept no more, since the server accepts no new requests."""
         self.usable = False
         queued, self._queued = list(self._queued), deque()
         for attempt in queued:
@@ -256,7 +257,7 @@
         self._client.load_decreased(self)
 
     def abort(self) -> None:
-        """Close at once, or give up connecting."""
+        """Close immediately, or cancel the connect."""
         self.usable = False
         self._cancel_idle_timer()
         self._cancel_stall_timer()
--- a/topazbank/msgpackrpc/content_fields.py
+++ b/topazbank/msgpackrpc/content_fields.py
@@ -1,4 +1,4 @@
-"""The fields `type` and `encoding`, which describe a body as content headers do in HTTP; no I/O."""
+"""Maps the fields `type` and `encoding` to HTTP content headers and back; no I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def read_content_fields(fields: Mapping[bytes, Any]) -> Headers | None:
-    """The content headers that a map's fields stand for; values that cannot stand in a header are left out."""
+    """Return the content headers of a map's fields, without values that are not valid in a header."""
     headers = []
     for name, header_name in _HEADER_NAMES.items():
         value = fields.get(name)
@@ -26,8 +26,8 @@
 
 
 def write_content_fields(fields: dict[str, Any], headers: Headers) -> None:
-    """Add the fields that content headers stand for."""
+    """Add the fields that correspond to content headers."""
     for name, header_name in _HEADER_NAMES.items():
-        value = next((v for n, v in headers if n == header_name), None)
+        value = next((content for header, content in headers if header == header_name), None)
         if value is not None:
             fields[name.decode()] = value.decode("latin-1")
--- a/topazbank/msgpackrpc/decoder.py
+++ b/topazbank/msgpackrpc/decoder.py
@@ -1,8 +1,8 @@
 """Decodes MessagePack-RPC messages as a pure state machine: bytes in, messages out, no I/O.
 
-Promise: a peer makes this process hold at most `_BUFFER_BYTES_MAX` per connection, whatever lengths it announces.  It
-rests on the `msgpack` library's streaming unpacker; texts stay bytes, since older peers write any bytes as `raw`.  The
-library bounds nesting by its own stack; what a call may nest is checked in request_reading.
+Invariant: at most `_BUFFER_BYTES_MAX` are buffered per connection, whatever lengths the peer announces.  Uses the
+streaming unpacker of the `msgpack` library.  Strings stay bytes, since older peers write arbitrary bytes as `raw`.  The
+stack of the library limits nesting; request_reading checks the nesting of calls.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
     RpcResponse,
 )
 
-_BUFFER_BYTES_MAX: Final = 2 * MESSAGE_BYTES_MAX + 64 * 1024  # a message less one byte, and one read
+_BUFFER_BYTES_MAX: Final = 2 * MESSAGE_BYTES_MAX + 64 * 1024  # an incomplete message and one read
 _IDLE_BUFFER_BYTES: Final = 4 * 1024  # the unpacker's buffer on an idle connection
-_ARRAY_ENTRIES_MAX: Final = 64  # messages have four
+_ARRAY_ENTRIES_MAX: Final = 64  # messages have 4 entries
 _MAP_ENTRIES_MAX: Final = 64
 
 
 def _read_map(pairs: list[tuple[object, object]]) -> object:
-    """A map with text keys; one with a repeated key is ambiguous, so it is no value at all."""
+    """Return a map with string keys; a map with a duplicate key is ambiguous, so it becomes an InvalidValue."""
     if not all(type(key) is bytes for key, _ in pairs):
         return NON_TEXT_KEY
     result = dict(pairs)
@@ -46,7 +46,7 @@
 def _new_unpacker() -> msgpack.Unpacker:
     return msgpack.Unpacker(
         raw=True,
-        strict_map_key=False,  # _read_map checks keys: an invalid one concerns its own message alone
+        strict_map_key=False,  # _read_map checks keys, so that an invalid key affects only its own message
         object_pairs_hook=_read_map,
         ext_hook=lambda code, data: EXTENSION,
         read_size=_IDLE_BUFFER_BYTES,  # its buffer's first size, by default max_buffer_size
@@ -64,18 +64,18 @@
 
     def __init__(self) -> None:
         self._unpacker = _new_unpacker()
-        self._buffer_has_grown = False  # beyond _IDLE_BUFFER_BYTES
-        self._received = 0  # bytes of the stream so far
-        self._message_start = 0  # offset in the stream of the message that is not complete yet
-        self._prefix = b""  # its first bytes
+        self._buffer_has_grown = False  # larger than _IDLE_BUFFER_BYTES
+        self._received = 0  # bytes of the stream
+        self._message_start = 0  # stream offset of the incomplete message
+        self._prefix = b""  # first bytes of the incomplete message
 
     @property
     def pending(self) -> int:
-        """Bytes of a message that is not complete yet."""
+        """The number of received bytes of an incomplete message."""
         return self._received - self._message_start
 
     def feed(self, data: bytes) -> Iterator[RpcMessage]:
-        """Yield the messages that are complete with `data`; raise RemoteProtocolError where bytes are no message.
+        """Yield the messages that `data` completes; raise RemoteProtocolError for bytes that are not a message.
 
         Consume the iterator completely before the next call.
         """
@@ -97,35 +97,35 @@
                     self._release_buffer()
                 return
             except (ValueError, RecursionError, MemoryError) as error:
-                # FormatError, StackError and the errors of exceeded bounds are all ValueErrors.
+                # FormatError, StackError and the errors for exceeded limits are subclasses of ValueError.
                 raise RemoteProtocolError(str(error) or type(error).__name__, self.pending_msgid()) from None
             end = self._unpacker.tell()
             length, self._message_start = end - self._message_start, end
             remaining = self._received - end
             self._prefix = data[len(data) - remaining :][:PREFIX_BYTES] if remaining else b""
-            yield _message_of(value, length)
+            yield _parse_message(value, length)
 
     def _release_buffer(self) -> None:
-        """Begin anew with a small buffer.
+        """Replace the unpacker by one with a small buffer.
 
-        Guards against memory held by hundreds of idle connections: the library never shrinks a buffer.
+        The library never shrinks a buffer, so hundreds of idle connections would keep large buffers.
         """
         self._unpacker, self._buffer_has_grown = _new_unpacker(), False
         self._received, self._message_start = 0, 0
 
     def pending_msgid(self) -> int | None:
-        """The id of the request that is not complete yet, where it can be read."""
+        """The message id of the incomplete request, or None if it cannot be read."""
         return peek_msgid(self._prefix)
 
 
-def _message_of(value: Any, length: int) -> RpcMessage:
+def _parse_message(value: Any, length: int) -> RpcMessage:
     if type(value) is not list or not value or type(value[0]) is not int:
-        raise RemoteProtocolError("a message is an array that begins with its type")
+        raise RemoteProtocolError("expected an array whose first entry is the message type")
     message_type = value[0]
     if message_type == NOTIFICATION_TYPE and len(value) == 3:
         return RpcNotification(value[1], value[2])
     if message_type not in (REQUEST_TYPE, RESPONSE_TYPE) or len(value) != 4 or type(value[1]) is not int:
-        raise RemoteProtocolError("no message that the specification knows")
+        raise RemoteProtocolError("invalid message type, number of fields or message id")
     if length > MESSAGE_BYTES_MAX:
         raise MessageTooLong(value[1] if message_type == REQUEST_TYPE else None)
     if message_type == REQUEST_TYPE:
--- a/topazbank/msgpackrpc/message_id.py
+++ b/topazbank/msgpackrpc/message_id.py
@@ -4,34 +4,34 @@
 
 from typing import Final
 
-PREFIX_BYTES: Final = 16  # enough for the message id: it ends after 15 bytes at most
+PREFIX_BYTES: Final = 16  # the message id ends after at most 15 bytes
 
-# The byte that precedes an integer in MessagePack, and the integer's size in bytes.
+# Size in bytes of a MessagePack integer, by its type byte.
 _UNSIGNED_SIZES: Final = {0xCC: 1, 0xCD: 2, 0xCE: 4, 0xCF: 8}
 _SIGNED_SIZES: Final = {0xD0: 1, 0xD1: 2, 0xD2: 4, 0xD3: 8}
 _POSITIVE_FIXINT_END: Final = 0x80
 _NEGATIVE_FIXINT_START: Final = 0xE0
-_ARRAY_OF_4_HEADS: Final = (b"\x94", b"\xdc\x00\x04", b"\xdd\x00\x00\x00\x04")
+_ARRAY_OF_4_HEADERS: Final = (b"\x94", b"\xdc\x00\x04", b"\xdd\x00\x00\x00\x04")
 
 
 def peek_msgid(prefix: bytes) -> int | None:
-    """The message id of the request that begins with `prefix`; None where it cannot be read."""
-    for head in _ARRAY_OF_4_HEADS:
-        if prefix.startswith(head):
-            return _request_msgid(prefix[len(head) :])
+    """Return the message id of the request that starts with `prefix`, or None if it cannot be read."""
+    for header in _ARRAY_OF_4_HEADERS:
+        if prefix.startswith(header):
+            return _request_msgid(prefix[len(header) :])
     return None
 
 
 def _request_msgid(fields: bytes) -> int | None:
-    """The message id of a message whose fields, type and id first, begin with these bytes."""
+    """Return the message id from the start of a request's fields: its type, then its id."""
     if fields[:1] != b"\x00" or len(fields) < 2:
         return None
-    first = fields[1]
-    if first < _POSITIVE_FIXINT_END:
-        return first
-    if first >= _NEGATIVE_FIXINT_START:
-        return first - 0x100
-    size = _UNSIGNED_SIZES.get(first) or _SIGNED_SIZES.get(first)
+    type_byte = fields[1]
+    if type_byte < _POSITIVE_FIXINT_END:
+        return type_byte
+    if type_byte >= _NEGATIVE_FIXINT_START:
+        return type_byte - 0x100
+    size = _UNSIGNED_SIZES.get(type_byte) or _SIGNED_SIZES.get(type_byte)
     if size is None or len(fields) < 2 + size:
         return None
-    return int.from_bytes(fields[2 : 2 + size], "big", signed=first in _SIGNED_SIZES)
+    return int.from_bytes(fields[2 : 2 + size], "big", signed=type_byte in _SIGNED_SIZES)
--- a/topazbank/msgpackrpc/messages.py
+++ b/topazbank/msgpackrpc/messages.py
@@ -1,7 +1,7 @@
-"""The messages of MessagePack-RPC, and how they are encoded; no I/O.
+"""The message types of MessagePack-RPC and their encoding; no I/O.
 
-By the published specification (github.com/msgpack-rpc/msgpack-rpc, spec.md): a request is [0, msgid, method, params], a
-response [1, msgid, error, result], a notification [2, method, params].
+As in the published specification (github.com/msgpack-rpc/msgpack-rpc, spec.md), a request is
+[0, msgid, method, params], a response [1, msgid, error, result] and a notification [2, method, params].
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 REQUEST_TYPE: Final = 0
 RESPONSE_TYPE: Final = 1
 NOTIFICATION_TYPE: Final = 2
-MSGID_MAX: Final = 2**32 - 1  # a message id is a 32-bit unsigned integer
+MSGID_MAX: Final = 2**32 - 1  # message ids are 32-bit unsigned integers
 MESSAGE_BYTES_MAX: Final = BUFFERED_BODY_BYTES_MAX + 16 * 1024  # a body and its envelope
 
 READY_METHOD: Final = "health.ready"
@@ -25,40 +25,40 @@
 
 
 class RemoteProtocolError(Exception):
-    """The peer sent bytes that are no message; nothing behind them can be read."""
+    """The peer sent bytes that are not a message; the bytes after them cannot be decoded."""
 
     def __init__(self, reason: str, msgid: int | None = None) -> None:
-        """`msgid`: of the request that they are part of, where it can be read."""
+        """`msgid`: id of the request that contains the bytes, or None if it cannot be read."""
         super().__init__(reason)
         self.msgid = msgid
 
 
 class MessageTooLong(RemoteProtocolError):
-    """The peer sent a message of more than MESSAGE_BYTES_MAX."""
+    """The peer sent a message that exceeds MESSAGE_BYTES_MAX."""
 
     def __init__(self, msgid: int | None) -> None:
-        super().__init__("a message is too long", msgid)
+        super().__init__(f"message exceeds {MESSAGE_BYTES_MAX} bytes", msgid)
 
 
 class InvalidValue:
-    """Stands in a message for a value that no call may contain; the message itself can be read."""
+    """Replaces a value that is not allowed in a call; the rest of the message is readable."""
 
     def __init__(self, description: str) -> None:
         self._description = description
 
     def __repr__(self) -> str:
-        """The description, as it goes into errors."""
+        """Return the description for use in error messages."""
         return self._description
 
 
-DUPLICATE_KEY: Final = InvalidValue("a map with a key given twice")
+DUPLICATE_KEY: Final = InvalidValue("a map with a duplicate key")
 EXTENSION: Final = InvalidValue("an extension type")
-NON_TEXT_KEY: Final = InvalidValue("a map with keys that are no texts")
+NON_TEXT_KEY: Final = InvalidValue("a map with a key that is not a string")
 
 
 @dataclass(frozen=True, slots=True)
 class RpcRequest:
-    """A request; `method` and `params` are whatever the peer sent."""
+    """A request; `method` and `params` are not validated."""
 
     msgid: int
     method: Any
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RpcResponse:
-    """A response; `error` and `result` are whatever the peer sent."""
+    """A response; `error` and `result` are not validated."""
 
     msgid: int
     error: Any
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RpcNotification:
-    """A request that is not to be answered."""
+    """A request that expects no response; `method` and `params` are not validated."""
 
     method: Any
     params: Any
@@ -88,15 +88,15 @@
 
 
 def encode_request(msgid: int, method: str, params: list[Any]) -> bytes:
-    """The bytes of a request."""
+    """Encode a request."""
     return bytes(_PACKER.pack((REQUEST_TYPE, msgid, method, params)))
 
 
 def encode_response(msgid: int, error: object, result: object) -> bytes:
-    """The bytes of a response."""
+    """Encode a response."""
     return bytes(_PACKER.pack((RESPONSE_TYPE, msgid, error, result)))
 
 
 def encode_notification(method: str, params: list[Any]) -> bytes:
-    """The bytes of a notification."""
+    """Encode a notification."""
     return bytes(_PACKER.pack((NOTIFICATION_TYPE, method, params)))
--- a/topazbank/msgpackrpc/request_writing.py
+++ b/topazbank/msgpackrpc/request_writing.py
@@ -1,4 +1,4 @@
-"""Writes a call as a MessagePack-RPC request to a server; no I/O."""
+"""Encodes a call as a MessagePack-RPC request to a server; no I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def format_call(msgid: int, call: Call, remaining_s: float) -> bytes:
-    """An attempt's request: the client's, with the time that is left for it."""
+    """Encode an attempt's request: the client's request with the remaining time as its budget."""
     envelope: dict[str, Any] = {
         "id": call.call_id,
         "budget": round(remaining_s, 6),
--- a/topazbank/msgpackrpc/response_reading.py
+++ b/topazbank/msgpackrpc/response_reading.py
@@ -1,6 +1,6 @@
-"""Reads what a server's MessagePack-RPC response proves of an attempt; no I/O.
+"""Derives the outcome of an attempt from a server's MessagePack-RPC response; no I/O.
 
-Promise: an attempt counts as not executed only where the server says so.
+Invariant: an attempt counts as not executed only if the server explicitly says so.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from topazbank.msgpackrpc.content_fields import read_content_fields
 from topazbank.msgpackrpc.messages import RpcResponse
 
-_REJECTION_CODES: Final = (503, 504)  # of a server's errors, together with `rejected`
+_REJECTION_CODES: Final = (503, 504)  # error codes of a rejection, together with `rejected`
 
 
-# The outcome of an attempt, and the response for its client where there is one.
+# The outcome of an attempt and the response for its client, if any.
 AttemptResult = tuple[Outcome, Response | None]
 
 
 def read_response(message: RpcResponse, report_columns: Collection[str]) -> AttemptResult:
-    """The result that a server's response stands for, with its load report of `report_columns`."""
+    """Return the result of an attempt from the server's response, with the `report_columns` of its load report."""
     if message.error is not None:
         return _read_error(message.error, report_columns)
     result = message.result
--- a/topazbank/msgpackrpc/server.py
+++ b/topazbank/msgpackrpc/server.py
@@ -1,8 +1,8 @@
-"""The MessagePack-RPC server for clients: many calls at once on a connection, answered in any order.
+"""The MessagePack-RPC server for clients: concurrent calls on a connection, answered in any order.
 
-A connection that sends what cannot be answered (malformed bytes, the message id of a call in progress, a call as a
-notification) has failed: nothing more is read from it, its calls in progress are answered, and then it is closed.  The
-sending half is in `answering`.
+A connection fails when its client sends something that cannot be answered: malformed bytes, the message id of a call in
+progress, or a call as a notification.  Nothing more is read from a failed connection.  It is closed once its calls in
+progress are answered.  The `answering` module contains the sending half.
 """
 
 from __future__ import annotations
@@ -36,32 +36,31 @@
 
 log = logging.getLogger(__name__)
 
-# Calls in progress on one connection; beyond it nothing is read, so that one client cannot exhaust the process.  Not
-# Final, so that tests of the compiled copy can lower it.
+# Calls in progress on one connection.  At the limit nothing is read, so that one client cannot exhaust the process.
+# Not Final, so that tests of the compiled modules can lower it.
 CALLS_MAX = 128
-_MESSAGES_PER_TURN: Final = 64  # of one read, before the event loop turns to other connections
-_DISCARDED_BYTES_MAX: Final = 8 * 1024 * 1024  # behind a failure, so that the last answers arrive
+_MESSAGES_PER_TURN: Final = 64  # messages handled before other connections get their turn
+_DISCARDED_BYTES_MAX: Final = 8 * 1024 * 1024  # discarded after a failure, so that the last answers arrive
 _READY_METHOD: Final = READY_METHOD.encode()
 
 
 class RpcConnection(AnsweringConnection):
-    """One MessagePack-RPC connection of a client."""
+    """A client's MessagePack-RPC connection."""
 
     def __init__(self, table: ConnectionTable, sock: socket.socket) -> None:
         super().__init__(table, sock)
         self._decoder = Decoder()
-        self._calls: dict[int, Call] = {}  # in progress, by message id; CALLS_MAX
-        self._unhandled: Iterator[RpcMessage] | None = (
-            None  # messages of the last read; reading pauses meanwhile
-        )
-        self._next_turn: asyncio.Handle | None = None  # when they are handled
-        self._has_carried = False  # whether it has carried a call
+        self._calls: dict[int, Call] = {}  # in progress, by message id; at most CALLS_MAX
+        # Messages of the last read that are not handled yet; reading is paused until they are.
+        self._unhandled: Iterator[RpcMessage] | None = None
+        self._next_turn: asyncio.Handle | None = None  # handles the next of them
+        self._has_accepted_call = False  # whether a call was accepted
         self._failed = False  # whether nothing more is read
-        self._error_sent = False  # whether its client has been sent the error that the failure is owed
-        self._discarded_bytes = 0  # received after the failure
+        self._error_sent = False  # whether the error of the failure was sent to the client
+        self._discarded_bytes = 0  # bytes received after the failure
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Unregister it and end its calls (called by asyncio)."""
+        """Unregister the connection and end its calls (called by asyncio)."""
         super().connection_lost(exc)
         self._failed, self._unhandled = True, None
         calls, self._calls = list(self._calls.values()), {}
@@ -70,7 +69,7 @@
             self._callbacks.on_disconnect(calls)
 
     def eof_received(self) -> bool:
-        """Close: a client that closes its side has disconnected (called by asyncio)."""
+        """Close the connection: a client that closes its sending side counts as disconnected (called by asyncio)."""
         return False
 
     def has_unanswered(self) -> bool:
@@ -78,21 +77,21 @@
         return bool(self._calls)
 
     def is_idle(self) -> bool:
-        """Whether it may be closed: no call is in progress, incomplete or unread."""
+        """Whether the connection may be closed: no call is in progress, incomplete or unread."""
         begun = self._calls or self._unhandled is not None or self._decoder.pending
         return not begun and super().is_idle()
 
     # -- Reading --------------------------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
-        """Read what has come (called by asyncio)."""
+        """Process received bytes (called by asyncio)."""
         if self._failed:
             self._discarded_bytes += len(data)
             if self._discarded_bytes > _DISCARDED_BYTES_MAX:
                 self._pause_reading()
             return
         if not self._calls and peer_has_closed(self._sock):
-            # Guards an overloaded process against work for clients that gave up while their calls waited.
+            # Saves an overloaded process from work for clients that gave up while their calls waited.
             self._counters.count(ClientEvent.CLIENT_DISCONNECTED_UNREAD)
             self.abort(client_disconnected=True)
             return
@@ -100,9 +99,9 @@
         self._handle_messages(len(data))
 
     def _handle_messages(self, count: int = 0) -> None:
-        """Handle messages of the last read, as many as one turn and the bound on calls allow.
+        """Handle messages of the last read, within the limits on messages per turn and on calls in progress.
 
-        `count`: bytes that came now.
+        `count`: the number of bytes just received.
         """
         self._next_turn = None
         if self._unhandled is None or self._failed or self.is_write_blocked():
@@ -116,7 +115,7 @@
             return
         if self._failed:
             return
-        self._note_partial(count, new=handled > 0)
+        self._track_partial(count, new=handled > 0)
         if self._failed:
             return
         self._update_state()
@@ -127,7 +126,7 @@
             self._schedule_turn()
 
     def _handle_turn(self) -> int:
-        """Handle messages until a bound is reached, the connection fails or none is left; return how many."""
+        """Handle messages until a limit is reached, the connection fails or none is left; return their number."""
         handled = 0
         while len(self._calls) < CALLS_MAX and handled < _MESSAGES_PER_TURN and self._unhandled is not None:
             message = next(self._unhandled, None)
@@ -144,8 +143,8 @@
         if self._unhandled is not None and self._next_turn is None and len(self._calls) < CALLS_MAX:
             self._next_turn = asyncio.get_running_loop().call_soon(self._handle_messages)
 
-    def _note_partial(self, count: int, new: bool) -> None:
-        """Note the progress of the incomplete message; `new`: messages before it were handled in this turn."""
+    def _track_partial(self, count: int, new: bool) -> None:
+        """Track the progress of the incomplete message; `new`: messages before it were handled in this turn."""
         now = asyncio.get_running_loop().time()
         if self._unhandled is None and not self._decoder.pending:
             self.partial = None
@@ -165,24 +164,25 @@
         elif isinstance(message, RpcNotification):
             self._handle_notification(message)
         else:
-            self._fail("a response from a client")
+            self._fail("unexpected response from a client")
 
     def _handle_notification(self, message: RpcNotification) -> None:
-        """Ignore a notification (a keep-alive, a hint), unless it names a class of calls: then the connection fails.
+        """Ignore a notification, such as a keep-alive or a hint; fail the connection if it names a request class.
 
-        Guards against calls that are lost in silence: a notification has no answer, so a client would consider a
-        dropped non-idempotent call executed.
+        Otherwise calls could be lost silently: a notification has no response, so a client would assume that a
+        dropped non-idempotent call was executed.
         """
         method = message.method
         if type(method) is not bytes or method.decode("latin-1") in self._request_classes.classes:
-            self._fail("a call sent as a notification")
+            self._fail("call sent as a notification")
 
     def _handle_request(self, request: RpcRequest) -> None:
         msgid = request.msgid
         if msgid in self._calls:
-            self._fail("the message id of a call in progress")  # an answer would pass for that call's
+            # An error response would be taken for the answer to the call in progress.
+            self._fail("message id of a call in progress")
         elif not 0 <= msgid <= MSGID_MAX:
-            error = InvalidRequest(400, "msgid: a 32-bit unsigned number is wanted")
+            error = InvalidRequest(400, "msgid: expected a 32-bit unsigned integer")
             self._write(format_rejection(msgid, error))
         elif request.method == _READY_METHOD:
             self._write(format_readiness(msgid, self._callbacks.is_ready()))
@@ -194,22 +194,22 @@
         try:
             call = read_call(request, self._request_classes, partial(self._answer, msgid))
             if self._table.rejects_new:
-                # Another sidecar may accept it.
+                # The client can retry the call at another sidecar.
                 self._write(format_answer(msgid, FinalAnswer(Verdict.REJECTED)))
                 return
             if self._callbacks.is_in_flight(call.call_id):
-                raise InvalidRequest(409, "envelope.id is that of another call, which is still out")
+                raise InvalidRequest(409, "envelope.id: a call with this id is still in flight")
         except InvalidRequest as error:
             log.info("%s: call rejected: %s", self.describe(), error)
             self._write(format_rejection(msgid, error))
             return
-        self._has_carried = True
+        self._has_accepted_call = True
         call.has_disconnected = self.has_disconnected
         self._calls[msgid] = call
         try:
             self._callbacks.on_request(call)
         except Exception:
-            log.exception("a call could not be handled")  # a defect: it fails this call only
+            log.exception("unexpected error while handling a call")  # a bug: it fails only this call
             if msgid in self._calls:
                 self._calls.pop(msgid)
                 self._callbacks.on_disconnect([call])
@@ -228,8 +228,8 @@
             self._update_state()
         self._schedule_turn()
 
-    def _answers_read(self) -> None:
-        """Go on: the client reads again."""
+    def _on_answers_read(self) -> None:
+        """Resume handling messages after the client has read its answers."""
         if self._failed:
             self._close_if_answered()
         elif self._unhandled is None:
@@ -240,9 +240,9 @@
     # -- Failures and time limits ---------------------------------------------------------------------
 
     def _fail(self, reason: str, error: InvalidRequest | None = None, msgid: int | None = None) -> None:
-        """Read no more: calls in progress are answered, then the connection ends.
+        """Stop reading; the connection is closed once its calls in progress are answered.
 
-        `error`: for the request `msgid`; without an id, for the incomplete one if its id can be read.
+        `error`: sent for the request `msgid`; without an id, for the incomplete request if its id can be read.
         """
         if self._failed:
             return
@@ -260,7 +260,7 @@
         self._close_if_answered()
 
     def limit_reached(self) -> None:
-        """End it: its state has lasted for as long as it may, or its partial message has taken that long."""
+        """Enforce the time limit on the connection's state or on its incomplete message."""
         if self.state is ConnectionState.CLOSING:
             self._counters.count(ClientEvent.CONNECTION_TIMED_OUT)
             self.abort()
@@ -274,21 +274,26 @@
             self.close()
 
     def _message_timed_out(self) -> None:
-        """Fail: the client has stalled in the middle of a message, or sends too slowly."""
+        """Fail the connection: the client has stalled within a message or sends it too slowly."""
         self._counters.count(ClientEvent.REQUEST_TIMED_OUT)
-        self._fail("an incomplete message", InvalidRequest(408, "the message took too long to come"))
+        self._fail("incomplete message", InvalidRequest(408, "timed out while reading the message"))
         if not self._error_sent:
             self._fail_in_progress()
 
     def _fail_in_progress(self) -> None:
-        """Answer all calls now, as failed, since they may have been executed.
+        """Answer all calls in progress as failed, since they may have been executed.
 
-        Their client has stalled and is owed an error within the limit, and none can name the message it stalled in.
+        The client has stalled and must get an error within the time limit.  No error can refer to the incomplete
+        message, since its id is unknown.
         """
         calls, self._calls = self._calls, {}
         if calls:
             self._counters.count(ClientEvent.UNANSWERED_FAILED_FOR_PARTIAL)
-            log.info("%s: %d calls failed for what came behind them", self.describe(), len(calls))
+            log.info(
+                "%s: %d calls in progress failed after the protocol error",
+                self.describe(),
+                len(calls),
+            )
             self._callbacks.on_disconnect(list(calls.values()))
         for msgid in calls:
             self._write(format_answer(msgid, FAILED_ANSWER))
@@ -297,23 +302,23 @@
     # -- States ---------------------------------------------------------------------------------------
 
     def _update_state(self) -> None:
-        """Set the connection's state by its calls and its incomplete message."""
+        """Set the connection's state from its calls and its incomplete message."""
         is_partial = self.partial is not None and self._unhandled is None
         if self._calls or self._unhandled is not None:
             state = ConnectionState.AWAITING_ANSWER_PARTIAL if is_partial else ConnectionState.AWAITING_ANSWER
         elif is_partial:
             state = ConnectionState.READING_HEAD
-        elif not self._has_carried:
+        elif not self._has_accepted_call:
             state = ConnectionState.NEW
         else:
             state = ConnectionState.IDLE_PERSISTENT
         self._table.set_state(self, state)
 
     def _close_if_answered(self) -> None:
-        """End a failed connection once all its calls are answered; what still comes is discarded.
+        """Close a failed connection once all its calls are answered; bytes received later are discarded.
 
-        Guards against losing the last answers: a close with unread bytes is a reset, which discards what the client has
-        not read yet.
+        Closing a socket with unread bytes resets the connection, and the client would lose answers that it has not
+        read yet.
         """
         if self._calls:
             state = (
