--- a/tests/msgpackrpc/simulated.py
+++ b/tests/msgpackrpc/simulated.py
@@ -1,7 +1,7 @@
-"""A sidecar on simulated sockets in virtual time: failures run in milliseconds, and one seed repeats each.
+"""Simulation of a sidecar on in-memory sockets in virtual time.
 
-Clients and servers speak MessagePack-RPC by bytes.  Invariants are checked by the servers' logs of what was executed
-and by the answers that clients received.
+Failures run in milliseconds and are reproducible from a seed.  Clients and servers exchange MessagePack-RPC byte
+streams.  Invariants are checked against the servers' execution logs and the answers that clients received.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time advances to the next timer as soon as nothing else is ready."""
+    """An event loop whose time advances to the next timer when no callback is ready."""
 
     def __init__(self) -> None:
         self._now_s = 1000.0
@@ -51,7 +51,8 @@
 
     def _run_once(self) -> None:
         timers = self._scheduled  # type: ignore[attr-defined]
-        while timers and timers[0].cancelled():  # the base class would wait for it in real time
+        # The base class would wait for cancelled timers in real time.
+        while timers and timers[0].cancelled():
             heapq.heappop(timers)._scheduled = False
             self._timer_cancelled_count -= 1  # type: ignore[attr-defined]
         if not self._ready and timers:  # type: ignore[attr-defined]
@@ -60,24 +61,24 @@
 
 
 class SimulatedTransport(asyncio.Transport):
-    """The sidecar's end of a connection, with a kernel that accepts a limited number of bytes."""
+    """The sidecar's end of a connection, with a simulated kernel buffer of limited capacity."""
 
     def __init__(self, protocol: Any, capacity: int = _UNLIMITED_BYTES) -> None:
         super().__init__()
         self.protocol = protocol
-        self.capacity = capacity  # bytes that the kernel accepts
-        self.buffered = b""  # written, and not accepted by the kernel
-        self.unread = b""  # sent by the peer, and not read by the sidecar
+        self.capacity = capacity  # bytes that the kernel will still accept
+        self.buffered = b""  # written by the sidecar, not yet accepted by the kernel
+        self.unread = b""  # sent by the peer, not yet read by the sidecar
         self.reading = True
         self.closing = False
         self.half_closed = False  # whether the sidecar has closed its sending side
 
     def delivered(self, data: bytes) -> None:
-        """The peer has received bytes."""
+        """Handle bytes received by the peer."""
         raise NotImplementedError
 
     def write_begins(self) -> None:
-        """The sidecar begins to write something."""
+        """Called before each write by the sidecar."""
 
     def write(self, data: Any) -> None:
         if not self.closing:
@@ -101,10 +102,10 @@
         if was_full and not self.buffered and not self.closing:
             self.protocol.resume_writing()
 
-    def receive(self, data: bytes, pieces: int) -> None:
-        """The peer sends bytes, and the sidecar reads them in so many pieces."""
+    def receive(self, data: bytes, piece_count: int) -> None:
+        """Send bytes from the peer, which the sidecar reads in `piece_count` pieces."""
         self.unread += data
-        size = max(len(self.unread) // pieces, 1)
+        size = max(len(self.unread) // piece_count, 1)
         while self.unread and self.reading and not self.closing:
             piece, self.unread = self.unread[:size], self.unread[size:]
             self.protocol.data_received(piece)
@@ -143,11 +144,11 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that a server has and has not answered."""
+    """A request that a server has received and not yet answered."""
 
     transport: ServerTransport
     msgid: int
-    ident: str
+    request_id: str
     kind: str
 
 
@@ -157,11 +158,11 @@
     def __init__(self, protocol: RpcUpstreamConnection, server: SimulatedServer, capacity: int) -> None:
         super().__init__(protocol, capacity)
         self.server = server
-        self.garbled = False  # whether an incomplete response was sent on it
+        self.corrupted = False  # whether an incomplete response was sent on this connection
         self.unpacker = msgpack.Unpacker(raw=False)
 
     def write_begins(self) -> None:
-        self.server.world.check(not self.server.drained, "something new was sent to a draining server")
+        self.server.simulation.check(not self.server.drained, "new data written to a draining server")
 
     def delivered(self, data: bytes) -> None:
         self.unpacker.feed(data)
@@ -171,96 +172,114 @@
 
 @dataclass(eq=False)
 class SimulatedServer:
-    """A server behind the sidecar; `executed` is its log."""
+    """A server behind the sidecar; `executed` is its execution log."""
 
     name: str
-    world: Simulation
+    simulation: Simulation
     up: bool = True
     drained: bool = False
-    capacity: int = _UNLIMITED_BYTES  # of the kernel, for new connections
+    capacity: int = _UNLIMITED_BYTES  # kernel capacity in bytes for new connections
     pending: list[PendingRequest] = field(default_factory=list)
     transports: list[ServerTransport] = field(default_factory=list)
     executed: list[str] = field(default_factory=list)
 
     def accept(self, request: PendingRequest) -> None:
-        """A complete request has come."""
-        world = self.world
-        world.attempts[request.ident] += 1
-        world.check(world.attempts[request.ident] <= ATTEMPTS_MAX, "more attempts than allowed")
-        world.check(request.ident not in world.over, "sent for a request that is over")
-        others = [each for server in world.servers for each in server.pending if each.ident == request.ident]
-        world.check(not any(not each.transport.closing for each in others), "two attempts at once")
+        """Record a complete request."""
+        simulation = self.simulation
+        simulation.attempts[request.request_id] += 1
+        simulation.check(
+            simulation.attempts[request.request_id] <= ATTEMPTS_MAX, "more attempts than allowed"
+        )
+        simulation.check(
+            request.request_id not in simulation.completed_requests, "attempt sent for a completed request"
+        )
+        same_request = [
+            pending
+            for server in simulation.servers
+            for pending in server.pending
+            if pending.request_id == request.request_id
+        ]
+        simulation.check(
+            not any(not pending.transport.closing for pending in same_request),
+            "concurrent attempts of one request",
+        )
         self.pending.append(request)
 
-    def reply(self, index: int, how: str, pieces: int) -> None:
+    def reply(self, index: int, reply_kind: str, piece_count: int) -> None:
         """Answer one of the pending requests."""
         if not self.pending:
             return
         request = self.pending.pop(index % len(self.pending))
-        if how == "rejected":
-            if not request.transport.garbled:
-                request.transport.receive(pack([1, request.msgid, REJECTED, None]), pieces)
+        if reply_kind == "rejected":
+            if not request.transport.corrupted:
+                request.transport.receive(pack([1, request.msgid, REJECTED, None]), piece_count)
             return
-        self.executed.append(request.ident)
+        self.executed.append(request.request_id)
         answers = {
-            "served": pack([1, request.msgid, None, {"body": request.ident.encode()}]),
+            "served": pack([1, request.msgid, None, {"body": request.request_id.encode()}]),
             "error": pack([1, request.msgid, [500, "no", {}], None]),
             "malformed": b"\xc1",
             "wrong type": pack([1, request.msgid, None, 7]),
-            "twice": pack([1, request.msgid, None, request.ident.encode()]) * 2,
-            "incomplete": pack([1, request.msgid, None, {"body": request.ident.encode()}])[:-3],
+            "twice": pack([1, request.msgid, None, request.request_id.encode()]) * 2,
+            "incomplete": pack([1, request.msgid, None, {"body": request.request_id.encode()}])[:-3],
             "silent": b"",
         }
-        if not request.transport.garbled:
-            request.transport.receive(answers[how], pieces)
-        # What came behind an incomplete response would be read as its end: no reader could tell.
-        request.transport.garbled = request.transport.garbled or how == "incomplete"
+        if not request.transport.corrupted:
+            request.transport.receive(answers[reply_kind], piece_count)
+        # Bytes sent after an incomplete response would be parsed as its remainder, so nothing more is sent.
+        request.transport.corrupted = request.transport.corrupted or reply_kind == "incomplete"
 
-    def cut(self, index: int) -> None:
-        """Break one of its connections; requests pending on it may still be executed."""
-        open_ = [each for each in self.transports if not each.closing]
-        if open_:
-            open_[index % len(open_)].abort()
+    def break_connection(self, index: int) -> None:
+        """Break an open connection; requests pending on the connection may still be executed."""
+        open_transports = [transport for transport in self.transports if not transport.closing]
+        if open_transports:
+            open_transports[index % len(open_transports)].abort()
 
     def finish(self) -> None:
-        """Execute whatever is pending: what was never answered may have been executed."""
-        self.executed += [each.ident for each in self.pending]
+        """Execute all pending requests: an unanswered request may have been executed."""
+        self.executed += [request.request_id for request in self.pending]
         self.pending = []
 
 
 class SimulatedClient(SimulatedTransport):
-    """A client's connection: it records each response and checks that it belongs to its call."""
+    """A client connection that records each response and checks that the response belongs to its call."""
 
-    def __init__(self, world: Simulation, capacity: int = _UNLIMITED_BYTES) -> None:
-        self.connection = RpcConnection(world.sidecar.listener.table, world.silent_socket)
+    def __init__(self, simulation: Simulation, capacity: int = _UNLIMITED_BYTES) -> None:
+        self.connection = RpcConnection(simulation.sidecar.listener.table, simulation.silent_socket)
         super().__init__(self.connection, capacity)
-        self.world = world
+        self.simulation = simulation
         self.unpacker = msgpack.Unpacker(raw=False)
-        self.calls: dict[int, str] = {}  # ident by message id
-        self.errors: dict[int, Any] = {}  # by message id, of answered calls; None: served
+        self.calls: dict[int, str] = {}  # request id by message id
+        self.errors: dict[int, Any] = {}  # by message id of each answered call; None on success
 
     def delivered(self, data: bytes) -> None:
         self.unpacker.feed(data)
-        for kind, msgid, error, result in self.unpacker:
-            ident = self.calls[msgid]
-            self.world.check(kind == 1 and msgid not in self.errors, "a second final answer")
-            self.world.check(error is not None or result["body"] == ident.encode(), "another call's answer")
+        for message_type, msgid, error, result in self.unpacker:
+            request_id = self.calls[msgid]
+            self.simulation.check(
+                message_type == 1 and msgid not in self.errors, "second final answer for a call"
+            )
+            self.simulation.check(
+                error is not None or result["body"] == request_id.encode(), "answer belongs to another call"
+            )
             self.errors[msgid] = error
-            self.world.over.add(ident)
+            self.simulation.completed_requests.add(request_id)
 
-    def call(self, kind: str, pieces: int) -> None:
-        """Send a call of a class, in so many pieces."""
+    def call(self, kind: str, piece_count: int) -> None:
+        """Send a call of class `kind`, split into `piece_count` pieces."""
         msgid = len(self.calls)
-        ident = f"{kind}-{self.world.next_ident()}"
-        self.calls[msgid] = ident
-        envelope: dict[str, Any] = {"id": ident, "budget": TIMEOUT_S, "path": "/api/7f"}
+        request_id = f"{kind}-{self.simulation.next_request_id()}"
+        self.calls[msgid] = request_id
+        envelope: dict[str, Any] = {"id": request_id, "budget": TIMEOUT_S, "path": "/api/7f"}
         if kind == "amend":
-            envelope["idempotency_key"] = ident
-        self.receive(pack([0, msgid, kind, [envelope, b"" if kind == "look" else b"body"]]), pieces)
+            envelope["idempotency_key"] = request_id
+        self.receive(pack([0, msgid, kind, [envelope, b"" if kind == "look" else b"body"]]), piece_count)
 
     def disconnect(self) -> None:
         """Close the connection."""
-        self.world.over.update(ident for msgid, ident in self.calls.items() if msgid not in self.errors)
+        self.simulation.completed_requests.update(
+            request_id for msgid, request_id in self.calls.items() if msgid not in self.errors
+        )
         self.closing = True
         self.connection.connection_lost(None)
 
@@ -268,10 +287,10 @@
 class _SimulatedUpstreamClient(RpcUpstreamClient):
     """Connects to simulated servers."""
 
-    world: Simulation
+    simulation: Simulation
 
     async def _connect(self, connection: RpcUpstreamConnection) -> None:
-        server = next(each for each in self.world.servers if each.name == connection.endpoint.name)
+        server = next(server for server in self.simulation.servers if server.name == connection.endpoint.name)
         try:
             await asyncio.sleep(0.001)
         except asyncio.CancelledError:
@@ -282,7 +301,7 @@
             connection.end(Outcome.CONNECT_FAILED)
             connection.release_slot()
             return
-        connection.sock = self.world.silent_socket
+        connection.sock = self.simulation.silent_socket
         transport = ServerTransport(connection, server, server.capacity)
         server.transports.append(transport)
         connection.connection_made(transport)
@@ -309,10 +328,10 @@
 
     def __init__(self, server_count: int, sharing: ConnectionSharing) -> None:
         self.violations: list[str] = []
-        self.over: set[str] = set()  # requests that have their answer, or whose client has disconnected
+        self.completed_requests: set[str] = set()  # answered, or the client has disconnected
         self.attempts: Counter[str] = Counter()
-        self._idents = 0
-        self.silent_socket, self._other = socket.socketpair()  # stands in for every socket
+        self._last_request_number = 0
+        self.silent_socket, self._peer_socket = socket.socketpair()  # stands in for every socket
         self.silent_socket.setblocking(False)
         self.servers = [SimulatedServer(f"n-{number}", self) for number in range(server_count)]
         self.clients: list[SimulatedClient] = []
@@ -322,14 +341,14 @@
             settings: Settings, connection_limit: ConnectionLimit
         ) -> dict[str, UpstreamClient]:
             upstream_client = _SimulatedUpstreamClient(0.25, 15.0, connection_limit, (), sharing)
-            upstream_client.world = self
+            upstream_client.simulation = self
             return {MSGPACK_RPC: upstream_client}
 
         classes = [SAFE, UNSAFE, KEYED]
         limits = {"max_attempts": ATTEMPTS_MAX, "hedging": False, "cancellation": True}
         lines = [
-            DiscoveredServer(ServerDescription(each.name, "east", "m", 1), ("127.0.0.1", 9))
-            for each in self.servers
+            DiscoveredServer(ServerDescription(server.name, "east", "m", 1), ("127.0.0.1", 9))
+            for server in self.servers
         ]
         config = SidecarConfig(
             ("127.0.0.1", 0),
@@ -339,30 +358,30 @@
             settings(classes=classes, limits=limits),
             EndpointList(1, True, lines),
         )
-        wiring = Components(
+        components = Components(
             HttpConnection,
             RpcConnection,
             upstream_clients,
             lambda *_: _NoSource(),
             protocol_defaults=ProtocolDefaults(MSGPACK_RPC),
         )
-        self.sidecar = Sidecar(config, wiring, Clock(lambda: int(loop.time() * 1e9)))
+        self.sidecar = Sidecar(config, components, Clock(lambda: int(loop.time() * 1e9)))
         self.sidecar.endpoint_watcher.start(poll_immediately=False)
         self._listener: Listener = self.sidecar.listener
 
-    def check(self, holds: bool, violation: str) -> None:
+    def check(self, condition: bool, violation: str) -> None:
         """Record a violation unless an invariant holds."""
-        if not holds:
+        if not condition:
             self.violations.append(violation)
 
-    def next_ident(self) -> int:
-        """A number that is unique in this simulation."""
-        self._idents += 1
-        return self._idents
+    def next_request_id(self) -> int:
+        """Return a number that is unique in this simulation."""
+        self._last_request_number += 1
+        return self._last_request_number
 
     def client(self, index: int) -> SimulatedClient:
-        """One of the connected clients; a new one beyond them."""
-        connected = [each for each in self.clients if not each.closing and not each.half_closed]
+        """Return the connected client at `index`, or connect a new client if there is none."""
+        connected = [client for client in self.clients if not client.closing and not client.half_closed]
         if index < len(connected):
             return connected[index]
         client = SimulatedClient(self)
@@ -371,16 +390,22 @@
         return client
 
     def cancel_attempt(self, index: int) -> None:
-        """Cancel an attempt of a request in progress, as the balancer does when a server is silent."""
-        lives = [live for live in self.sidecar._requests.live.values() if live.attempts and not live.answered]
-        lives = [live for live in lives if live.call.request_class.name != "pay"]
-        if lives:
-            live = lives[index % len(lives)]
-            self.sidecar._balancer.retries.budget = 5.0  # so that it is retried
-            self.sidecar._requests._cancel(CancelAttempt(live.number, next(iter(live.attempts))))
+        """Cancel an attempt of a request in progress, as the balancer does when a server does not respond."""
+        cancellable_requests = [
+            request
+            for request in self.sidecar._requests.live.values()
+            if request.attempts and not request.answered
+        ]
+        cancellable_requests = [
+            request for request in cancellable_requests if request.call.request_class.name != "pay"
+        ]
+        if cancellable_requests:
+            request = cancellable_requests[index % len(cancellable_requests)]
+            self.sidecar._balancer.retries.budget = 5.0  # enough for the attempt to be retried
+            self.sidecar._requests._cancel(CancelAttempt(request.number, next(iter(request.attempts))))
 
     def drain(self, server: SimulatedServer) -> None:
-        """List a server as draining."""
+        """Publish an endpoint list in which the server is draining."""
         server.drained = True
         description = ServerDescription(server.name, "east", "m", 1, ServerState.DRAINING)
         self.sidecar.endpoint_watcher.receive(
@@ -388,25 +413,29 @@
         )
 
     async def settle(self) -> None:
-        """Wait for as long as anything may take, and check the invariants."""
+        """Wait until every request must have completed, and check the invariants."""
         await asyncio.sleep(0.01)
         for server in self.servers:
             for transport in list(server.transports):
-                transport.add_capacity(_UNLIMITED_BYTES)  # whatever is still queued is written now
+                transport.add_capacity(_UNLIMITED_BYTES)  # flushes all queued writes
         await asyncio.sleep(TIMEOUT_S + 0.5)
-        for each in self.clients:
-            if not each.closing:
-                unanswered = set(each.calls) - set(each.errors)
-                self.check(not unanswered, f"no answer in time: {[each.calls[one] for one in unanswered]}")
+        for client in self.clients:
+            if not client.closing:
+                unanswered = set(client.calls) - set(client.errors)
+                self.check(
+                    not unanswered, f"no answer in time: {[client.calls[msgid] for msgid in unanswered]}"
+                )
         for server in self.servers:
             server.finish()
-        executed = Counter(ident for server in self.servers for ident in server.executed)
-        twice = [ident for ident, count in executed.items() if count > 1 and ident.startswith("pay")]
+        executed = Counter(request_id for server in self.servers for request_id in server.executed)
+        twice = [
+            request_id for request_id, count in executed.items() if count > 1 and request_id.startswith("pay")
+        ]
         self.check(not twice, f"executed twice: {twice}")
-        self.check(not self.sidecar._requests.live, "a request is left after its end")
+        self.check(not self.sidecar._requests.live, "request remains in the table after completion")
 
     def close(self) -> None:
         """Close all sockets."""
         self._listener._sock.close()
         self.silent_socket.close()
-        self._other.close()
+        self._peer_socket.close()
--- a/tests/msgpackrpc/test_server.py
+++ b/tests/msgpackrpc/test_server.py
@@ -1,4 +1,4 @@
-"""The MessagePack-RPC server over loopback: many calls on a connection, and faulty clients."""
+"""The MessagePack-RPC server over loopback: concurrent calls on a connection, and faulty clients."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @pytest.fixture(autouse=True)
 def rpc_client(each_node: str) -> None:
-    """Clients speak MessagePack-RPC; upstream servers each protocol in turn."""
+    """Clients use MessagePack-RPC; the test runs once for each upstream protocol."""
     use(type(pair())(MSGPACK_RPC, each_node))
 
 
@@ -46,93 +46,96 @@
 
 
 def call(
-    msgid: int, kind: str = "look", ident: str | None = None, body: bytes = b"", **changes: Any
+    msgid: int, kind: str = "look", request_id: str | None = None, body: bytes = b"", **changes: Any
 ) -> bytes:
-    envelope = {"id": ident or f"c-{msgid}", "budget": 30.0, "path": "/api/7f"} | changes
+    envelope = {"id": request_id or f"c-{msgid}", "budget": 30.0, "path": "/api/7f"} | changes
     return pack([0, msgid, kind, [envelope, body]])
 
 
-async def answers(one: Client, count: int) -> dict[int, Any]:
-    """The next answers in any order: message id to error or result."""
+async def answers(connection: Client, count: int) -> dict[int, Any]:
+    """Read the next `count` answers in any order; return the error or result by message id."""
     received: dict[int, Any] = {}
     async with asyncio.timeout(PATIENCE_S):
         while len(received) < count:
-            for message in one._unpacker:
+            for message in connection._unpacker:
                 assert message[1] not in received
                 received[message[1]] = message[2] if message[2] is not None else message[3]
             if len(received) < count:
-                data = await one.reader.read(65536)
+                data = await connection.reader.read(65536)
                 if not data:
                     raise ConnectionResetError
-                one._unpacker.feed(data)
+                connection._unpacker.feed(data)
     return received
 
 
-async def still_serves(w: World) -> bool:
-    return (await w.ask(X_Call_Id="another"))[0] == 200
+async def still_serves(system: World) -> bool:
+    return (await system.ask(X_Call_Id="another"))[0] == 200
 
 
 def test_calls_on_one_connection_are_answered_in_the_order_of_their_completion() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(
-            lambda first, *_: None if "slow" in first else answer(200, first.split(" ")[1].encode())
-        ) as w:
-            one = await client(w.sidecar.listener.address)
-            one.writer.write(
+            lambda request_line, *_: (
+                None if "slow" in request_line else answer(200, request_line.split(" ")[1].encode())
+            )
+        ) as system:
+            connection = await client(system.sidecar.listener.address)
+            connection.writer.write(
                 call(1, path="/api/slow") + b"".join(call(n, path=f"/api/{n}") for n in range(2, 30))
             )
-            received = await answers(one, 28)
+            received = await answers(connection, 28)
             assert {n: result["body"] for n, result in received.items()} == {
                 n: b"/api/%d" % n for n in range(2, 30)
             }
-            w.servers[0].answer_held(answer(200, b"late"))
-            assert (await answers(one, 1))[1]["body"] == b"late"
-            one.close()
+            system.servers[0].answer_held(answer(200, b"late"))
+            assert (await answers(connection, 1))[1]["body"] == b"late"
+            connection.close()
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_call_with_the_message_id_of_one_in_progress_is_not_executed_and_the_first_gets_its_own_answer() -> (
-    None
-):
-    async def scene() -> None:
-        async with world(hung) as w:
-            one = await client(w.sidecar.listener.address)
-            one.writer.write(call(5, "pay", "first", b"1"))
-            await until(w.sent)
-            one.writer.write(call(5, "pay", "second", b"2") + call(6, "pay", "third", b"3"))
-            await until(lambda: all(each._failed for each in w.sidecar.listener.connections))  # type: ignore[attr-defined]
-            w.servers[0].answer_held(answer(200, b"the first's"))
-            assert (await answers(one, 1))[5]["body"] == b"the first's"
-            assert await one.is_closed()
-            assert [body for _, _, body in w.sent()] == [b"1"]
+def test_a_call_with_a_message_id_in_use_is_not_executed_and_the_first_call_is_answered() -> None:
+    async def scenario() -> None:
+        async with world(hung) as system:
+            connection = await client(system.sidecar.listener.address)
+            connection.writer.write(call(5, "pay", "first", b"1"))
+            await until(system.sent)
+            connection.writer.write(call(5, "pay", "second", b"2") + call(6, "pay", "third", b"3"))
+            await until(
+                lambda: all(rpc_connection._failed for rpc_connection in system.sidecar.listener.connections)  # type: ignore[attr-defined]
+            )
+            system.servers[0].answer_held(answer(200, b"the first's"))
+            assert (await answers(connection, 1))[5]["body"] == b"the first's"
+            assert await connection.is_closed()
+            assert [body for _, _, body in system.sent()] == [b"1"]
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_message_id_may_be_reused_once_its_call_is_answered() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            one = await client(w.sidecar.listener.address)
+    async def scenario() -> None:
+        async with world(served) as system:
+            connection = await client(system.sidecar.listener.address)
             for _ in range(3):
-                one.writer.write(call(2**32 - 1))
-                assert (await answers(one, 1))[2**32 - 1]["body"] == b"served"
-            one.close()
+                connection.writer.write(call(2**32 - 1))
+                assert (await answers(connection, 1))[2**32 - 1]["body"] == b"served"
+            connection.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_call_sent_as_a_notification_ends_the_connection() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            one = await client(w.sidecar.listener.address)
-            one.writer.write(pack([2, "keep-alive", []]) + call(1))  # it requests nothing, so nothing is lost
-            assert (await answers(one, 1))[1]["body"] == b"served"
-            one.writer.write(pack([2, "pay", [{"id": "x", "budget": 1.0}, b"body"]]))
-            assert await one.is_closed()
-            assert [headers["x-call-id"] for _, headers, _ in w.sent()] == ["c-1"]
+    async def scenario() -> None:
+        async with world(served) as system:
+            connection = await client(system.sidecar.listener.address)
+            # A keep-alive notification carries no request and is ignored.
+            connection.writer.write(pack([2, "keep-alive", []]) + call(1))
+            assert (await answers(connection, 1))[1]["body"] == b"served"
+            connection.writer.write(pack([2, "pay", [{"id": "x", "budget": 1.0}, b"body"]]))
+            assert await connection.is_closed()
+            assert [headers["x-call-id"] for _, headers, _ in system.sent()] == ["c-1"]
 
-    play(scene())
+    play(scenario())
 
 
 MALFORMED: dict[str, tuple[bytes, int | None]] = {
@@ -148,23 +151,22 @@
 def test_malformed_bytes_are_answered_if_their_message_id_can_be_read_and_the_connection_ends(
     name: str,
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         data, msgid = MALFORMED[name]
-        async with world(served) as w:
-            one = await client(w.sidecar.listener.address)
+        async with world(served) as system:
+            connection = await client(system.sidecar.listener.address)
             started_at = asyncio.get_running_loop().time()
-            one.writer.write(data)
+            connection.writer.write(data)
             if msgid is not None:
-                assert (await answers(one, 1))[msgid][0] in (400, 413)
-            assert await one.is_closed()
-            assert (
-                asyncio.get_running_loop().time() - started_at < 10.0
-            )  # 2 s here; generous for a slow machine
-            one.close()
-            assert await still_serves(w)
-            await until(lambda: not w.sidecar.listener.connections)
+                assert (await answers(connection, 1))[msgid][0] in (400, 413)
+            assert await connection.is_closed()
+            # Normally 2 s; the bound allows for a slow machine.
+            assert asyncio.get_running_loop().time() - started_at < 10.0
+            connection.close()
+            assert await still_serves(system)
+            await until(lambda: not system.sidecar.listener.connections)
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
@@ -179,155 +181,158 @@
         (pack([0, 7, "unknown", []]), 404),
         (pack([0, 7, 3, None]), 400),
         (call(7, path="/elsewhere"), 404),
-        (call(7, ident="slow"), 409),
+        (call(7, request_id="slow"), 409),
         (call(7, "pay", body=bytes(64 * 1024) + b"x"), 413),
     ],
 )
 def test_an_invalid_call_is_rejected_and_its_neighbours_are_served(invalid: bytes, code: int) -> None:
-    async def scene() -> None:
-        async with world(lambda first, *_: None if "slow" in first else served()) as w:
-            one = await client(w.sidecar.listener.address)
-            one.writer.write(call(1, "pay", "slow", b"x", path="/api/slow"))
-            await until(w.sent)
-            one.writer.write(invalid)
-            assert (await answers(one, 1))[7][0] == code
+    async def scenario() -> None:
+        async with world(lambda request_line, *_: None if "slow" in request_line else served()) as system:
+            connection = await client(system.sidecar.listener.address)
+            connection.writer.write(call(1, "pay", "slow", b"x", path="/api/slow"))
+            await until(system.sent)
+            connection.writer.write(invalid)
+            assert (await answers(connection, 1))[7][0] == code
             if code != 413:
-                one.writer.write(call(8))
-                assert (await answers(one, 1))[8]["body"] == b"served"
-            assert await still_serves(w)
-            w.servers[0].answer_held(answer(200, b"slow"))
-            assert (await answers(one, 1))[1]["body"] == b"slow"
-            one.close()
+                connection.writer.write(call(8))
+                assert (await answers(connection, 1))[8]["body"] == b"served"
+            assert await still_serves(system)
+            system.servers[0].answer_held(answer(200, b"slow"))
+            assert (await answers(connection, 1))[1]["body"] == b"slow"
+            connection.close()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize("msgid", [-1, -(2**31), 2**32, 2**64 - 1])
 def test_a_message_id_out_of_range_is_rejected_with_that_id(msgid: int) -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            one = await client(w.sidecar.listener.address)
-            one.writer.write(call(msgid))
-            assert (await answers(one, 1))[msgid][0] == 400
-            assert not w.sent()
-            one.close()
+    async def scenario() -> None:
+        async with world(served) as system:
+            connection = await client(system.sidecar.listener.address)
+            connection.writer.write(call(msgid))
+            assert (await answers(connection, 1))[msgid][0] == 400
+            assert not system.sent()
+            connection.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_client_that_stalls_in_a_message_gets_an_error_and_its_other_calls_their_answers() -> None:
-    async def scene() -> None:
-        async with world(hung) as w:
-            one = await client(w.sidecar.listener.address)
-            one.writer.write(call(1, "pay", body=b"x") + call(9)[:-5])
-            received = await answers(one, 1)  # the incomplete one's, within its limit
+    async def scenario() -> None:
+        async with world(hung) as system:
+            connection = await client(system.sidecar.listener.address)
+            connection.writer.write(call(1, "pay", body=b"x") + call(9)[:-5])
+            # The error for the incomplete message, within its time limit.
+            received = await answers(connection, 1)
             assert received[9][0] == 408
-            w.servers[0].answer_held(answer(200, b"complete"))
-            assert (await answers(one, 1))[1]["body"] == b"complete"
-            assert await one.is_closed()
-            one.close()
+            system.servers[0].answer_held(answer(200, b"complete"))
+            assert (await answers(connection, 1))[1]["body"] == b"complete"
+            assert await connection.is_closed()
+            connection.close()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
     "sent", [b"", b"\x94", b"\x94\x00\x07\xa4lo"], ids=["nothing", "one byte", "an incomplete message"]
 )
 def test_a_silent_connection_is_closed(sent: bytes) -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            one = await client(w.sidecar.listener.address)
-            one.writer.write(sent)
+    async def scenario() -> None:
+        async with world(served) as system:
+            connection = await client(system.sidecar.listener.address)
+            connection.writer.write(sent)
             if len(sent) > 3:
-                assert (await answers(one, 1))[7][0] == 408
-            assert await one.is_closed()
-            one.close()
-            await until(lambda: not w.sidecar.listener.connections)
+                assert (await answers(connection, 1))[7][0] == 408
+            assert await connection.is_closed()
+            connection.close()
+            await until(lambda: not system.sidecar.listener.connections)
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_client_that_closes_with_many_calls_in_progress_leaves_no_request_or_connection() -> None:
-    async def scene() -> None:
-        async with world(hung, hung) as w:
-            one = await client(w.sidecar.listener.address)
+    async def scenario() -> None:
+        async with world(hung, hung) as system:
+            connection = await client(system.sidecar.listener.address)
             kinds = ("pay", "look")
-            one.writer.write(b"".join(call(n, kinds[n % 2], body=b"x" * (n % 2 == 0)) for n in range(40)))
-            await until(lambda: len(w.sent()) == 40)
-            one.close()
-            await until(lambda: not w.sidecar._requests.live and not w.sidecar.listener.connections)
-            await until(
-                lambda: not w.sidecar._endpoint_table.connection_limit.open_count
-            )  # cancelled attempts close their connections
+            connection.writer.write(
+                b"".join(call(n, kinds[n % 2], body=b"x" * (n % 2 == 0)) for n in range(40))
+            )
+            await until(lambda: len(system.sent()) == 40)
+            connection.close()
+            await until(lambda: not system.sidecar._requests.live and not system.sidecar.listener.connections)
+            # Cancelled attempts close their connections.
+            await until(lambda: not system.sidecar._endpoint_table.connection_limit.open_count)
 
-    play(scene())
+    play(scenario())
 
 
 def test_calls_beyond_the_limit_of_a_connection_wait_and_all_are_answered() -> None:
-    async def scene() -> None:
-        classes = [
-            each | {"latency_objective_us": 600 * S} for each in CLASSES
-        ]  # or late ones may be rejected
-        async with world(hung, hung, sockets=1024, classes=classes) as w:
-            one = await client(w.sidecar.listener.address)
+    async def scenario() -> None:
+        # With a shorter objective, calls that wait may be rejected.
+        classes = [request_class | {"latency_objective_us": 600 * S} for request_class in CLASSES]
+        async with world(hung, hung, sockets=1024, classes=classes) as system:
+            connection = await client(system.sidecar.listener.address)
             count = CALLS_MAX + 100
-            one.writer.write(b"".join(call(n, "pay", body=b"x") for n in range(count)))
-            await until(lambda: len(w.sent()) == CALLS_MAX)
+            connection.writer.write(b"".join(call(n, "pay", body=b"x") for n in range(count)))
+            await until(lambda: len(system.sent()) == CALLS_MAX)
             await asyncio.sleep(0.1)
-            assert len(w.sent()) == CALLS_MAX
-            for server in w.servers:
+            assert len(system.sent()) == CALLS_MAX
+            for server in system.servers:
                 server.script = served
                 server.answer_held(answer(200, b"served"))
-            assert len(await answers(one, count)) == count
-            assert len({headers["x-call-id"] for _, headers, _ in w.sent()}) == len(w.sent()) == count
-            one.close()
+            assert len(await answers(connection, count)) == count
+            assert (
+                len({headers["x-call-id"] for _, headers, _ in system.sent()}) == len(system.sent()) == count
+            )
+            connection.close()
 
-    play(scene())
+    play(scenario())
 
 
-def test_a_client_that_reads_nothing_is_disconnected_and_delays_no_other(
+def test_a_client_that_reads_nothing_is_disconnected_and_does_not_delay_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(answering, "UNREAD_BYTES_MAX", 512 * 1024)
 
-    async def scene() -> None:
-        async with world(lambda *_: answer(200, bytes(60_000)), sockets=1024) as w:
+    async def scenario() -> None:
+        async with world(lambda *_: answer(200, bytes(60_000)), sockets=1024) as system:
             slow = socket.socket()
             slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
             slow.setblocking(False)
-            await asyncio.get_running_loop().sock_connect(slow, w.sidecar.listener.address)
+            await asyncio.get_running_loop().sock_connect(slow, system.sidecar.listener.address)
             slow.send(b"".join(call(n) for n in range(100)))
-            await until(w.sent)
-            assert await still_serves(w)
-            await until(lambda: not w.sidecar.listener.connections and not w.sidecar._requests.live)
+            await until(system.sent)
+            assert await still_serves(system)
+            await until(lambda: not system.sidecar.listener.connections and not system.sidecar._requests.live)
             assert RpcConnection._unread_bytes_total == 0
             slow.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_slow_reader_s_next_calls_wait_until_it_has_read_its_answers() -> None:
-    async def scene() -> None:
-        async with world(lambda *_: answer(200, bytes(60_000)), sockets=1024) as w:
+    async def scenario() -> None:
+        async with world(lambda *_: answer(200, bytes(60_000)), sockets=1024) as system:
             raw = socket.socket()
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             raw.setblocking(False)
-            await asyncio.get_running_loop().sock_connect(raw, w.sidecar.listener.address)
-            one = Client(*await asyncio.open_connection(sock=raw, limit=4096))
+            await asyncio.get_running_loop().sock_connect(raw, system.sidecar.listener.address)
+            connection = Client(*await asyncio.open_connection(sock=raw, limit=4096))
             for n in range(60):  # 3.6 MB of answers, more than the kernel buffers
-                one.writer.write(call(n))
+                connection.writer.write(call(n))
                 if n % 20 == 19:
-                    assert len(await answers(one, 20)) == 20
-            one.close()
+                    assert len(await answers(connection, 20)) == 20
+            connection.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_the_first_byte_decides_the_protocol_of_each_connection() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
+    async def scenario() -> None:
+        async with world(served) as system:
             for number in range(6):
-                reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
+                reader, writer = await asyncio.open_connection(*system.sidecar.listener.address)
                 if number % 2:
                     writer.write(call(number))
                     assert (await asyncio.wait_for(reader.read(1), PATIENCE_S)) == b"\x94"
@@ -336,22 +341,22 @@
                     assert (await asyncio.wait_for(reader.read(8), PATIENCE_S)) == b"HTTP/1.1"
                 writer.close()
 
-    play(scene())
-
-
-def test_calls_that_come_late_in_a_drain_are_rejected_at_once() -> None:
-    async def scene() -> None:
-        async with world(hung) as w:
-            one = await client(w.sidecar.listener.address)
-            one.writer.write(call(1, "pay", body=b"x"))
-            await until(w.sent)
-            w.stop.set()
-            await until(lambda: w.sidecar.listener.table.rejects_new)
-            one.writer.write(call(2, "pay", body=b"y"))
-            assert (await answers(one, 1))[2][:2] == [503, "refused"]
-            w.servers[0].answer_held(answer(200, b"slow"))
-            assert (await answers(one, 1))[1]["body"] == b"slow"
-            assert await is_closed(one.reader)
-            assert len(w.sent()) == 1
-
-    play(scene())
+    play(scenario())
+
+
+def test_calls_received_late_in_a_drain_are_rejected_immediately() -> None:
+    async def scenario() -> None:
+        async with world(hung) as system:
+            connection = await client(system.sidecar.listener.address)
+            connection.writer.write(call(1, "pay", body=b"x"))
+            await until(system.sent)
+            system.stop.set()
+            await until(lambda: system.sidecar.listener.table.rejects_new)
+            connection.writer.write(call(2, "pay", body=b"y"))
+            assert (await answers(connection, 1))[2][:2] == [503, "refused"]
+            system.servers[0].answer_held(answer(200, b"slow"))
+            assert (await answers(connection, 1))[1]["body"] == b"slow"
+            assert await is_closed(connection.reader)
+            assert len(system.sent()) == 1
+
+    play(scenario())
--- a/tests/msgpackrpc/test_third_party.py
+++ b/tests/msgpackrpc/test_third_party.py
@@ -1,4 +1,4 @@
-"""A published client and server (aio-msgpack-rpc) interoperate with the sidecar."""
+"""Interoperability of the sidecar with a published client and server (aio-msgpack-rpc)."""
 
 from __future__ import annotations
 
@@ -18,84 +18,88 @@
 from topazbank.wiring import build_components
 
 
-def envelope(ident: str, **more: Any) -> dict[str, Any]:
-    return {"id": ident, "budget": 5.0, "path": "/api/7f"} | more
+def envelope(request_id: str, **more: Any) -> dict[str, Any]:
+    return {"id": request_id, "budget": 5.0, "path": "/api/7f"} | more
 
 
 @pytest.mark.parametrize("nodes", [HTTP, MSGPACK_RPC])
-def test_the_published_client_is_served_rejected_and_failed(nodes: str) -> None:
-    async def scene() -> None:
+def test_the_published_client_receives_results_and_errors(nodes: str) -> None:
+    async def scenario() -> None:
         use(Pair(MSGPACK_RPC, nodes))
-        async with world(lambda first, given, body: answer(200, given["x-call-id"].encode() + body)) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.listener.address)
+        async with world(
+            lambda request_line, headers, body: answer(200, headers["x-call-id"].encode() + body)
+        ) as system:
+            reader, writer = await asyncio.open_connection(*system.sidecar.listener.address)
             client = aio_msgpack_rpc.Client(reader, writer)
             calls = [client.call("pay", envelope(f"c-{n}"), b"\xff%d" % n) for n in range(20)]
             results = await asyncio.gather(*calls)
-            assert [each["body"] for each in results] == [b"c-%d\xff%d" % (n, n) for n in range(20)]
+            assert [result["body"] for result in results] == [b"c-%d\xff%d" % (n, n) for n in range(20)]
             assert await client.call("health.ready") == {"ready": True}
             with pytest.raises(aio_msgpack_rpc.error.RPCResponseError) as raised:
                 await client.call("look", {"id": "x", "budget": -1})
             assert raised.value.args[0][0] == 400
-            w.servers[0].script = lambda *_: answer(500, b"")
+            system.servers[0].script = lambda *_: answer(500, b"")
             with pytest.raises(aio_msgpack_rpc.error.RPCResponseError) as raised:
                 await client.call("pay", envelope("f"), b"x")
             assert raised.value.args[0] == [500, "failed", {}]
-            w.servers[0].script = lambda *_: answer(503, b"", X_Rejected="1")
+            system.servers[0].script = lambda *_: answer(503, b"", X_Rejected="1")
             with pytest.raises(aio_msgpack_rpc.error.RPCResponseError) as raised:
                 await client.call("pay", envelope("r", budget=0.3), b"x")
             assert raised.value.args[0][:2] == [503, "refused"]
             client.close()
 
-    play(scene())
+    play(scenario())
 
 
 class Handler:
-    """A server's methods as that library calls them: one for each class."""
+    """The server methods that aio-msgpack-rpc calls, one for each request class."""
 
     def __init__(self) -> None:
         self.executed: list[tuple[str, str, bytes]] = []
 
-    async def pay(self, given: dict[str, Any], body: bytes) -> dict[str, Any]:
-        self.executed.append(("pay", given["id"], body))
+    async def pay(self, fields: dict[str, Any], body: bytes) -> dict[str, Any]:
+        self.executed.append(("pay", fields["id"], body))
         await asyncio.sleep(0.001)
         return {"body": b"paid " + body}
 
-    def look(self, given: dict[str, Any], body: bytes = b"") -> bytes:
-        self.executed.append(("look", given["id"], body))
+    def look(self, fields: dict[str, Any], body: bytes = b"") -> bytes:
+        self.executed.append(("look", fields["id"], body))
         return b"looked"
 
-    def amend(self, given: dict[str, Any], body: bytes) -> None:
-        self.executed.append(("amend", given["idempotency_key"], body))
+    def amend(self, fields: dict[str, Any], body: bytes) -> None:
+        self.executed.append(("amend", fields["idempotency_key"], body))
         raise RuntimeError("it broke")
 
 
 @pytest.mark.parametrize("clients", [HTTP, MSGPACK_RPC])
 def test_the_published_server_serves_calls(clients: str) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         use(Pair(clients, MSGPACK_RPC))
         handler = Handler()
         server = await asyncio.start_server(aio_msgpack_rpc.Server(handler), "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()[:2]
         entry = {"name": "s-0", "address": f"{host}:{port}", "status": "active", "protocol": MSGPACK_RPC}
-        known = parse_list({"index": 1, "snapshot": True, "endpoints": [entry]})
-        given = settings(classes=CLASSES, limits=LIMITS)
-        config = SidecarConfig(("127.0.0.1", 0), ("127.0.0.1", 9), 7, 256, given, known)
+        endpoint_list = parse_list({"index": 1, "snapshot": True, "endpoints": [entry]})
+        balancer_settings = settings(classes=CLASSES, limits=LIMITS)
+        config = SidecarConfig(("127.0.0.1", 0), ("127.0.0.1", 9), 7, 256, balancer_settings, endpoint_list)
         sidecar = Sidecar(
             config,
             build_components(OperatorConfig(MsgpackRpcConfig(accepts_clients=True, calls_servers=True))),
         )
-        running = asyncio.create_task(sidecar.run(asyncio.Event()))
+        sidecar_task = asyncio.create_task(sidecar.run(asyncio.Event()))
         await until(lambda: sidecar._balancer._started)
         address = sidecar.listener.address
         requests = [ask(address, request("pay", body=b"%d" % n, X_Call_Id=f"c-{n}")) for n in range(10)]
-        assert [each[2] for each in await asyncio.gather(*requests)] == [b"paid %d" % n for n in range(10)]
+        assert [response[2] for response in await asyncio.gather(*requests)] == [
+            b"paid %d" % n for n in range(10)
+        ]
         assert (await ask(address, request("look", X_Call_Id="l")))[2] == b"looked"
         assert (await ask(address, request("amend", body=b"x", X_Call_Id="a", budget="1.0")))[0] in (500, 503)
-        assert [each for each in handler.executed if each[0] == "pay"] == [
+        assert [execution for execution in handler.executed if execution[0] == "pay"] == [
             ("pay", f"c-{n}", b"%d" % n) for n in range(10)
         ]
-        running.cancel()
-        await asyncio.gather(running, return_exceptions=True)
+        sidecar_task.cancel()
+        await asyncio.gather(sidecar_task, return_exceptions=True)
         server.close()
 
-    play(scene())
+    play(scenario())
