--- a/testbed/__init__.py
+++ b/testbed/__init__.py
@@ -1,6 +1,6 @@
-"""Emulators of what surrounds a sidecar, harnesses that run fleets of sidecars, and invariants that check the runs.
+"""Emulators of a sidecar's environment, harnesses that run fleets of sidecars, and invariants that check the runs.
 
-Emulators run alone as well: `python -m testbed.backend`, `.registry`, `.zookeeper`.  They speak the published protocols
-with code of their own and import none of the logic that they check, so that a misreading in topazbank does not cancel
-out.
+Each emulator also runs as a program: `python -m testbed.backend`, `.registry`, `.zookeeper`.  The emulators implement
+the published protocols independently and import none of the logic under test.  A misread specification in topazbank
+therefore shows up as a failure.
 """
--- a/testbed/ports.py
+++ b/testbed/ports.py
@@ -1,7 +1,7 @@
-"""Addresses for processes whose listening address has to be known before they start.
+"""Listening addresses for processes that need them assigned before they start.
 
-The kernel may give a port that was bound and released to any other process that binds the same host.  Such ports are
-therefore reserved on a loopback address that nobody else uses.
+After a port is released, the kernel may assign it to any other process that binds the same host.  These ports are
+therefore taken from a loopback address that no other process uses.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def free_addresses(host: str, count: int, kind: socket.SocketKind = socket.SOCK_STREAM) -> list[Address]:
-    """Return distinct addresses without a listener: each stays bound until the last one is known."""
+    """Return distinct unused addresses; all sockets stay bound until the last address is allocated."""
     with contextlib.ExitStack() as bound:
         addresses: list[Address] = []
         for _ in range(count):
--- a/testbed/virtual_time.py
+++ b/testbed/virtual_time.py
@@ -1,7 +1,7 @@
-"""Virtual time: events run in order of their time, and a network has faults, all determined by one seed.
+"""Discrete-event simulation of time and of a faulty network, deterministic for a given seed.
 
-Times are seconds of virtual time.  The order of draws from the generator is part of the contract: a seed has to give
-the same run in every version.
+Times are seconds of virtual time.  The order of draws from the random generator is part of the contract: a seed must
+produce the same run in every version.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-DATAGRAM_DELAY_S = (0.0002, 0.002)  # range on a network without faults
+DATAGRAM_DELAY_S = (0.0002, 0.002)  # minimum and maximum without injected faults
 
 
 @dataclass(slots=True)
 class NetworkFaults:
-    """What the network does to a datagram."""
+    """Faults that the network injects into datagrams."""
 
     loss: float = 0.0  # ratio of datagrams lost
-    delay_s: float = 0.0  # maximum of an extra delay
+    delay_s: float = 0.0  # maximum extra delay
     doubled: float = 0.0  # ratio of datagrams delivered twice
-    cuts: set[tuple[int, int]] = field(default_factory=set)  # (sender, receiver) pairs that are cut off
+    cuts: set[tuple[int, int]] = field(default_factory=set)  # partitioned (sender, receiver) pairs
 
 
 class VirtualTime:
@@ -34,22 +34,22 @@
         self.faults = NetworkFaults()
         self._events: list[
             tuple[float, int, Callable[[], None]]
-        ] = []  # a heap: time, insertion order, callback
+        ] = []  # heap of (time, insertion order, callback)
         self._order = itertools.count()
 
     def schedule(self, when: float, callback: Callable[[], None]) -> None:
-        """Call back at a time; callbacks of one time run in the order in which they were scheduled."""
+        """Schedule a callback; callbacks with equal times run in insertion order."""
         heapq.heappush(self._events, (when, next(self._order), callback))
 
     def run(self, until: float) -> None:
-        """Run all events up to a time, that time included."""
+        """Run all events up to and including a time."""
         while self._events and self._events[0][0] <= until:
             self.now, _, callback = heapq.heappop(self._events)
             callback()
         self.now = until
 
     def send(self, sender: int, receiver: int, deliver: Callable[[], None]) -> None:
-        """Schedule the delivery of a datagram, subject to the faults of this moment."""
+        """Schedule the delivery of a datagram, subject to the current faults."""
         faults = self.faults
         if (sender, receiver) in faults.cuts or (faults.loss and self.random.random() < faults.loss):
             return
--- a/testbed/wire.py
+++ b/testbed/wire.py
@@ -1,4 +1,4 @@
-"""Messages that emulators read and write, in HTTP/1.1 or MessagePack-RPC, as one neutral pair: Message and Reply."""
+"""Protocol-neutral messages of the emulators: Message and Reply, encoded as HTTP/1.1 or MessagePack-RPC."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 Address = tuple[str, int]
 Headers = dict[str, str]
 
-# Envelope fields of MessagePack-RPC calls, to the HTTP headers of the same meaning (docs/msgpack-rpc.md).
+# Maps envelope fields of MessagePack-RPC calls to the equivalent HTTP headers (docs/msgpack-rpc.md).
 HEADER_OF_ENVELOPE_FIELD = {
     "id": "x-call-id",
     "budget": "x-budget",
@@ -27,9 +27,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """A message as it was read, under HTTP's names whatever its protocol."""
+    """A received message; the field names follow HTTP for both protocols."""
 
-    start_line: str  # HTTP's start line, or an equivalent one for MessagePack-RPC
+    start_line: str  # the HTTP start line, or an equivalent line for MessagePack-RPC
     headers: Headers
     body: bytes
     msgid: int | None = None  # MessagePack-RPC only
@@ -46,31 +46,31 @@
 
     @property
     def request_id(self) -> str:
-        """The request's id; empty without one."""
+        """The request's id; empty if missing."""
         return self.headers.get("x-call-id", "")
 
     @property
     def request_class(self) -> str:
-        """The name of the request's class; empty without one."""
+        """The name of the request's class; empty if missing."""
         return self.headers.get("x-call-class", "")
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A response, to be written in either protocol."""
+    """A response that can be encoded in either protocol."""
 
     status: int = 200
     body: bytes = b""
     headers: dict[str, str] = field(default_factory=dict)
 
     def http(self) -> bytes:
-        """Encode it as an HTTP/1.1 response."""
+        """Encode the reply as an HTTP/1.1 response."""
         lines = [f"HTTP/1.1 {self.status} X", f"Content-Length: {len(self.body)}"]
         lines += [f"{name}: {value}" for name, value in self.headers.items()]
         return "\r\n".join([*lines, "", ""]).encode() + self.body
 
     def rpc(self, msgid: int) -> bytes:
-        """Encode it as the MessagePack-RPC response to a call."""
+        """Encode the reply as the MessagePack-RPC response to a call."""
         headers = {name.lower(): value for name, value in self.headers.items()}
         load = _parse_load_report(headers.get("x-load-report"))
         if self.status == 200:
@@ -83,7 +83,7 @@
 
 
 def _parse_load_report(text: str | None) -> dict[str, Any]:
-    """Return the load report of a header as a MessagePack-RPC response carries it."""
+    """Convert the load report of an HTTP header to the fields of a MessagePack-RPC response."""
     if text is None:
         return {}
     parts = (part.partition("=") for part in text.removeprefix("TEXT").split(","))
@@ -103,7 +103,7 @@
 
 
 async def read_http(reader: asyncio.StreamReader) -> Message:
-    """Read an HTTP request or response with a Content-Length, or without a body."""
+    """Read an HTTP request or response; a missing Content-Length means an empty body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     start_line, *lines = head.strip().split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
@@ -126,7 +126,7 @@
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Reset a connection (RST), as the death of its process does."""
+    """Reset a connection (RST), as happens when its process crashes."""
     sock = writer.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
         return
@@ -141,7 +141,7 @@
     _server: asyncio.Server | None = None
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Listen, on a port that the kernel selects where none is given."""
+        """Start listening; port 0 lets the kernel select a port."""
         self._server = await asyncio.start_server(self._serve, host, port, limit=2**20, backlog=512)
         self.address = self._server.sockets[0].getsockname()[:2]
 
