--- a/testbed/registry/__init__.py
+++ b/testbed/registry/__init__.py
@@ -11,7 +11,7 @@
 
 from testbed.wire import Message, Reply, TcpServer, read_http
 
-_CHANGES_MAX = 1000  # that are kept; a client that is further behind gets a snapshot
+_CHANGES_MAX = 1000  # retained changes; a client further behind receives a snapshot
 _WATCH_MAX_S = 60.0
 
 Entry = dict[str, Any]  # an endpoint in the platform's JSON form
@@ -24,7 +24,7 @@
 
 
 class Registry(TcpServer):
-    """Entries by name; `put` and `remove` answer every watch."""
+    """An HTTP registry of entries by name; `put` and `remove` complete all pending watches."""
 
     def __init__(self) -> None:
         self.index = 0  # of the newest change
@@ -34,13 +34,13 @@
         self._next_change = asyncio.Event()  # replaced with each change
 
     def put(self, *entries: Entry) -> None:
-        """Add or replace entries, each as a change of its own."""
+        """Add or replace entries; each entry is a separate change."""
         for entry in entries:
             self.entries[entry["name"]] = entry
             self._add_change(entry)
 
     def remove(self, name: str) -> None:
-        """Remove an entry, if there is one."""
+        """Remove an entry if it exists."""
         entry = self.entries.pop(name, None)
         if entry is not None:
             self._add_change(entry | {"status": "left"})
@@ -52,7 +52,7 @@
         self._next_change = asyncio.Event()
 
     def snapshot(self) -> dict[str, Any]:
-        """The complete list, as a call without `after` returns it."""
+        """Return the complete list, the response to a call without `after`."""
         return {"index": self.index, "snapshot": True, "endpoints": list(self.entries.values())}
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/testbed/registry/__main__.py
+++ b/testbed/registry/__main__.py
@@ -1,6 +1,6 @@
 """Runs the registry: `python -m testbed.registry --listen 127.0.0.1:8500 --entries nodes.json`.
 
-The file holds a list of entries; SIGHUP reads it again, and an entry that is missing from it then is removed.
+The file holds a list of entries.  SIGHUP reloads it; entries that are no longer in the file are removed.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def load(registry: Registry, path: str) -> None:
-    """Make the registry's entries those of the file."""
+    """Replace the registry's entries with those of the file."""
     with open(path, encoding="utf-8") as file:
         entries = {entry["name"]: entry for entry in json.load(file)}
     for name in [name for name in registry.entries if name not in entries]:
@@ -37,7 +37,7 @@
 
 
 def main() -> None:
-    """Run the registry that the command line describes."""
+    """Parse the command line and run the registry."""
     parser = argparse.ArgumentParser(prog="testbed.registry", description=__doc__)
     parser.add_argument("--listen", default="127.0.0.1:0", metavar="HOST:PORT")
     parser.add_argument("--entries", required=True, metavar="FILE", help="a JSON list of entries")
--- a/testbed/registry/faulty.py
+++ b/testbed/registry/faulty.py
@@ -1,7 +1,7 @@
-"""A registry whose calls fail: refused, refused late, never answered, reset, or answered late.
+"""A registry with injected faults: calls are refused, refused late, never answered, reset, or answered late.
 
-A fault holds for the calls that begin while it lasts: one that is never answered stays so after the fault has ended, as
-when a machine between client and registry has lost its connection.
+A fault applies to calls that begin while it is active.  An unanswered call stays unanswered after the fault has ended,
+as when a machine between client and registry has lost its connection.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 @unique
 class Fault(Enum):
-    """What happens to a call that begins now; the values are those of schedules."""
+    """The fault applied to new calls; fault schedules use the values."""
 
     NONE = "none"
-    REFUSED = "refused"  # 503 at once
-    REFUSED_LATE = "held"  # 503 after `refusal_delay_s`, as by an overloaded service
-    UNANSWERED = "swallowed"  # however long its client waits
+    REFUSED = "refused"  # 503 immediately
+    REFUSED_LATE = "held"  # 503 after `refusal_delay_s`, like an overloaded service
+    UNANSWERED = "swallowed"  # until the client closes the connection
     RESET = "reset"
     ANSWERED_LATE = "late"  # after `answer_delay_s`
 
@@ -39,7 +39,7 @@
 
 
 class FaultyRegistry(Registry):
-    """The registry, with one fault at a time."""
+    """A registry with at most one active fault at a time."""
 
     def __init__(self, refusal_delay_s: float = 2.0, answer_delay_s: float = 0.8) -> None:
         super().__init__()
@@ -47,15 +47,15 @@
         self.refusal_delay_s = refusal_delay_s
         self.answer_delay_s = answer_delay_s
         self.list_calls: list[ListCall] = []
-        self.refused_calls = 0  # that were answered with 503
+        self.refused_calls = 0  # calls answered with 503
         self._open: set[asyncio.StreamWriter] = set()
 
     def count(self, fault: Fault) -> int:
-        """How many calls met this fault."""
+        """Return the number of calls that began under this fault."""
         return sum(call.fault is fault for call in self.list_calls)
 
     def end_watches(self) -> None:
-        """Reset the calls without an answer, as when the service stops."""
+        """Reset all connections with unanswered calls, as when the service stops."""
         for writer in list(self._open):
             reset_connection(writer)
 
@@ -75,7 +75,7 @@
         self.calls += 1
         self.list_calls.append(ListCall(time.monotonic(), request.path, fault))
         if fault is Fault.UNANSWERED:
-            await reader.read()  # until its client closes the connection
+            await reader.read()  # until the client closes the connection
         elif fault is Fault.RESET:
             reset_connection(writer)
         elif fault in (Fault.REFUSED, Fault.REFUSED_LATE):
