--- a/testbed/backend/__init__.py
+++ b/testbed/backend/__init__.py
@@ -1,4 +1,4 @@
-"""An emulated backend server: three speeds, slow start, a queue, draining, a log of its runs; both protocols."""
+"""An emulated backend server for both protocols, with three speeds, slow start, a queue, draining and a run log."""
 
 from testbed.backend.model import SPEED_RATIOS, Backend, IdempotencyCache, Run, RunLog
 from testbed.backend.server import BackendServer
--- a/testbed/backend/__main__.py
+++ b/testbed/backend/__main__.py
@@ -1,6 +1,6 @@
 """Runs one backend server: `python -m testbed.backend --listen 127.0.0.1:9001 --protocol msgpack-rpc --log runs.jsonl`.
 
-SIGTERM drains it: it accepts nothing new, finishes what is in flight and exits.
+On SIGTERM the server drains: it rejects new requests, finishes those in flight and exits.
 """
 
 from __future__ import annotations
@@ -59,11 +59,13 @@
     parser.add_argument("--protocol", choices=(HTTP, MSGPACK_RPC), default=HTTP)
     parser.add_argument("--pod", type=int, default=1)
     parser.add_argument("--speed", choices=tuple(SPEED_RATIOS), default="std")
-    parser.add_argument("--slots", type=int, default=8, help="requests that run at once")
-    parser.add_argument("--queue", type=int, default=32, help="requests that may wait")
-    parser.add_argument("--work-ms", type=float, default=5.0, help="work of a request on a standard machine")
-    parser.add_argument("--cold", action="store_true", help="start cold")
-    parser.add_argument("--log", help="append each run to this file, a JSON object a line")
+    parser.add_argument("--slots", type=int, default=8, help="requests that run concurrently")
+    parser.add_argument("--queue", type=int, default=32, help="maximum number of waiting requests")
+    parser.add_argument(
+        "--work-ms", type=float, default=5.0, help="duration of a request on a standard machine"
+    )
+    parser.add_argument("--cold", action="store_true", help="start with reduced capacity and warm up")
+    parser.add_argument("--log", help="append each run to this file, one JSON object per line")
     asyncio.run(run(parser.parse_args()))
 
 
--- a/testbed/backend/server.py
+++ b/testbed/backend/server.py
@@ -1,4 +1,4 @@
-"""A backend server's sockets, in either protocol: a request starts when its last byte has arrived."""
+"""Network side of a backend server, for either protocol; a request starts once it has been received completely."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class BackendServer(TcpServer):
-    """Serves one backend; `kill` ends it as the death of its process does."""
+    """Serves one backend; `kill` emulates a crash of its process."""
 
     def __init__(
         self, backend: Backend, protocol: str = HTTP, pod: int = 1, machine_type: str = "std"
@@ -32,12 +32,12 @@
         self.protocol = protocol
         self.pod = pod
         self.machine_type = machine_type
-        self.started_ms = 0  # Unix time of its start for the registry, 0 for long ago
+        self.started_ms = 0  # start time reported to the registry, Unix ms; 0: long ago
         self.connections: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     def registry_entry(self, **changes: Any) -> dict[str, Any]:
-        """Return this server's entry in the registry, with some fields changed."""
+        """Return this server's registry entry, with the given fields overridden."""
         entry: dict[str, Any] = {
             "name": self.backend.name,
             "address": format_address(self.address),
@@ -52,11 +52,11 @@
         return entry | changes
 
     def is_listening(self) -> bool:
-        """Whether new connections are accepted."""
+        """Return whether new connections are accepted."""
         return self._server is not None and self._server.is_serving()
 
     def reset_connections(self) -> None:
-        """Reset all connections; the server goes on."""
+        """Reset all connections; the server keeps running."""
         for writer in list(self.connections):
             reset_connection(writer)
 
@@ -101,7 +101,7 @@
         self.backend.draining = True
 
     def kill(self) -> None:
-        """End at once: connections are reset, runs are cut off, new connections are refused."""
+        """Stop immediately: reset connections, cancel runs and refuse new connections."""
         self.stop()
         self.reset_connections()
         for task in list(self._tasks):
--- a/testbed/clients/__init__.py
+++ b/testbed/clients/__init__.py
@@ -1,4 +1,4 @@
-"""Clients of a sidecar, in either protocol: one call in, one final response out."""
+"""Clients of a sidecar for either protocol; each call returns one final response."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 from testbed.wire import HTTP, Address, pack, read_http
 
-_TIMEOUT_MARGIN_S = 1.0  # after its deadline a client waits so long before it takes the response for lost
+_TIMEOUT_MARGIN_S = 1.0  # wait after the deadline before the response counts as lost
 _READ_BYTES = 65536
 
 
 @dataclass(frozen=True, slots=True)
 class ClientCall:
-    """A request as a client wants it done."""
+    """A request that a client sends."""
 
     request_class: str
     request_id: str
     path: str = "/api/7f3a9c21e0b4d655"
     body: bytes = b""
-    deadline_s: float = 2.0  # from its start
+    deadline_s: float = 2.0  # from the start of the call
     tenant: str | None = None
     idempotency_key: str | None = None
     is_retry: bool = False
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """A final response; status 0 is none: the connection broke, or time ran out."""
+    """A final response; status 0 means no response: the connection broke or the call timed out."""
 
     status: int
     body: bytes = b""
@@ -45,7 +45,7 @@
 
 
 def outcome_of_status(status: int) -> str:
-    """Return what a response's status means to its client; 0 stands for no response."""
+    """Return the call outcome for a response status; 0 means no response."""
     if status == 200:
         return "served"
     if status in (429, 503):
@@ -54,7 +54,7 @@
 
 
 class HttpClient:
-    """One HTTP connection with one call at a time; it is opened again after it has ended."""
+    """One HTTP connection with one call at a time; reconnects after the connection has closed."""
 
     def __init__(self, target: Address) -> None:
         self._target = target
@@ -70,7 +70,7 @@
             return CallResult(0)
 
     async def _exchange_with_one_reconnect(self, call: ClientCall) -> CallResult:
-        """A sidecar may close a connection between calls; a call that crosses the close is sent again on a new one."""
+        """Retry once on a new connection: a sidecar may close an idle connection while a call is being sent."""
         if self._stream is not None:
             with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
                 return await self._exchange(*self._stream, call)
@@ -89,7 +89,7 @@
         return CallResult(response.status, response.body, float(retry_after) if retry_after else None)
 
     def close(self) -> None:
-        """Close the connection, if there is one."""
+        """Close the connection if it is open."""
         if self._stream is not None:
             self._stream[1].close()
             self._stream = None
@@ -117,7 +117,7 @@
 
 
 class RpcClient:
-    """One MessagePack-RPC connection with any number of calls at once; it is opened again after it has ended."""
+    """One MessagePack-RPC connection with concurrent calls; reconnects after the connection has closed."""
 
     def __init__(self, target: Address) -> None:
         self._target = target
@@ -165,7 +165,7 @@
                 pending.set_result(CallResult(0))
 
     def close(self) -> None:
-        """Close the connection, if there is one."""
+        """Close the connection if it is open."""
         if self._reader_task is not None:
             self._reader_task.cancel()
         if self._writer is not None:
@@ -193,5 +193,5 @@
 
 
 def new_client(protocol: str, target: Address) -> Client:
-    """Return a client that speaks this protocol; it connects at its first call."""
+    """Return a client for this protocol; it connects on its first call."""
     return HttpClient(target) if protocol == HTTP else RpcClient(target)
