--- a/testbed/zookeeper/__main__.py
+++ b/testbed/zookeeper/__main__.py
@@ -1,9 +1,9 @@
 """Runs an ensemble: `python -m testbed.zookeeper --members 3 --control 127.0.0.1:2190`.
 
-The control port takes a JSON array a line, a fault's name and its arguments, and answers `true` or an error:
+The control port accepts one JSON array per line, a fault name and its arguments, and replies `true` or an error:
 ["cut", 1], ["heal", 1], ["crash", 0], ["restart", 0], ["lose_leader", 2.0], ["outage"], ["restore"],
 ["run_clock", 5.0], ["expire", SESSION], ["expire_all"], ["slow_disk", 0.2], ["lag", 1, 0.5], ["hold", SESSION],
-["release", SESSION], ["stall", SESSION], ["resume", SESSION]; ["sessions"] lists them.
+["release", SESSION], ["stall", SESSION], ["resume", SESSION]; ["sessions"] lists the session ids.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class Control(TcpServer):
-    """The control port."""
+    """Server of the control port."""
 
     def __init__(self, ensemble: Ensemble) -> None:
         self._ensemble = ensemble
@@ -69,10 +69,10 @@
         elif name in _CONNECTION_FAULTS:
             connection = ensemble.connection_of(arguments[0])
             if connection is None:
-                raise LookupError("that session has no connection")
+                raise LookupError("the session has no connection")
             _CONNECTION_FAULTS[name](connection)
         else:
-            raise ValueError(f"no fault is called {name!r:.40}")
+            raise ValueError(f"unknown fault {name!r:.40}")
         return True
 
 
@@ -90,7 +90,7 @@
 
 
 def main() -> None:
-    """Run the ensemble that the command line describes."""
+    """Parse the command line and run the ensemble."""
     parser = argparse.ArgumentParser(prog="testbed.zookeeper", description=__doc__)
     parser.add_argument("--members", type=int, choices=(1, 3, 5), default=3)
     parser.add_argument("--seed", type=int, default=1)
--- a/testbed/zookeeper/connection.py
+++ b/testbed/zookeeper/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection to a member: the handshake, the order of what is sent, and faults of the connection."""
+"""A client's connection to a member: handshake, ordered sending, and connection faults."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Connection:
-    """A connection; what is sent keeps its order, also while a fault delays it."""
+    """A client connection; frames keep their order even while a fault delays them."""
 
     def __init__(self, ensemble: Ensemble, member: Member, writer: asyncio.StreamWriter) -> None:
         self.ensemble = ensemble
@@ -29,22 +29,22 @@
         self.session_id = 0
         self.identities: set[Identity] = {_ANYONE}
         self._writer = writer
-        self._flowing = asyncio.Event()  # cleared: stalled in both directions
+        self._flowing = asyncio.Event()  # cleared while stalled in both directions
         self._flowing.set()
         self._watches_held = False
-        self._delayed: list[bytes] | None = None  # frames behind a held watch event; None: nothing is held
+        self._delayed: list[bytes] | None = None  # frames delayed by a fault; None: no delay
 
     # -- Sending ---------------------------------------------------------------------------------------
 
     def send(self, frame: bytes) -> None:
-        """Send a frame, or delay it behind what is delayed already."""
+        """Send a frame, or queue it behind frames that are already delayed."""
         if self._delayed is not None:
             self._delayed.append(frame)
         elif not self._writer.is_closing():
             self._writer.write(frame)
 
     def send_watch_event(self, event: WatchEvent) -> None:
-        """Send a watch event; while watches are held it is delayed, with all that follows."""
+        """Send a watch event; while watches are held, delay the event and all later frames."""
         if self._watches_held and self._delayed is None:
             self._delayed = []
         self.send(jute.encode_watch_event(event.event_type, event.path))
@@ -57,17 +57,17 @@
             self._writer.close()
 
     def drop_after_replies(self) -> None:
-        """Close the connection, after the replies of this turn of the event loop."""
+        """Close the connection after the replies of the current event loop iteration."""
         asyncio.get_running_loop().call_soon(self.drop)
 
     # -- Faults ----------------------------------------------------------------------------------------
 
     def hold_watches(self) -> None:
-        """Delay watch events, and what follows one, until `release`."""
+        """Delay watch events, and all frames after the first one, until `release`."""
         self._watches_held = True
 
     def release(self) -> None:
-        """Send what is delayed, in its order; while stalled it stays delayed."""
+        """Send delayed frames in order; they stay delayed while the connection is stalled."""
         self._watches_held = False
         delayed, self._delayed = self._delayed or [], None
         if self._flowing.is_set():
@@ -77,7 +77,7 @@
             self._delayed = delayed
 
     def stall(self) -> None:
-        """Pass nothing in either direction; the connection stays open."""
+        """Block both directions; the connection stays open."""
         self._flowing.clear()
         if self._delayed is None:
             self._delayed = []
@@ -90,7 +90,7 @@
     # -- Receiving -------------------------------------------------------------------------------------
 
     async def serve(self, reader: asyncio.StreamReader) -> None:
-        """Answer requests until the connection ends."""
+        """Answer requests until the connection closes."""
         if not await self._handshake(await self._read_record(reader)):
             return
         while True:
@@ -107,11 +107,11 @@
     async def _read_record(self, reader: asyncio.StreamReader) -> RecordReader:
         size = struct.unpack("!i", await reader.readexactly(4))[0]
         if not 0 <= size <= jute.REQUEST_BYTES_MAX:
-            raise MalformedRecordError("a record is too long")
+            raise MalformedRecordError("invalid record length")
         return RecordReader(await reader.readexactly(size))
 
     async def _handshake(self, request: RecordReader) -> bool:
-        """Open or resume a session; return whether the connection goes on."""
+        """Open or resume a session; return whether the connection stays open."""
         ensemble, member = self.ensemble, self.member
         request.read_int()  # protocol version
         last_zxid, timeout_ms = request.read_long(), request.read_int()
@@ -140,7 +140,7 @@
         return True
 
     def _resumed(self, session_id: int, password: bytes | None) -> Session | None:
-        """A session that goes on at this connection; None where it has expired."""
+        """Return the session to resume on this connection; None if it has expired or the password is wrong."""
         session = self.ensemble.sessions.get(session_id)
         if session is None or session.password != password:
             return None
@@ -152,7 +152,7 @@
         timeout_s = min(max(timeout_s, _SESSION_TIMEOUT_MIN_S), _SESSION_TIMEOUT_MAX_S)
         if not self.member.leaderless:
             return await self.ensemble.open_session(self.member, timeout_s)
-        session_id = 1 << 62 | id(self) & 0xFFFFFF  # known to this member alone
+        session_id = 1 << 62 | id(self) & 0xFFFFFF  # local to this member
         now = self.ensemble.clock()
         session = Session(session_id, bytes(_PASSWORD_BYTES), timeout_s, now, read_only=True)
         self.ensemble.sessions[session_id] = session
@@ -166,7 +166,7 @@
         self.send(jute.encode_frame(record.finish()))
 
     async def _answer(self, request: RecordReader) -> bool:
-        """Answer one request; return whether the connection goes on."""
+        """Answer one request; return whether the connection stays open."""
         xid, operation = request.read_int(), request.read_int()
         self.ensemble.requests[operation] += 1
         assert self.session is not None
@@ -192,11 +192,11 @@
 
 
 def _no_change(builder: TransactionBuilder) -> None:
-    """The transaction of a closed session has no operations."""
+    """Add no operations, for the transaction that closes a session."""
 
 
 class MemberServer(TcpServer):
-    """Where one member listens for clients."""
+    """Accepts client connections for one member."""
 
     def __init__(self, ensemble: Ensemble, member: Member) -> None:
         self._ensemble = ensemble
--- a/testbed/zookeeper/ensemble.py
+++ b/testbed/zookeeper/ensemble.py
@@ -1,8 +1,8 @@
 """A ZooKeeper ensemble in one process: a leader, a quorum, sessions, watches, and faults on demand.
 
-Promise to each client, through all faults: its requests are answered in their order, a watch reports a change before a
-read can return it, its reads never return an older state than a former one, and a transaction is applied by all members
-connected to the leader or by none.
+Guarantees to each client under all faults: requests are answered in order, a watch reports a change before a read can
+return it, and reads never go back to an older state.  A transaction is applied by all members connected to the leader
+or by none.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
     from testbed.zookeeper.connection import Connection
 
 EXPIRY_CHECK_S = 0.05
-PARTITION_DETECTION_S = 0.2  # for so long a partitioned member goes on answering reads (syncLimit)
-_LOG_LENGTH_MAX = 100_000  # transactions; a member that is further behind gets a copy of the tree
-_ZXID_EPOCH_BITS = 32  # below the epoch: a counter
+PARTITION_DETECTION_S = 0.2  # a partitioned member still answers reads for this long (syncLimit)
+_LOG_LENGTH_MAX = 100_000  # transactions; a member further behind receives a copy of the tree
+_ZXID_EPOCH_BITS = 32  # bits below the epoch, which hold a counter
 
 
 class UnavailableError(Exception):
-    """A request that can't be executed now: its connection ends, and its client can't know whether it was."""
+    """A request that can't be executed now; its connection closes, so the client can't know if it was executed."""
 
 
 @dataclass(slots=True, eq=False)
 class Session:
-    """A client's session, as the leader knows it."""
+    """The leader's record of a client session."""
 
     session_id: int
     password: bytes
@@ -47,30 +47,30 @@
 
 
 class Ensemble:
-    """The members and what they agree on; faults are its methods."""
+    """The members and their shared state, with methods that inject faults."""
 
     def __init__(self, members: int = 3, seed: int = 1, election_s: float = 0.1) -> None:
-        """`seed`: of passwords; `election_s`: from the loss of a leader to the next."""
+        """`seed`: for session passwords; `election_s`: time from the loss of a leader to the next election."""
         self.members = [Member(number) for number in range(members)]
         self.leader: Member | None = self.members[-1]
         self.epoch = 1
         self.election_s = election_s
-        self.commit_delay_s = 0.0  # of each write, as by a slow disk
+        self.commit_delay_s = 0.0  # delay of each write, like a slow disk
         self.sessions: dict[int, Session] = {}
         self.requests: Counter[int] = Counter()  # by operation
         self.expired: list[int] = []  # session ids
-        self.rejected_handshakes = 0  # of clients that have read a newer state than the member has
+        self.rejected_handshakes = 0  # the client had already read a newer state than the member's
         self._log: deque[Transaction] = deque(maxlen=_LOG_LENGTH_MAX)
         self._random = random.Random(seed)
         self._session_numbers = itertools.count(1)
-        self._counter = 0  # of transactions in this epoch
+        self._counter = 0  # transactions in this epoch
         self._clock_rate, self._clock_since, self._clock_base = 1.0, 0.0, 0.0
         self._task: asyncio.Task[None] | None = None
 
     # -- Lifecycle -------------------------------------------------------------------------------------
 
     async def start(self, host: str = "127.0.0.1", ports: list[int] | None = None) -> None:
-        """Listen on the ports, in the members' order, or on free ones."""
+        """Listen on the given ports, in member order, or on free ports."""
         from testbed.zookeeper.connection import MemberServer
 
         for number, member in enumerate(self.members):
@@ -89,16 +89,16 @@
 
     @property
     def hosts(self) -> str:
-        """As clients are configured: host:port, with commas between."""
+        """The connect string for clients: comma-separated host:port pairs."""
         return ",".join(map(format_address, self.addresses))
 
     @property
     def addresses(self) -> tuple[tuple[str, int], ...]:
-        """Where the members listen."""
+        """The members' listening addresses."""
         return tuple(member.server.address for member in self.members if member.server is not None)
 
     def clock(self) -> float:
-        """The clock of session timeouts, s; it can run fast."""
+        """Return the time of the session timeout clock, s; the clock can run at another rate."""
         elapsed_s = asyncio.get_running_loop().time() - self._clock_since
         return self._clock_base + elapsed_s * self._clock_rate
 
@@ -108,17 +108,17 @@
         return [member for member in self.members if member.is_connected()]
 
     def has_quorum(self) -> bool:
-        """Whether a majority of members is connected."""
+        """Return whether a majority of members is connected."""
         return 2 * len(self._connected_members()) > len(self.members)
 
     def serves(self, member: Member) -> bool:
-        """Whether a member answers clients now."""
+        """Return whether a member currently answers clients."""
         if not member.running:
             return False
         return not member.leaderless or member.read_only
 
     def may_write(self, member: Member) -> bool:
-        """Whether a member can have a change committed now."""
+        """Return whether a member can currently get a change committed."""
         return member.is_connected() and self.leader is not None and self.has_quorum()
 
     # -- Writes ----------------------------------------------------------------------------------------
@@ -132,7 +132,7 @@
     ) -> TransactionBuilder:
         """Check and commit a change, and wait until the member has applied it.
 
-        Raise RequestError for a change that is refused, UnavailableError for one that can't be committed.
+        Raise RequestError if the change is refused, UnavailableError if it can't be committed.
         """
         if not self.may_write(member):
             raise UnavailableError
@@ -141,7 +141,7 @@
             if not self.may_write(member):
                 raise UnavailableError
         if requester.session_id not in self.sessions:
-            raise UnavailableError  # it expired meanwhile
+            raise UnavailableError  # expired in the meantime
         builder = self._new_transaction(requester)
         build(builder)
         transaction = self._commit(builder, closed_session)
@@ -161,18 +161,18 @@
         if closed_session:
             self.sessions.pop(closed_session, None)
         assert self.leader is not None
-        self.leader.apply(transaction)  # at once: the next change is checked against the leader's tree
+        self.leader.apply(transaction)  # without delay: the next change is checked against the leader's tree
         for member in self._connected_members():
             if member is not self.leader:
                 member.transaction_committed(transaction)
         return transaction
 
     def _catch_up(self, member: Member) -> None:
-        """Give a member the transactions that were committed without it."""
+        """Send a member the transactions that it missed."""
         if self._log and len(self._log) >= _LOG_LENGTH_MAX and member.tree.zxid < self._log[0].zxid:
             assert self.leader is not None
             member.tree = copy.deepcopy(self.leader.tree)
-            member.drop_clients()  # their watches would miss the changes between
+            member.drop_clients()  # their watches would miss the skipped changes
             return
         for transaction in [entry for entry in self._log if entry.zxid > member.tree.zxid]:
             member.transaction_committed(transaction)
@@ -180,7 +180,7 @@
     # -- Sessions --------------------------------------------------------------------------------------
 
     async def open_session(self, member: Member, timeout_s: float) -> Session:
-        """A new session; raise UnavailableError without a quorum."""
+        """Open a session; raise UnavailableError without a quorum."""
         if not self.may_write(member):
             raise UnavailableError
         if self.commit_delay_s > 0.0:
@@ -191,7 +191,7 @@
         return session
 
     def heartbeat(self, member: Member, session: Session) -> None:
-        """A client has sent something; only a member connected to the leader can report that."""
+        """Record client activity; only a member connected to the leader can report it."""
         if self.may_write(member):
             session.last_heartbeat_at = self.clock()
 
@@ -206,25 +206,25 @@
                     self.expire(session.session_id)
 
     def expire(self, session_id: int) -> None:
-        """End a session as the leader does after its timeout: its ephemeral znodes are deleted."""
+        """Expire a session as the leader does after its timeout; its ephemeral znodes are deleted."""
         if session_id in self.sessions and self.leader is not None:
             self.expired.append(session_id)
             self._commit(self._new_transaction(Requester(session_id, frozenset())), session_id)
 
     def expire_all(self) -> None:
-        """End all sessions."""
+        """Expire all sessions."""
         for session_id in list(self.sessions):
             self.expire(session_id)
 
     def connection_of(self, session_id: int) -> Connection | None:
-        """The connection that a session has now."""
+        """Return a session's current connection."""
         session = self.sessions.get(session_id)
         return session.connection if session is not None else None
 
     # -- Faults ----------------------------------------------------------------------------------------
 
     def cut(self, number: int) -> None:
-        """Partition a member from the others; its clients lose their connections once it has detected that."""
+        """Partition a member from the others; it drops its clients once it has detected the partition."""
         member = self.members[number]
         member.partitioned = True
         loop = asyncio.get_running_loop()
@@ -239,7 +239,7 @@
         self._rejoin(member)
 
     def crash(self, number: int) -> None:
-        """Stop a member's process; what it has applied is on its disk."""
+        """Crash a member's process; transactions that it has applied persist on its disk."""
         member = self.members[number]
         self._stop_member(member)
         if member is self.leader or not self.has_quorum():
@@ -248,17 +248,17 @@
     @staticmethod
     def _stop_member(member: Member) -> None:
         member.running = False
-        member.leaderless = True  # until it has rejoined after a restart
+        member.leaderless = True  # until it rejoins after a restart
         member.drop_clients()
 
     def restart(self, number: int) -> None:
-        """Start a member's process again."""
+        """Restart a member's process."""
         member = self.members[number]
         member.running = True
         self._rejoin(member)
 
     def lose_leader(self, election_s: float | None = None) -> None:
-        """Depose the leader: all members drop their clients until another is elected."""
+        """Remove the leader: all members drop their clients until another is elected."""
         self.leader = None
         for member in self._connected_members():
             self._detect_lost_leader(member)
@@ -271,7 +271,7 @@
         self.leader = None
 
     def restore(self) -> None:
-        """Start all members again, without partitions."""
+        """Restart all members and heal all partitions."""
         for member in self.members:
             member.running = True
             member.partitioned = False
@@ -279,7 +279,7 @@
             self._rejoin(member)
 
     def run_clock(self, rate: float) -> None:
-        """Let the clock of session timeouts run at another rate; 1: as it should."""
+        """Set the rate of the session timeout clock; 1 is real time."""
         now = self.clock()
         self._clock_rate, self._clock_base = rate, now
         self._clock_since = asyncio.get_running_loop().time()
@@ -308,10 +308,10 @@
             if member is not self.leader:
                 self._catch_up(member)
         for session in self.sessions.values():
-            session.last_heartbeat_at = self.clock()  # a new leader counts timeouts from its election
+            session.last_heartbeat_at = self.clock()  # a new leader restarts all session timeouts
 
     def _rejoin(self, member: Member) -> None:
-        """Connect a member to the leader, or elect one."""
+        """Connect a member to the leader; without a leader, schedule an election."""
         if not self.has_quorum():
             return
         if self.leader is None:
@@ -321,6 +321,6 @@
         self._catch_up(member)
 
     def snapshot(self) -> Tree:
-        """A copy of the committed tree."""
+        """Return a copy of the committed tree."""
         member = self.leader if self.leader is not None else self.members[0]
         return copy.deepcopy(member.tree)
--- a/testbed/zookeeper/member.py
+++ b/testbed/zookeeper/member.py
@@ -1,4 +1,4 @@
-"""One member of the ensemble: its copy of the tree, its clients' connections and their watches."""
+"""One ensemble member: its copy of the tree, its client connections and their watches."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class _Waiter:
-    """Waits until a transaction is applied here."""
+    """A pending wait until this member has applied a transaction."""
 
     zxid: int
     applied: asyncio.Future[None]
@@ -25,14 +25,14 @@
 
 @dataclass(eq=False)
 class Member:
-    """One member."""
+    """State of one ensemble member."""
 
     number: int
     tree: Tree = field(default_factory=Tree)
     running: bool = True
     partitioned: bool = False  # from the other members
-    leaderless: bool = False  # it knows of no leader: it serves no client
-    read_only: bool = False  # without a leader it goes on serving clients that asked for that
+    leaderless: bool = False  # has no known leader and serves no clients, unless `read_only`
+    read_only: bool = False  # without a leader it still serves clients that accept read-only sessions
     apply_delay_s: float = 0.0  # after the leader's commit
     connections: set[Connection] = field(default_factory=set)
     data_watches: WatchTable = field(default_factory=dict)
@@ -42,13 +42,13 @@
     _waiters: list[_Waiter] = field(default_factory=list)
 
     def is_connected(self) -> bool:
-        """Whether it can exchange messages with the other members."""
+        """Return whether the member can exchange messages with the others."""
         return self.running and not self.partitioned
 
     # -- Transactions ----------------------------------------------------------------------------------
 
     def transaction_committed(self, transaction: Transaction) -> None:
-        """Apply a committed transaction after those before it, with the member's delay."""
+        """Apply a committed transaction in order, after the member's delay."""
         if self.apply_delay_s > 0.0 or self._delayed:
             self._delayed.append(transaction)
             loop = asyncio.get_running_loop()
@@ -57,7 +57,7 @@
             self.apply(transaction)
 
     def apply_all_delayed(self) -> None:
-        """Apply what is delayed, at once."""
+        """Apply all delayed transactions immediately."""
         while self._delayed:
             self.apply(self._delayed.pop(0))
 
@@ -66,7 +66,7 @@
             self.apply(self._delayed.pop(0))
 
     def apply(self, transaction: Transaction) -> None:
-        """Apply a transaction now, report its events to watches, and end connections of the session it closes."""
+        """Apply a transaction, trigger its watches, and close connections of the session it closes."""
         if transaction.zxid <= self.tree.zxid:
             return
         for event in self.tree.apply(transaction):
@@ -88,7 +88,7 @@
             await applied
 
     def _report(self, event: WatchEvent) -> None:
-        """Send an event to the connections that watch its path; a watch reports once."""
+        """Send an event to the connections that watch its path; a watch triggers once."""
         is_children_event = event.event_type == jute.CHILDREN_CHANGED
         tables = [self.child_watches if is_children_event else self.data_watches]
         if event.event_type == jute.DELETED:
@@ -102,7 +102,7 @@
     # -- Connections -----------------------------------------------------------------------------------
 
     def connection_ended(self, connection: Connection) -> None:
-        """Forget a connection and its watches."""
+        """Remove a connection and its watches."""
         self.connections.discard(connection)
         for table in (self.data_watches, self.child_watches):
             for path in [path for path, watching in table.items() if connection in watching]:
--- a/testbed/zookeeper/request_handlers.py
+++ b/testbed/zookeeper/request_handlers.py
@@ -1,7 +1,7 @@
-"""What a member does for each operation: reads from its own tree, changes through the leader.
+"""Request handlers of a member: reads use its own tree, changes go through the leader.
 
-A handler returns the body of the reply, or raises RequestError with the code to reply, UnavailableError where the
-connection is to end, or MalformedRecordError.
+A handler returns the body of the reply.  It raises RequestError with the error code to reply, UnavailableError if the
+connection must be closed, or MalformedRecordError.
 """
 
 from __future__ import annotations
@@ -79,7 +79,7 @@
 
 
 async def _sync(connection: Connection, request: RecordReader) -> bytes:
-    """Wait until this member has applied all that the leader has committed."""
+    """Wait until this member has applied all transactions that the leader has committed."""
     path = request.read_string()
     ensemble, member = connection.ensemble, connection.member
     if not ensemble.may_write(member):
@@ -90,9 +90,9 @@
 
 
 async def _set_watches(connection: Connection, request: RecordReader) -> bytes:
-    """Set the watches that a client had at another member; changes since its last zxid are reported at once."""
+    """Restore watches after a reconnect; changes since the client's last zxid are reported immediately."""
     last_zxid, member = request.read_long(), connection.member
-    for path in request.read_strings():  # of data
+    for path in request.read_strings():  # data watches
         node = member.tree.nodes.get(path)
         if node is None:
             connection.send_watch_event(WatchEvent(jute.DELETED, path))
@@ -100,12 +100,12 @@
             connection.send_watch_event(WatchEvent(jute.DATA_CHANGED, path))
         else:
             _set_watch(connection, member.data_watches, path)
-    for path in request.read_strings():  # of znodes that did not exist
+    for path in request.read_strings():  # watches on znodes that did not exist
         if path in member.tree.nodes:
             connection.send_watch_event(WatchEvent(jute.CREATED, path))
         else:
             _set_watch(connection, member.data_watches, path)
-    for path in request.read_strings():  # of children
+    for path in request.read_strings():  # child watches
         node = member.tree.nodes.get(path)
         if node is None:
             connection.send_watch_event(WatchEvent(jute.DELETED, path))
@@ -129,7 +129,7 @@
 
 
 async def commit(connection: Connection, build: Operation, closed_session: int = 0) -> TransactionBuilder:
-    """Have a client's change committed; see Ensemble.submit."""
+    """Submit a client's change and wait for its commit; see Ensemble.submit."""
     requester = Requester(connection.session_id, frozenset(connection.identities))
     return await connection.ensemble.submit(connection.member, requester, build, closed_session)
 
@@ -199,7 +199,7 @@
 
 
 async def _multi(connection: Connection, request: RecordReader) -> bytes:
-    """Commit all operations or none; a refusal names the code of the operation that failed."""
+    """Commit all operations or none; an error reply includes the code of the operation that failed."""
     operations = _read_multi(request)
     current = -1
 
--- a/testbed/zookeeper/transactions.py
+++ b/testbed/zookeeper/transactions.py
@@ -1,4 +1,4 @@
-"""The leader's checks: operations of a client become one transaction, or a RequestError; no I/O."""
+"""The leader's validation, without I/O: turns a client's operations into one transaction or raises RequestError."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Requester:
-    """Who requests a change."""
+    """The session that requests a change, and its authenticated identities."""
 
     session_id: int
     identities: frozenset[Identity]
@@ -32,20 +32,20 @@
 
 @dataclass(frozen=True, slots=True)
 class OperationResult:
-    """One operation of a transaction, with the path that a sequential create resulted in."""
+    """The result of one operation; for a sequential create, the path includes the sequence number."""
 
     operation: int
     path: str
 
 
 def digest_identity(user_and_password: str) -> str:
-    """The id of the digest scheme: user:base64(sha1(user:password))."""
+    """Return the id of the digest scheme: user:base64(sha1(user:password))."""
     hashed = hashlib.sha1(user_and_password.encode()).digest()
     return f"{user_and_password.partition(':')[0]}:{base64.b64encode(hashed).decode()}"
 
 
 def check_path(path: str) -> str:
-    """Return a valid path; raise RequestError for another."""
+    """Return the path if it is valid; otherwise raise RequestError."""
     parts = path.split("/")
     valid = path == "/" or (path.startswith("/") and all(part not in ("", ".", "..") for part in parts[1:]))
     if not valid or "\0" in path:
@@ -54,7 +54,7 @@
 
 
 def resolve_acl(acl: tuple[Acl, ...], requester: Requester) -> tuple[Acl, ...]:
-    """Replace entries of scheme `auth`, which stand for all identities that the requester has authenticated."""
+    """Expand entries of scheme `auth` to all authenticated identities of the requester."""
     resolved: list[Acl] = []
     for entry in acl:
         if entry.scheme == "auth":
@@ -70,7 +70,7 @@
 
 
 class TransactionBuilder:
-    """Checks operations in order; each sees what those before it in the same transaction have changed."""
+    """Validates operations in order; each sees the changes of earlier operations in the transaction."""
 
     def __init__(self, tree: Tree, zxid: int, time_ms: int, requester: Requester) -> None:
         self._tree = tree
@@ -79,16 +79,16 @@
         self._time_ms = time_ms
         self.changes: list[Change] = []
         self.results: list[OperationResult] = []
-        # What this transaction changes, by path.
+        # Uncommitted changes of this transaction, by path.
         self._nodes: dict[str, NodeCreated | None] = {}  # None: deleted
         self._child_count_changes: dict[str, int] = {}
-        self._next_sequences: dict[str, int] = {}  # of sequential children
-        self._version_changes: dict[str, int] = {}  # how often data was replaced
+        self._next_sequences: dict[str, int] = {}  # numbers for sequential children
+        self._version_changes: dict[str, int] = {}  # number of data replacements
 
     # -- Operations ------------------------------------------------------------------------------------
 
     def create(self, path: str, data: bytes, acl: tuple[Acl, ...], flags: int) -> None:
-        """Create a znode; a sequential one gets the parent's next number appended to its path."""
+        """Create a znode; the parent's next sequence number is appended to the path of a sequential znode."""
         if path == "/":
             raise RequestError(jute.NODE_EXISTS)
         parent = parent_of(check_path(path + "0" if flags & jute.SEQUENTIAL else path))
@@ -136,12 +136,12 @@
         self.results.append(OperationResult(jute.SET_ACL, path))
 
     def check(self, path: str, version: int) -> None:
-        """Refuse the transaction unless a znode exists at this version."""
+        """Reject the transaction unless a znode exists at this version."""
         self._check_node(path, version, jute.READ_PERMISSION)
         self.results.append(OperationResult(jute.CHECK, path))
 
     def finish(self, closed_session: int = 0) -> Transaction:
-        """The transaction of all operations so far."""
+        """Return the transaction with all operations so far."""
         return Transaction(self._zxid, self._time_ms, tuple(self.changes), closed_session)
 
     # -- Checks ----------------------------------------------------------------------------------------
@@ -156,7 +156,7 @@
             raise RequestError(jute.NO_NODE)
 
     def _check_permission(self, path: str, permission: int) -> None:
-        if path not in self._nodes:  # a znode that this transaction creates belongs to its requester
+        if path not in self._nodes:  # the requester has all permissions on znodes that it creates here
             self._tree.check_permission(path, permission, set(self._requester.identities))
 
     @staticmethod
@@ -189,6 +189,6 @@
         self._child_count_changes[parent] = self._child_count_changes.get(parent, 0) + count
 
     def _next_sequence(self, parent: str) -> int:
-        """The number of the next sequential child: the parent's cversion."""
+        """Return the number of the next sequential child, which is the parent's cversion."""
         node = self._tree.nodes.get(parent)
         return self._next_sequences.get(parent, node.stat.cversion if node is not None else 0)
--- a/testbed/zookeeper/tree.py
+++ b/testbed/zookeeper/tree.py
@@ -1,7 +1,7 @@
-"""The tree of znodes that every member has: reads, and committed transactions applied; no I/O.
+"""A member's znode tree, without I/O: reads, and the application of committed transactions.
 
-The leader checks operations and makes a transaction of them (transactions.py).  Every member applies transactions in
-the order of their zxid, which gives all members the same tree, and each the same watch events.
+The leader validates operations and builds a transaction from them (transactions.py).  Every member applies transactions
+in zxid order, so all members have the same tree and the same watch events.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class RequestError(Exception):
-    """An operation that is refused, with KeeperException's code."""
+    """A refused operation, with an error code of KeeperException."""
 
     def __init__(self, code: int) -> None:
         super().__init__(str(code))
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class Znode:
-    """One znode of one member."""
+    """One znode in a member's tree."""
 
     data: bytes
     acl: tuple[Acl, ...]
@@ -32,12 +32,12 @@
     children: set[str] = field(default_factory=set)  # names
 
 
-# The changes of a transaction, which are checked already: applying them can't fail.
+# The changes of a transaction.  The leader has validated them, so applying them can't fail.
 
 
 @dataclass(frozen=True, slots=True)
 class NodeCreated:
-    """A new znode; `owner` is the session of an ephemeral one, else 0."""
+    """A znode is created; `owner` is the session id for an ephemeral znode, otherwise 0."""
 
     path: str
     data: bytes
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DataReplaced:
-    """A znode has other data."""
+    """The data of a znode is replaced."""
 
     path: str
     data: bytes
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AclReplaced:
-    """A znode has another access control list."""
+    """The access control list of a znode is replaced."""
 
     path: str
     acl: tuple[Acl, ...]
@@ -73,29 +73,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """Changes that are applied together."""
+    """Changes that are applied atomically."""
 
     zxid: int
     time_ms: int
     changes: tuple[Change, ...]
-    closed_session: int = 0  # whose ephemeral znodes are deleted after the changes; 0: none
+    closed_session: int = 0  # session whose ephemeral znodes are deleted after the changes; 0: none
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEvent:
-    """What watches on a path report; `event_type` is one of jute's."""
+    """The event that watches on a path report; `event_type` is a constant of jute."""
 
     event_type: int
     path: str
 
 
 def parent_of(path: str) -> str:
-    """The path of a znode's parent."""
+    """Return the path of a znode's parent."""
     return path.rpartition("/")[0] or "/"
 
 
 class Tree:
-    """One member's copy."""
+    """One member's copy of the znode tree."""
 
     def __init__(self) -> None:
         self.nodes: dict[str, Znode] = {"/": Znode(b"", jute.OPEN_ACL, Stat())}
@@ -105,30 +105,30 @@
     # -- Reads -----------------------------------------------------------------------------------------
 
     def node(self, path: str) -> Znode:
-        """A znode; raise RequestError where it does not exist."""
+        """Return a znode; raise RequestError if it does not exist."""
         try:
             return self.nodes[path]
         except KeyError:
             raise RequestError(jute.NO_NODE) from None
 
     def stat(self, path: str) -> Stat:
-        """A znode's metadata; raise RequestError where it does not exist."""
+        """Return a znode's metadata; raise RequestError if it does not exist."""
         node = self.node(path)
         node.stat.data_length, node.stat.child_count = len(node.data), len(node.children)
         return node.stat
 
     def check_permission(self, path: str, permission: int, identities: set[Identity]) -> None:
-        """Raise RequestError unless one of a client's identities has this permission at a znode."""
+        """Raise RequestError unless one of the client's identities has this permission on a znode."""
         for entry in self.node(path).acl:
-            is_granted_to = entry.scheme == "world" or (entry.scheme, entry.identity) in identities
-            if entry.permissions & permission and is_granted_to:
+            applies_to_client = entry.scheme == "world" or (entry.scheme, entry.identity) in identities
+            if entry.permissions & permission and applies_to_client:
                 return
         raise RequestError(jute.NO_AUTH)
 
     # -- Transactions ----------------------------------------------------------------------------------
 
     def apply(self, transaction: Transaction) -> list[WatchEvent]:
-        """Apply a transaction; return the events that it causes, in order."""
+        """Apply a transaction; return its watch events in order."""
         events: list[WatchEvent] = []
         for change in transaction.changes:
             events += self._apply_change(transaction, change)
