--- a/testbed/demo/__init__.py
+++ b/testbed/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demonstration: one sidecar, emulated backends of both protocols, and clients of both, while backends fail."""
+"""The demonstration: one sidecar with emulated backends and clients of both protocols, while backends fail."""
--- a/testbed/demo/__main__.py
+++ b/testbed/demo/__main__.py
@@ -1,8 +1,8 @@
 """`make demo`: calls through one sidecar while a backend dies and another drains.
 
-Six backends of three speeds, three in a pod that speaks HTTP and three in one that speaks MessagePack-RPC, and clients
-of both protocols.  After a third of the time one backend dies, later it comes back cold; at half time another drains.
-The table at the end is made of what clients got and of the backends' own logs.
+Six backends run at three speeds: three in an HTTP pod and three in a MessagePack-RPC pod.  Clients use both protocols.
+After a third of the time one backend dies; it restarts cold later.  At half time another backend drains.  The final
+table combines the outcomes at the clients with the backends' run logs.
 """
 
 from __future__ import annotations
@@ -21,54 +21,54 @@
 
 OUTCOMES = ("served", "refused", "failed", "lost")
 COLUMNS = (*OUTCOMES, "resent", "run twice")
-IN_FLIGHT_AT_DEATH = 3  # the dying backend holds so many requests, to show what becomes of them
+IN_FLIGHT_AT_DEATH = 3  # requests in flight at the killed backend, to show their outcome
 IN_FLIGHT_POLL_S = 0.002
 IN_FLIGHT_POLLS_MAX = 1000
 WARMUP_S = 5.0
-FIRST_LIST_S = 1.0  # until the ensemble's first list arrives: no backend is known before
+FIRST_LIST_S = 1.0  # wait for the first list from the ensemble; no backend is known before
 
 
 async def cause_failures(fleet: DemoFleet, seconds: float) -> None:
-    """Kill one backend and start it again cold; drain another."""
+    """Kill one backend and restart it cold; drain another."""
     await asyncio.sleep(seconds / 3)
     dying = fleet.servers["fast-2"].backend
     for _ in range(IN_FLIGHT_POLLS_MAX):
         if dying.in_flight >= IN_FLIGHT_AT_DEATH:
             break
         await asyncio.sleep(IN_FLIGHT_POLL_S)
-    print_event(f"fast-2 (msgpack-rpc) dies under {dying.in_flight} calls")
+    print_event(f"fast-2 (msgpack-rpc) is killed with {dying.in_flight} calls in flight")
     fleet.kill_backend("fast-2")
     await asyncio.sleep(seconds / 6)
-    print_event("slow-1 (http) says that it leaves")
+    print_event("slow-1 (http) starts draining")
     fleet.drain_backend("slow-1")
     await asyncio.sleep(seconds / 6)
-    print_event("fast-2 is back, cold")
+    print_event("fast-2 restarts cold")
     await fleet.start_backend("fast-2", MSGPACK_RPC, 2, "fast", warmup_s=WARMUP_S)
 
 
 def print_event(text: str) -> None:
-    """Print what happens, between the lines of progress."""
+    """Print an event between the progress lines."""
     print(f"  {text}", flush=True)
 
 
 async def print_progress(clients: DemoClients, fleet: DemoFleet) -> None:
-    """Print the outcomes of each second until cancelled."""
-    before: Counter[str] = Counter()
+    """Print each second's outcomes until cancelled."""
+    previous_totals: Counter[str] = Counter()
     second = 0
     while True:
         second += 1
         await asyncio.sleep(1.0)
-        now: Counter[str] = Counter()
+        totals: Counter[str] = Counter()
         for (_, _, outcome), count in clients.outcomes.items():
-            now[outcome] += count
-        new = now - before
-        counts = ", ".join(f"{new[outcome]} {outcome}" for outcome in OUTCOMES if new[outcome])
+            totals[outcome] += count
+        increments = totals - previous_totals
+        counts = ", ".join(f"{increments[outcome]} {outcome}" for outcome in OUTCOMES if increments[outcome])
         print(f"{second:>3} s: {counts}; {len(fleet.log.runs)} runs so far", flush=True)
-        before = now
+        previous_totals = totals
 
 
 def format_table(clients: DemoClients, fleet: DemoFleet) -> list[str]:
-    """Return the table by class and clients' protocol; `resent` and `run twice` are from the backends' logs."""
+    """Return the table by class and client protocol; `resent` and `run twice` come from the backends' logs."""
     retries: Counter[tuple[str, str]] = Counter()
     for request_id, count in fleet.log.arrived.items():
         retries[clients.protocol_and_class[request_id]] += count - 1
--- a/testbed/demo/clients.py
+++ b/testbed/demo/clients.py
@@ -1,4 +1,4 @@
-"""The demonstration's clients: calls of both protocols at a steady rate, with their outcomes counted."""
+"""The demonstration's clients: calls over both protocols at a constant rate, with counted outcomes."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from testbed.wire import HTTP, MSGPACK_RPC, Address
 
 REQUEST_CLASSES, CLASS_WEIGHTS = ("check", "amend", "lodge"), (6, 1, 3)
-RATE = 700  # calls a second, of both protocols together
+RATE = 700  # calls per second, both protocols together
 DEADLINE_S = 2.0
 RPC_CONNECTIONS = 2  # shared by all MessagePack-RPC clients
-HTTP_CONNECTIONS = 64  # open at first
+HTTP_CONNECTIONS = 64  # initial connections; more are opened on demand
 
 
 class DemoClients:
-    """Calls of both protocols, by turns."""
+    """Starts calls that alternate between the protocols."""
 
     def __init__(self, target: Address, seed: int) -> None:
         self._random = random.Random(seed)
@@ -33,7 +33,7 @@
         self.count = 0
 
     async def run(self, seconds: float) -> None:
-        """Start calls at the rate for so long, then wait for the last ones."""
+        """Start calls at the configured rate for a duration, then wait until all have completed."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         while loop.time() < started_at + seconds:
--- a/testbed/demo/fleet.py
+++ b/testbed/demo/fleet.py
@@ -1,4 +1,4 @@
-"""The demonstration's backends, what lists them, and the sidecar's process."""
+"""The demonstration's backends, their discovery service, and the sidecar's process."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 EXAMPLE_DEPLOYMENT = ROOT / "deploy" / "example.json"
 OPERATOR_FILE = ROOT / "deploy" / "operator.toml"
 PROTOCOLS = (HTTP, MSGPACK_RPC)
-REGISTRATION_PATH = "/lodge/nodes"  # with --membership zookeeper
-SESSION_S = 1.5  # timeout of the backends' sessions
-SLOTS = 2  # of each backend: the load is some seven tenths of the capacity of all six
+REGISTRATION_PATH = "/lodge/nodes"  # znode path, used with --membership zookeeper
+SESSION_S = 1.5  # session timeout of the backends
+SLOTS = 2  # per backend; the load is about 70% of the total capacity of all six
 REJECTS_AFTER_DRAIN_S = 0.5
 START_TIMEOUT_S = 20.0
 START_POLL_S = 0.05
@@ -40,7 +40,7 @@
 
 
 class DemoFleet:
-    """Backends of three speeds for each protocol, and the registry or the ensemble that lists them."""
+    """Backends of three speeds for each protocol, and the registry or ensemble that lists them."""
 
     def __init__(self, discovery: str) -> None:
         """`discovery`: `registry` or `zookeeper`."""
@@ -64,7 +64,7 @@
     async def start_backend(
         self, name: str, protocol: str, pod: int, speed: str, warmup_s: float = 0.0
     ) -> None:
-        """Start and register a backend; `warmup_s`: from a cold start to full capacity, 0 if it is warm."""
+        """Start and register a backend; `warmup_s`: time from a cold start to full capacity, 0 for a warm start."""
         backend = Backend(
             name,
             self.log,
@@ -102,13 +102,13 @@
         registrar.start()
 
     def kill_backend(self, name: str) -> None:
-        """Kill a backend's process: its connections are reset, and its session ends when it times out."""
+        """Emulate a crash of a backend: its connections are reset, and its session expires after the timeout."""
         self.servers[name].kill()
         if name in self._registrars:
             self._registrars[name].crash()
 
     def drain_backend(self, name: str) -> None:
-        """Announce a backend's drain; it rejects new requests half a second later."""
+        """Announce that a backend drains; it starts to reject new requests half a second later."""
         server = self.servers[name]
         if name in self._registrars:
             self._draining = asyncio.get_running_loop().create_task(self._registrars[name].drain())
@@ -117,7 +117,7 @@
         asyncio.get_running_loop().call_later(REJECTS_AFTER_DRAIN_S, server.start_draining)
 
     def write_operator_file(self, folder: Path) -> Path:
-        """Write the deployed operator file, with the ensemble if there is one, and return its path."""
+        """Write the deployed operator file, extended by the ensemble if one runs, and return its path."""
         path = folder / "operator.toml"
         text = OPERATOR_FILE.read_text(encoding="utf-8")
         if self.ensemble is not None:
@@ -130,7 +130,7 @@
         return path
 
     def stop(self) -> None:
-        """End all backends and discovery."""
+        """Stop all backends and discovery."""
         for name in self.servers:
             self.kill_backend(name)
         self.registry.stop()
@@ -140,7 +140,7 @@
 
 @contextlib.asynccontextmanager
 async def running_sidecar(fleet: DemoFleet, folder: Path) -> AsyncIterator[Address]:
-    """Run the program with the example deployment, adapted to the fleet; its log goes to a file in `folder`."""
+    """Run a sidecar with the example deployment, adapted to the fleet; it logs to a file in `folder`."""
     (listen,) = free_addresses(private_loopback_host(), 1)
     deployment: dict[str, Any] = json.loads(EXAMPLE_DEPLOYMENT.read_text(encoding="utf-8"))
     deployment |= {
