--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -16,20 +16,20 @@
 @pytest.mark.parametrize(
     ("changes", "message"),
     [
-        ({"listen": 7}, "listen: an address is needed"),
+        ({"listen": 7}, "listen: expected an address"),
         ({"listen": "nowhere"}, "listen: expected host:port, got 'nowhere'"),
         ({"discovery": "127.0.0.1:0"}, "discovery: expected host:port"),
         ({"operator": ""}, "operator: expected host:port"),
-        ({"seed": 7}, "seed: hex digits"),
-        ({"seed": "xyz"}, "seed: hex digits"),
-        ({"limits": {"sockets": 0}}, "limits.sockets: a whole number"),
-        ({"limits": {"sockets": True}}, "limits.sockets: a whole number"),
-        ({"peer_listen": "127.0.0.1:9", "peers": 7}, "peers: a list of addresses"),
+        ({"seed": 7}, "seed: expected a string of hex digits"),
+        ({"seed": "xyz"}, "seed: expected a string of hex digits"),
+        ({"limits": {"sockets": 0}}, "limits.sockets: expected a positive integer"),
+        ({"limits": {"sockets": True}}, "limits.sockets: expected a positive integer"),
+        ({"peer_listen": "127.0.0.1:9", "peers": 7}, "peers: expected a list of addresses"),
         ({"peer_listen": "127.0.0.1:9", "peers": ["127.0.0.1:9", "x"]}, r"peers\[1\]: expected host:port"),
-        ({"peer_listen": "127.0.0.1:9", "peers_all": []}, "peers_all: an address is needed"),
+        ({"peer_listen": "127.0.0.1:9", "peers_all": []}, "peers_all: expected an address"),
     ],
 )
-def test_an_invalid_field_is_named(changes: dict[str, Any], message: str, tmp_path: Path) -> None:
+def test_an_error_names_the_invalid_field(changes: dict[str, Any], message: str, tmp_path: Path) -> None:
     values = json.loads((ROOT / "deploy" / "example.json").read_text(encoding="utf-8"))
     path = tmp_path / "config.json"
     path.write_text(json.dumps(values | changes), encoding="utf-8")
@@ -37,10 +37,10 @@
         read_config({"RELAY_CONFIG": str(path)})
 
 
-def test_a_missing_file_name_and_a_file_that_is_no_object_are_refused(tmp_path: Path) -> None:
+def test_a_missing_file_path_and_a_file_without_an_object_are_rejected(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text("[]", encoding="utf-8")
-    with pytest.raises(ValueError, match="RELAY_CONFIG names no file"):
+    with pytest.raises(ValueError, match="RELAY_CONFIG: missing file path"):
         read_config({})
-    with pytest.raises(ValueError, match="an object is needed"):
+    with pytest.raises(ValueError, match="expected a JSON object"):
         read_config({"RELAY_CONFIG": str(path)})
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -131,7 +131,5 @@
 def test_an_invalid_line_limit_is_reported(lines_per_second: object) -> None:
     from topazbank.operator_config import operator_config_from
 
-    with pytest.raises(
-        ValueError, match=r"trace.lines_per_second: a whole number from 0 to 100000 is wanted"
-    ):
+    with pytest.raises(ValueError, match=r"trace.lines_per_second: expected an integer from 0 to 100000"):
         operator_config_from({"trace": {"lines_per_second": lines_per_second}})
--- a/topazbank/config.py
+++ b/topazbank/config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration of a sidecar: environment variables and the JSON file that RELAY_CONFIG names."""
+"""The platform's configuration of a sidecar: environment variables and the JSON file at the path in RELAY_CONFIG."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from topazbank.operator_config import OperatorConfig
 from topazbank.platform_names import settings_from_wire
 
-# What reading a configuration may raise; the JSON parser raises RecursionError for deeply nested input.
+# Errors that reading a configuration may raise; the JSON parser raises RecursionError for deeply nested input.
 CONFIG_ERRORS = (OSError, ValueError, RecursionError)
 DESCRIPTORS_MAX_DEFAULT = 1024
 _SEED_BASE = 16
 
 
 def read_config(environ: Mapping[str, str]) -> SidecarConfig:
-    """Read the environment and the file that it names; raise ValueError naming the field, or OSError."""
+    """Read the environment and the file at RELAY_CONFIG; raise ValueError naming the field, or OSError."""
     values = _read_file(environ)
     cached_list = values.get("known")
     return SidecarConfig(
@@ -39,20 +39,23 @@
 
 
 def check_cluster_config(config: SidecarConfig, operator: OperatorConfig) -> None:
-    """Check that cluster membership, if enabled, has what it needs of both files; raise ConfigError."""
+    """Validate the settings in both files that cluster membership needs, if enabled; raise ConfigError."""
     cluster = operator.cluster
     if not cluster.enabled:
         return
     if config.gossip is None:
-        raise ConfigError("tier.on", "the configuration names no peer_listen, the address for other sidecars")
+        raise ConfigError(
+            "tier.on", "missing peer_listen in the configuration, the address for other sidecars"
+        )
     if not config.settings.limits.gossip:
         raise ConfigError("tier.on", "the settings do not allow messages between sidecars (bounds.mayTell)")
     if not cluster.name and not config.gossip.members:
         raise ConfigError(
-            "tier.name", "wanted where the configuration names no peers, whose numbers are names"
+            "tier.name",
+            "missing; expected a name, or peers in the configuration, whose indexes are the names",
         )
     if not cluster.name:
-        _check_lease_servers(operator, {str(number) for number in range(len(config.gossip.members))})
+        _check_lease_servers(operator, {str(index) for index in range(len(config.gossip.members))})
 
 
 def _check_lease_servers(operator: OperatorConfig, member_names: set[str]) -> None:
@@ -61,17 +64,17 @@
         for server in binding.quota.lease_servers:
             if server not in member_names:
                 field = f"budgets.{binding.quota.name}.keepers"
-                raise ConfigError(field, f"{server!r:.40} is no number in peers")
+                raise ConfigError(field, f"expected an index in peers, not {server!r:.40}")
 
 
 def _read_file(environ: Mapping[str, str]) -> dict[str, Any]:
     path = environ.get("RELAY_CONFIG")
     if not path:
-        raise ValueError("RELAY_CONFIG names no file")
+        raise ValueError("RELAY_CONFIG: missing file path")
     with open(path, encoding="utf-8") as file:
         values = json.load(file)
     if not isinstance(values, dict):
-        raise ValueError("an object is needed")
+        raise ValueError("expected a JSON object")
     return values
 
 
@@ -80,10 +83,10 @@
         return None
     peers = values.get("peers", [])
     if not isinstance(peers, list):
-        raise ConfigError("peers", "a list of addresses is needed")
+        raise ConfigError("peers", "expected a list of addresses")
     return GossipAddresses(
         listen=_address(values["peer_listen"], "peer_listen"),
-        members=tuple(_address(peer, f"peers[{number}]") for number, peer in enumerate(peers)),
+        members=tuple(_address(peer, f"peers[{index}]") for index, peer in enumerate(peers)),
         broadcast=_optional_address(values.get("peers_all"), "peers_all"),
     )
 
@@ -94,7 +97,7 @@
 
 def _address(value: Any, field: str) -> Address:
     if not isinstance(value, str):
-        raise ConfigError(field, "an address is needed")
+        raise ConfigError(field, "expected an address")
     try:
         return parse_address(value)
     except ValueError as error:
@@ -107,7 +110,7 @@
             return int(value, _SEED_BASE)
     except ValueError:
         pass
-    raise ConfigError("seed", "hex digits are needed")
+    raise ConfigError("seed", "expected a string of hex digits")
 
 
 def _descriptors_max(limits: Any) -> int:
@@ -115,5 +118,5 @@
         return DESCRIPTORS_MAX_DEFAULT
     value = limits.get("sockets", DESCRIPTORS_MAX_DEFAULT)
     if type(value) is not int or value < 1:
-        raise ConfigError("limits.sockets", "a whole number is needed")
+        raise ConfigError("limits.sockets", "expected a positive integer")
     return value
--- a/topazbank/operator_config.py
+++ b/topazbank/operator_config.py
@@ -1,6 +1,6 @@
-"""The operator file (TOML): what an installation sets beyond the platform's configuration; checked at the start.
+"""The operator file (TOML): an installation's settings beyond the platform's configuration, validated at startup.
 
-The names of tables and fields in the file are older than the names in the code and don't change; they are mapped here.
+Table and field names in the file are older than the names in the code and stay stable; this module maps them.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 SOURCES = (REGISTRY, ZOOKEEPER)
 STATIC = "static"
 ELECTIONS = (STATIC, ZOOKEEPER)
-PLANNERS_MAX = 7  # of one forwarder: it sends each summary to all of them
+PLANNERS_MAX = 7  # per forwarder, which sends each summary to every planner
 TRACE_LINES_PER_SECOND_MAX = 100_000
-DATAGRAM_BYTES_MIN, DATAGRAM_BYTES_MAX = 256, 1200  # the platform's bound, and what every network passes
+DATAGRAM_BYTES_MIN, DATAGRAM_BYTES_MAX = 256, 1200  # the platform's limit, and a size safe on any network
 CLUSTER_KEY_BYTES_MAX = 64
-_FORGET_TO_PAUSE_RATIO_MIN = 20  # a member must not be forgotten while its return is still likely
+_FORGET_TO_PAUSE_RATIO_MIN = 20  # keeps a dead member remembered while it is still likely to return
 QUOTAS_MAX = 64
 QUOTA_LIMIT_MAX = 10**9
 TOP_KEYS = ("msgpack_rpc", "nodes", "membership", "planning", "tier", "budgets", "admin", "trace")
@@ -45,12 +45,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MsgpackRpcConfig:
-    """MessagePack-RPC: who may speak it, and how many calls share a connection to a server."""
+    """MessagePack-RPC: whether clients and servers use it, and how many calls share a connection to a server."""
 
     accepts_clients: bool = False
     calls_servers: bool = False
-    unsafe_calls_per_connection: int = 32  # that must not be repeated; no safe call shares their connection
-    # Abandoning a call closes its connection, under this many other calls less one.
+    # Unsafe calls must not be retried; they never share a connection with safe calls.
+    unsafe_calls_per_connection: int = 32
+    # Abandoning a call closes its connection, which interrupts up to this number minus one other calls.
     safe_calls_per_connection: int = 4
     connections_per_server: int = 64
 
@@ -63,14 +64,14 @@
     path: str = "/lodge/nodes"
     chroot: str = ""
     session_timeout_s: float = 6.0
-    credentials: str = field(default="", repr=False)  # digest authentication, user:password; never logged
+    credentials: str = field(default="", repr=False)  # user:password for digest authentication; never logged
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryConfig:
-    """Where the endpoint list comes from."""
+    """The sources of the endpoint list."""
 
-    sources: tuple[str, ...] = (REGISTRY,)  # by precedence
+    sources: tuple[str, ...] = (REGISTRY,)  # highest precedence first
     zookeeper: ZooKeeperConfig = field(default_factory=ZooKeeperConfig)
 
     @property
@@ -81,13 +82,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanningConfig:
-    """The planners that this forwarder reports to and follows; of a planner itself, its address and election."""
+    """A forwarder's planners, to which it reports and whose plans it follows; a planner's own address and election."""
 
-    planners: tuple[Address, ...] = ()  # none: this forwarder decides alone
-    name: str = ""  # of this forwarder or planner; by default derived from the configuration
-    listen: Address | None = None  # of a planner
-    election: str = STATIC  # of a planner: one of ELECTIONS
-    rank: int = 0  # of a planner, with STATIC: the lowest leads first
+    planners: tuple[Address, ...] = ()  # empty: this forwarder decides without a plan
+    name: str = ""  # this forwarder's or planner's; by default derived from the configuration
+    listen: Address | None = None  # planner only
+    election: str = STATIC  # planner only: one of ELECTIONS
+    rank: int = 0  # planner only, with STATIC: the planner with the lowest rank leads first
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,12 +96,12 @@
     """Cluster membership among the sidecars: docs/operators/cluster.md."""
 
     enabled: bool = False
-    name: str = ""  # of this member; by default its index in the configuration's `peers`
+    name: str = ""  # this member's; by default its index in the configuration's `peers`
     probe_period_ms: int = 200
-    tolerated_pause_ms: int = 1000  # a process that pauses for less is declared dead by no other
-    forget_after_s: int = 600  # how long a dead member is remembered
+    tolerated_pause_ms: int = 1000  # members never declare a process dead for a shorter pause
+    forget_after_s: int = 600  # how long a dead member stays in the member list
     datagram_bytes_max: int = 256
-    # Shared by all members; with a key members may join that `peers` does not name.
+    # Shared by all members; with a key, members that `peers` does not list may join.
     key: str = field(default="", repr=False)
 
 
@@ -109,7 +110,7 @@
     """All settings of the operator file."""
 
     msgpack_rpc: MsgpackRpcConfig = field(default_factory=MsgpackRpcConfig)
-    default_protocol: str = HTTP  # of servers for which neither the endpoint list nor the pod names one
+    default_protocol: str = HTTP  # for servers with no protocol in the endpoint list or by pod
     pod_protocols: Mapping[int, str] = field(default_factory=dict)
     discovery: DiscoveryConfig = field(default_factory=DiscoveryConfig)
     planning: PlanningConfig = field(default_factory=PlanningConfig)
@@ -117,12 +118,12 @@
     quotas: tuple[QuotaBinding, ...] = ()  # at most QUOTAS_MAX
     quota_ledger_folder: str = ""  # "": no ledger
     quota_store_folder: str = ""  # on a disk that survives a restart; "": no grant store
-    trace_lines_per_second: int = 0  # of the decision trace; 0: no trace
-    status_page_enabled: bool = False  # GET /admin/roster at the clients' address
+    trace_lines_per_second: int = 0  # in the decision trace; 0: no trace
+    status_page_enabled: bool = False  # GET /admin/roster at the client listen address
 
 
 def read_operator_config(path: str | None) -> OperatorConfig:
-    """Read the operator file, None meaning the defaults; raise OSError, or ValueError naming the file and field."""
+    """Read the operator file, or the defaults for None; raise OSError, or ValueError naming the file and field."""
     if path is None:
         return OperatorConfig()
     with open(path, "rb") as file:
@@ -133,7 +134,7 @@
 
 
 def operator_config_from(values: Mapping[str, Any]) -> OperatorConfig:
-    """Check the operator file's values; raise ConfigError (a ValueError) naming the field."""
+    """Validate the operator file's values; raise ValueError (mostly ConfigError) naming the field."""
     top = ConfigTable("", values, TOP_KEYS)
     admin = top.table("admin", ADMIN_KEYS)
     trace = top.table("trace", TRACE_KEYS)
@@ -156,12 +157,12 @@
 
 
 def _check_dependencies(operator: OperatorConfig) -> None:
-    """Check what one table needs of another."""
+    """Validate requirements that span several tables."""
     if operator.quotas and not operator.cluster.enabled:
-        raise ConfigError("budgets", "tier.on is wanted, as parts go between members of a tier")
+        raise ConfigError("budgets", "expected tier.on = true, as cluster members exchange quota shares")
     protocols = {operator.default_protocol, *operator.pod_protocols.values()}
     if MSGPACK_RPC in protocols and not operator.msgpack_rpc.calls_servers:
-        raise ConfigError("nodes", f"{MSGPACK_RPC} is named, but msgpack_rpc.nodes is not true")
+        raise ConfigError("nodes", f"expected msgpack_rpc.nodes = true for protocol {MSGPACK_RPC}")
 
 
 def _msgpack_rpc(top: ConfigTable) -> MsgpackRpcConfig:
@@ -180,8 +181,8 @@
     zookeeper = table.table("zookeeper", ZOOKEEPER_KEYS)
     sources = table.texts("sources", (REGISTRY,))
     if not sources or len(set(sources)) != len(sources) or not set(sources) <= set(SOURCES):
-        wanted = f"each of {', '.join(SOURCES)} once at most"
-        raise ConfigError("membership.sources", f"{wanted} is wanted, not {sources}")
+        expected = f"{', '.join(SOURCES)}, each at most once"
+        raise ConfigError("membership.sources", f"expected one or more of {expected}, not {sources}")
     ensemble = ZooKeeperConfig(
         zookeeper.addresses("members"),
         zookeeper.path("path", "/lodge/nodes"),
@@ -190,7 +191,7 @@
         zookeeper.credentials("secret"),
     )
     if ZOOKEEPER in sources and not ensemble.addresses:
-        raise ConfigError("membership.zookeeper.members", "the ensemble's addresses are wanted")
+        raise ConfigError("membership.zookeeper.members", "missing addresses of the ensemble")
     return DiscoveryConfig(sources, ensemble)
 
 
@@ -203,7 +204,7 @@
         planners, table.text("name", ""), listen, election, table.integer("rank", 0, 0, 255)
     )
     if len(planners) > PLANNERS_MAX:
-        raise ConfigError("planning.planners", f"{PLANNERS_MAX} at most are wanted")
+        raise ConfigError("planning.planners", f"exceeds {PLANNERS_MAX} entries")
     return config
 
 
@@ -219,18 +220,18 @@
         table.masked_text("key", CLUSTER_KEY_BYTES_MAX),
     )
     if config.forget_after_s * 1000 < _FORGET_TO_PAUSE_RATIO_MIN * config.tolerated_pause_ms:
-        raise ConfigError("tier.forget_s", "twenty times pause_ms at least is wanted")
+        raise ConfigError("tier.forget_s", "expected at least 20 times pause_ms")
     return config
 
 
 def _quotas(tables: Any) -> tuple[QuotaBinding, ...]:
     if not isinstance(tables, Mapping) or len(tables) > QUOTAS_MAX:
-        raise ValueError(f"budgets: {QUOTAS_MAX} tables at most are wanted")
+        raise ValueError(f"budgets: expected at most {QUOTAS_MAX} tables")
     bindings = tuple(_quota(name, values) for name, values in tables.items())
-    limited = [(binding.resource, binding.tenant) for binding in bindings]
+    limited_resources = [(binding.resource, binding.tenant) for binding in bindings]
     for binding in bindings:
-        if limited.count((binding.resource, binding.tenant)) > 1:
-            raise ValueError(f"budgets.{binding.quota.name}.of: another budget is of the same")
+        if limited_resources.count((binding.resource, binding.tenant)) > 1:
+            raise ValueError(f"budgets.{binding.quota.name}.of: duplicate resource and tenant")
     return bindings
 
 
@@ -238,11 +239,11 @@
     table = ConfigTable(f"budgets.{name}.", values, QUOTA_KEYS)
     resource = table.text("of", "")
     if resource not in (RETRIES, HEALTH_CHECKS, TENANT_REQUESTS):
-        wanted = f"{RETRIES}, {HEALTH_CHECKS} or {TENANT_REQUESTS}"
-        raise ValueError(f"budgets.{name}.of: {wanted} is wanted, not {resource!r:.40}")
+        expected = f"{RETRIES}, {HEALTH_CHECKS} or {TENANT_REQUESTS}"
+        raise ValueError(f"budgets.{name}.of: expected {expected}, not {resource!r:.40}")
     tenant = table.text("tenant", "")
     if (resource == TENANT_REQUESTS) is not bool(tenant):
-        raise ValueError(f"budgets.{name}.tenant: wanted of a tenant's budget, and of no other")
+        raise ValueError(f"budgets.{name}.tenant: required in a tenant's budget, not allowed in any other")
     floor_units = table.number("floor", 0.0, 0.0, float(QUOTA_LIMIT_MAX))
     quota = Quota(
         name,
