--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire: what it accepts, what it complains of, and that it adds nothing of its own."""
+"""The simulator adapter: accepted messages, errors for invalid input, and deterministic replies."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from topazbank.platform_names import settings_from_wire
 from topazbank.simulator_adapter import run
 
-BOOT: dict[str, Any] = {
+WIRE_SETTINGS: dict[str, Any] = {
     "bounds": {"sendCap": 3, "secondCopies": True, "mayCancel": True, "streamsPerConn": 1},
     "discovery": "on_request",
     "guarantees": {"askWithinUs": 10_000_000, "coldFrom": 0.3, "coldUs": 8_000_000},
@@ -35,31 +35,35 @@
 ]
 
 
-def begin(who: str = "sidecar-1", boot: Any = None) -> list[list[Any]]:
-    return [["BEGIN", who, 7, BOOT if boot is None else boot], PAGE, ["TARGETS", who, "cached", 0, 1]]
+def begin(instance: str = "sidecar-1", wire_settings: Any = None) -> list[list[Any]]:
+    return [
+        ["BEGIN", instance, 7, WIRE_SETTINGS if wire_settings is None else wire_settings],
+        PAGE,
+        ["TARGETS", instance, "cached", 0, 1],
+    ]
 
 
 def play(*batches: list[list[Any]]) -> tuple[int, list[list[Any]], str]:
     lines = []
     for index, batch in enumerate(batches):
         lines += [["FRAME", 1_000_000 + 5_000 * index], *batch, ["COMMIT"]]
-    return play_text("".join(json.dumps(each) + "\n" for each in lines))
+    return play_text("".join(json.dumps(message) + "\n" for message in lines))
 
 
 def play_text(text: str) -> tuple[int, list[list[Any]], str]:
     out, err = io.StringIO(), io.StringIO()
     code = run(io.StringIO(text), out, err)
-    return code, [json.loads(each) for each in out.getvalue().splitlines()], err.getvalue()
+    return code, [json.loads(line) for line in out.getvalue().splitlines()], err.getvalue()
 
 
-def test_an_empty_batch_is_answered_by_done() -> None:
+def test_the_reply_to_an_empty_batch_is_done() -> None:
     assert play([]) == (0, [["DONE"]], "")
 
 
 def test_a_request_is_assigned() -> None:
-    work = ["WORK_ITEM", "sidecar-1", 5, "look", 0, None, 900_000, 12_000, 1, "a field to come"]
-    code, reply, _ = play(begin(), [work])
-    sends = [each for each in reply if each[0] == "ASSIGN"]
+    request = ["WORK_ITEM", "sidecar-1", 5, "look", 0, None, 900_000, 12_000, 1, "a field to come"]
+    code, reply, _ = play(begin(), [request])
+    sends = [message for message in reply if message[0] == "ASSIGN"]
     assert code == 0
     assert (
         len(sends) == 1
@@ -68,58 +72,58 @@
     )
 
 
-def test_a_killed_instance_forgets_all_and_may_begin_again_in_the_same_batch() -> None:
-    work = ["WORK_ITEM", "sidecar-1", 5, "look", None, None, 900_000, None, 0]
-    end = ["ATTEMPT_END", "sidecar-1", 5, 0, "10.0.0.1:80", "delivered", 100, True, {"util": 0.5}]
-    code, reply, _ = play(begin(), [work, ["EXIT", "sidecar-1"], *begin()], [end])
+def test_an_instance_restarted_in_the_same_batch_keeps_no_state() -> None:
+    request = ["WORK_ITEM", "sidecar-1", 5, "look", None, None, 900_000, None, 0]
+    attempt_end = ["ATTEMPT_END", "sidecar-1", 5, 0, "10.0.0.1:80", "delivered", 100, True, {"util": 0.5}]
+    code, reply, _ = play(begin(), [request, ["EXIT", "sidecar-1"], *begin()], [attempt_end])
     assert code == 0
-    assert [each[0] for each in reply].count("FOLLOW") == 2
+    assert [message[0] for message in reply].count("FOLLOW") == 2
 
 
-def test_a_page_number_may_be_used_again_within_a_batch() -> None:
-    other = ["PAGE", 0, [["10.0.0.9:80", "east", "box", 0, "ready", 1, None]]]
-    work = [["WORK_ITEM", f"sidecar-{n}", n, "look", None, None, 900_000, None, 0] for n in (1, 2)]
+def test_a_page_number_may_be_reused_within_a_batch() -> None:
+    other_page = ["PAGE", 0, [["10.0.0.9:80", "east", "box", 0, "ready", 1, None]]]
+    requests = [["WORK_ITEM", f"sidecar-{n}", n, "look", None, None, 900_000, None, 0] for n in (1, 2)]
     batch = [
         *begin(),
-        ["BEGIN", "sidecar-2", 8, BOOT],
-        other,
+        ["BEGIN", "sidecar-2", 8, WIRE_SETTINGS],
+        other_page,
         ["TARGETS", "sidecar-2", "cached", 0, 1],
-        *work,
+        *requests,
     ]
     _, reply, _ = play(batch)
-    targets = {each[1]: each[3] for each in reply if each[0] == "ASSIGN"}
+    targets = {message[1]: message[3] for message in reply if message[0] == "ASSIGN"}
     assert targets["sidecar-2"] == "10.0.0.9:80" and targets["sidecar-1"] != "10.0.0.9:80"
 
 
 @pytest.mark.parametrize(
-    ("line", "complaint"),
+    ("line", "error"),
     [
-        ("nonsense", "not JSON"),
-        ("[" * 100_000, "not JSON"),
-        ("{}", "array"),
+        ("nonsense", "expected JSON"),
+        ("[" * 100_000, "expected JSON"),
+        ("{}", "expected an array"),
         ("[]", "array"),
         ('["NEWS","sidecar-1"]', "unknown message"),
         ('["FRAME"]', "inside a batch"),
-        ('["WORK_ITEM","sidecar-1",5]', "needs 8 values"),
-        ('["WAKE","sidecar-9","x"]', "has not begun"),
-        ('["CLIENT_GONE","sidecar-1","five"]', "whole number"),
-        ('["TARGETS","sidecar-1","rumour",0,1]', "unknown word"),
-        ('["TARGETS","sidecar-1","full",9,1]', "not given"),
-        ('["ATTEMPT_END","sidecar-1",5,0,"a:1","lost",1,true,null]', "unknown word"),
+        ('["WORK_ITEM","sidecar-1",5]', "WORK_ITEM: expected at least 8 values, not 2"),
+        ('["WAKE","sidecar-9","x"]', "unknown instance 'sidecar-9'"),
+        ('["CLIENT_GONE","sidecar-1","five"]', "expected an integer"),
+        ('["TARGETS","sidecar-1","rumour",0,1]', "unknown name"),
+        ('["TARGETS","sidecar-1","full",9,1]', "unknown list 9"),
+        ('["ATTEMPT_END","sidecar-1",5,0,"a:1","lost",1,true,null]', "unknown name"),
         ('["PAGE",0,[["a:1"]]]', "at least 6"),
-        ('["MEMO","sidecar-1",0,"xyz"]', "hex"),
+        ('["MEMO","sidecar-1",0,"xyz"]', "expected a string of hex digits"),
         ('["BEGIN","sidecar-2",1,{"lanes":[]}]', "classes"),
         ('["BEGIN","sidecar-2",1,{"lanes":[{"name":"a","giveUpUs":-1}]}]', "classes[0].deadline_us"),
     ],
 )
-def test_bad_input_is_named_with_its_line_and_ends_the_run(line: str, complaint: str) -> None:
-    good = "".join(json.dumps(each) + "\n" for each in (["FRAME", 1], *begin()))
-    code, _, err = play_text(good + line + "\n")
+def test_invalid_input_is_reported_with_its_line_and_ends_the_run(line: str, error: str) -> None:
+    valid_input = "".join(json.dumps(message) + "\n" for message in (["FRAME", 1], *begin()))
+    code, _, err = play_text(valid_input + line + "\n")
     assert code != 0
-    assert err.startswith("line 5: ") and complaint in err and err.count("\n") == 1
+    assert err.startswith("line 5: ") and error in err and err.count("\n") == 1
 
 
-@how(max_examples=150, deadline=None, derandomize=True)
+@hypothesis_settings(max_examples=150, deadline=None, derandomize=True)
 @given(
     st.lists(
         st.one_of(
@@ -140,14 +144,14 @@
                     ),
                     max_size=9,
                 ),
-            ).map(lambda each: json.dumps([each[0], *each[1]])),
+            ).map(lambda message: json.dumps([message[0], *message[1]])),
         ),
         max_size=5,
     )
 )
-def test_no_line_makes_a_traceback(lines: list[str]) -> None:
-    start = "".join(json.dumps(each) + "\n" for each in (["FRAME", 1], *begin()))
-    body = "".join(each.replace("\n", " ").replace("\r", " ") + "\n" for each in lines)
+def test_no_input_line_causes_a_traceback(lines: list[str]) -> None:
+    start = "".join(json.dumps(message) + "\n" for message in (["FRAME", 1], *begin()))
+    body = "".join(line.replace("\n", " ").replace("\r", " ") + "\n" for line in lines)
     code, _, err = play_text(start + body + '["COMMIT"]\n')
     assert (code == 0) == (err == "")
 
@@ -155,9 +159,9 @@
 def test_the_same_events_give_the_same_actions_whatever_the_hash_seed() -> None:
     script = [["FRAME", 1_000_000], *begin(), ["COMMIT"]]
     for number in range(60):
-        work = ["WORK_ITEM", "sidecar-1", number, "look", None, None, 900_000, None, 0]
-        script += [["FRAME", 1_000_000 + 5_000 * number], work, ["COMMIT"]]
-    text = "".join(json.dumps(each) + "\n" for each in script)
+        request = ["WORK_ITEM", "sidecar-1", number, "look", None, None, 900_000, None, 0]
+        script += [["FRAME", 1_000_000 + 5_000 * number], request, ["COMMIT"]]
+    text = "".join(json.dumps(message) + "\n" for message in script)
     replies = [
         subprocess.run(
             [sys.executable, "-m", "topazbank.simulator_adapter"],
@@ -173,11 +177,11 @@
     assert replies[0] == replies[1] and replies[0].count("ASSIGN") == 60
 
 
-def test_the_further_rules_and_prices_of_the_wire_reach_the_settings() -> None:
-    lane = {**BOOT["lanes"][0], "byArrival": True}
+def test_optional_rules_and_prices_in_a_message_reach_the_settings() -> None:
+    lane = {**WIRE_SETTINGS["lanes"][0], "byArrival": True}
     read = settings_from_wire(
         {
-            **BOOT,
+            **WIRE_SETTINGS,
             "lanes": [lane],
             "guarantees": {"lateShedding": True, "turnGapUs": 100_000},
             "prices": {"connection": 0.08, "handshake": 0.07, "lateFail": 0.05},
@@ -189,15 +193,15 @@
     assert read.classes[0].ordered_by_key
     assert read.rules.rejects_after_start and read.rules.ordering_pause_us == 100_000
     assert (read.prices.connection, read.prices.handshake) == (0.08, 0.07)
-    plain = settings_from_wire(BOOT)
+    plain = settings_from_wire(WIRE_SETTINGS)
     assert not (plain.classes[0].ordered_by_key or plain.rules.rejects_after_start)
 
 
-def test_nonsense_in_the_further_rules_is_named() -> None:
-    for boot, key in (
-        ({**BOOT, "guarantees": {"lateShedding": "yes"}}, "rejects_after_start"),
-        ({**BOOT, "guarantees": {"turnGapUs": -1}}, "ordering_pause_us"),
-        ({**BOOT, "lanes": [{**BOOT["lanes"][0], "byArrival": 3}]}, "ordered_by_key"),
+def test_invalid_optional_rules_are_reported_by_field() -> None:
+    for wire_settings, key in (
+        ({**WIRE_SETTINGS, "guarantees": {"lateShedding": "yes"}}, "rejects_after_start"),
+        ({**WIRE_SETTINGS, "guarantees": {"turnGapUs": -1}}, "ordering_pause_us"),
+        ({**WIRE_SETTINGS, "lanes": [{**WIRE_SETTINGS["lanes"][0], "byArrival": 3}]}, "ordered_by_key"),
     ):
-        code, _, err = play(begin(boot=boot))
+        code, _, err = play(begin(wire_settings=wire_settings))
         assert code == 2 and key in err and err.count("\n") == 1
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -332,7 +332,7 @@
                 path.write_text(invalid_configuration, encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
                 line = await asyncio.wait_for(process.stderr.readline(), PATIENCE_S)
-                assert b"the configuration stays as it was" in line
+                assert b"keeping the previous configuration" in line
             for number, discovery in enumerate((first, second), start=1):
                 path.write_text(config_with(discovery), encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
--- a/topazbank/__init__.py
+++ b/topazbank/__init__.py
@@ -1,4 +1,4 @@
-"""Topazbank: the decisions of a sidecar balancer, by best-of-k with redraw."""
+"""Topazbank: a sidecar load balancer that selects servers by best-of-k with redraw."""
 
 from topazbank.balancing.balancer import Balancer
 from topazbank.balancing.settings import Settings
--- a/topazbank/__main__.py
+++ b/topazbank/__main__.py
@@ -2,9 +2,9 @@
 
     python -m topazbank [--operator FILE]
 
-RELAY_CONFIG names the platform's configuration.  An invalid one ends the start with one line on standard error and exit
-code 2.  SIGHUP rereads both files: the address of discovery and the sources of the endpoint list may change, all else
-takes effect at the next start.
+RELAY_CONFIG is the path of the platform's configuration.  An invalid configuration stops startup with one line on
+standard error and exit code 2.  SIGHUP rereads both files: changes to the discovery address and the sources of the
+endpoint list apply at once, all others at the next start.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class LogRateLimiter(logging.Filter):
-    """Drops log lines over a rate, as invalid input from outside could fill the disk with them."""
+    """Drops log lines above a rate: invalid input from outside could otherwise fill the disk with them."""
 
     def __init__(self, lines_per_second_max: int) -> None:
         super().__init__()
@@ -47,7 +47,7 @@
         self._lines = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether the line is within the rate."""
+        """Return whether the line is within the rate limit."""
         second = int(record.created)
         if second != self._second:
             self._second, self._lines = second, 0
@@ -56,19 +56,19 @@
 
 
 class EarlyReload:
-    """Remembers a SIGHUP that arrives before the sidecar runs: it may have come after the files were read."""
+    """Records a SIGHUP received before the sidecar runs: it may have arrived after the files were read."""
 
     def __init__(self) -> None:
         self.requested = False
 
-    def on_signal(self, number: int, frame: FrameType | None) -> None:
-        """Signal handler."""
+    def on_signal(self, signal_number: int, frame: FrameType | None) -> None:
+        """Handle SIGHUP."""
         self.requested = True
 
 
 @dataclass(frozen=True, slots=True)
 class Startup:
-    """What the program has read and built before it serves."""
+    """The configuration and components that the program prepares before it serves."""
 
     config: SidecarConfig
     operator: OperatorConfig
@@ -96,12 +96,12 @@
         self.reload()
 
     def reload(self) -> None:
-        """Apply what may change at run time; an invalid file changes nothing and is logged."""
+        """Apply the settings that may change at run time; an invalid file is logged and changes nothing."""
         try:
             operator = read_operator_config(self._operator_file)
             config = read_config(os.environ)
         except CONFIG_ERRORS as error:
-            log.error("the configuration stays as it was: %s", _one_line(error))
+            log.error("keeping the previous configuration: %s", _one_line(error))
             return
         if operator.discovery == self._operator.discovery:
             self._sidecar.move_discovery(config.discovery)
@@ -118,10 +118,10 @@
     signal.signal(signal.SIGHUP, early_reload.on_signal)
     try:
         startup = _prepare(arguments.operator)
-    except (*CONFIG_ERRORS, ImportError) as error:  # ImportError: a library of what is switched on is missing
+    except (*CONFIG_ERRORS, ImportError) as error:  # ImportError: an enabled feature needs a missing library
         print(f"bad configuration: {_one_line(error)}", file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
-    gc.freeze()  # what is loaded by now stays, and collections need not look at it
+    gc.freeze()  # objects loaded by now live until exit, so collections skip them
     gc.set_threshold(*_GC_THRESHOLDS)
     try:
         asyncio.run(_serve(startup, early_reload))
@@ -133,10 +133,10 @@
 
 def _parse_arguments(argv: Sequence[str] | None) -> argparse.Namespace:
     parser = argparse.ArgumentParser(
-        prog="topazbank", description="One sidecar, as RELAY_CONFIG describes it."
+        prog="topazbank", description="Run one sidecar, configured by the file at RELAY_CONFIG."
     )
     parser.add_argument(
-        "--operator", metavar="FILE", help="the operator file (TOML); without one, the defaults"
+        "--operator", metavar="FILE", help="the operator file (TOML); default: built-in settings"
     )
     return parser.parse_args(argv)
 
@@ -149,7 +149,7 @@
 
 
 def _prepare(operator_file: str | None) -> Startup:
-    """Read and check both files, and build the components; raise one of CONFIG_ERRORS or ImportError."""
+    """Read and validate both files, and build the components; raise one of CONFIG_ERRORS or ImportError."""
     operator = read_operator_config(operator_file)
     config = read_config(os.environ)
     components = build_components(operator)
@@ -161,8 +161,8 @@
     """Serve until SIGTERM or SIGINT, then shut down gracefully."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     service = SidecarService(startup.config, startup.components)
     reloader = Reloader(service.sidecar, startup.operator, startup.operator_file)
     loop.add_signal_handler(signal.SIGHUP, reloader.schedule)
--- a/topazbank/roster.py
+++ b/topazbank/roster.py
@@ -1,6 +1,6 @@
-"""Prints the endpoint list as a sidecar has it: `python -m topazbank.roster HOST:PORT`.
+"""Prints the endpoint list that a sidecar uses: `python -m topazbank.roster HOST:PORT`.
 
-The sidecar's operator file must allow it: `[admin]` with `roster = true`.
+The sidecar's operator file must enable it: `[admin]` with `roster = true`.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 
 
 def format_endpoint_table(report: dict[str, Any]) -> list[str]:
-    """The sources and the endpoints of a sidecar's report, a line each."""
-    lines = [f"{'source':<12}{'can know':<10}{'last in touch':>14}"]
+    """Format the sources and the endpoints in a sidecar's report, one per line."""
+    lines = [f"{'source':<12}{'can know':<10}{'last contact':>14}"]
     lines += [_source_row(source) for source in report["sources"]]
     lines += ["", f"{'node':<20}{'state':<10}{'address':<22}{'speaks':<13}{'source':<12}{'told':>12}"]
     lines += [_endpoint_row(endpoint) for endpoint in report["nodes"]]
@@ -40,7 +40,7 @@
 
 
 def fetch_admin_report(address: Address) -> dict[str, Any]:
-    """A sidecar's report on its own state, decoded from JSON; raise OSError or ValueError where there is none."""
+    """Fetch a sidecar's report on its own state, decoded from JSON; raise OSError or ValueError on failure."""
     connection = http.client.HTTPConnection(*address, timeout=_TIMEOUT_S)
     try:
         connection.request("GET", _REPORT_PATH)
@@ -51,19 +51,19 @@
     finally:
         connection.close()
     if response.status != _HTTP_OK:
-        raise ValueError(f"status {response.status}; is [admin] roster on?")
+        raise ValueError(f"expected status 200, not {response.status}; requires [admin] roster = true")
     return dict(json.loads(body))
 
 
 def main(argv: list[str] | None = None) -> int:
     """Print the endpoint list of the sidecar named on the command line; return the exit status."""
     parser = argparse.ArgumentParser(prog="topazbank.roster", description=(__doc__ or "").split("\n")[0])
-    parser.add_argument("address", metavar="HOST:PORT", help="where the sidecar listens")
+    parser.add_argument("address", metavar="HOST:PORT", help="the sidecar's listen address")
     arguments = parser.parse_args(argv)
     try:
         report = fetch_admin_report(parse_address(arguments.address))
     except (OSError, ValueError) as error:
-        print(f"no roster from {arguments.address}: {error}", file=sys.stderr)
+        print(f"can't fetch the endpoint list from {arguments.address}: {error}", file=sys.stderr)
         return 1
     print("\n".join(format_endpoint_table(report)))
     return 0
--- a/topazbank/simulator_adapter.py
+++ b/topazbank/simulator_adapter.py
@@ -2,7 +2,7 @@
 
     python -m topazbank.simulator_adapter
 
-Input that breaks the wire's grammar ends the process with one line on standard error and exit code 2.
+Input that violates the simulator's protocol ends the process with one line on standard error and exit code 2.
 """
 
 from __future__ import annotations
@@ -33,19 +33,19 @@
 
 
 class Adapter:
-    """Hosts independent balancers and plays batches of messages through them."""
+    """Hosts independent balancers and processes batches of messages for them."""
 
     def __init__(self) -> None:
-        self._balancers: dict[str, Balancer] = {}  # by the name of their instance
-        self._server_lists: dict[int, list[ServerDescription]] = {}  # by number, as messages refer to them
+        self._balancers: dict[str, Balancer] = {}  # by instance name
+        self._server_lists: dict[int, list[ServerDescription]] = {}  # by the list number used in messages
         self._now = 0
         self._in_batch = False
         self._reply: list[str] = []
 
     def line(self, text: str) -> list[str] | None:
-        """Take one line; at the end of a batch, return the lines of its reply.
+        """Process one line; at the end of a batch, return the lines of its reply.
 
-        Raises `WireError` for a line that the wire does not allow.
+        Raises `WireError` for a line that violates the protocol.
         """
         message = _parse(text)
         name = message[0]
@@ -53,36 +53,36 @@
             self._begin_batch(message)
             return None
         if not self._in_batch:
-            raise WireError(f"{name!r:.60} outside a batch")
+            raise WireError(f"unexpected {name!r:.60} outside a batch")
         if name == "COMMIT":
             self._in_batch = False
             return [*self._reply, '["DONE"]']
-        self._take(name, message)
+        self._process(name, message)
         return None
 
     def _begin_batch(self, message: list[Any]) -> None:
         if self._in_batch:
-            raise WireError("FRAME inside a batch")
+            raise WireError("unexpected FRAME inside a batch")
         check_length(message, 2)
         self._now = read_integer(message[1])
         self._in_batch = True
         self._reply = []
 
-    def _take(self, name: object, message: list[Any]) -> None:
-        """Take a message of a batch."""
+    def _process(self, name: object, message: list[Any]) -> None:
+        """Process one message of a batch."""
         if name == "PAGE":
-            self._take_server_list(message)
+            self._store_server_list(message)
             return
         if not isinstance(name, str) or name not in _MESSAGE_NAMES:
             raise WireError(f"unknown message {name!r:.60}")
         check_length(message, 2)
         instance = read_text(message[1])
         if name == "BEGIN":
-            self._begin(instance, message)
+            self._start_instance(instance, message)
             return
         balancer = self._balancers.get(instance)
         if balancer is None:
-            raise WireError(f"{name} for {instance!r:.60}, which has not begun")
+            raise WireError(f"{name}: unknown instance {instance!r:.60}")
         if name == "EXIT":
             del self._balancers[instance]
         elif name == "TARGETS":
@@ -90,14 +90,14 @@
         else:
             self._handle(instance, balancer, read_event(message))
 
-    def _take_server_list(self, message: list[Any]) -> None:
+    def _store_server_list(self, message: list[Any]) -> None:
         check_length(message, 3)
         if not isinstance(message[2], list):
-            raise WireError("the entries of a PAGE must be an array")
+            raise WireError("PAGE: expected an array of entries")
         self._server_lists[read_integer(message[1])] = [read_server(entry) for entry in message[2]]
 
-    def _begin(self, instance: str, message: list[Any]) -> None:
-        """Begin an instance, anew where one of that name was killed."""
+    def _start_instance(self, instance: str, message: list[Any]) -> None:
+        """Start an instance, replacing any earlier one with the same name."""
         check_length(message, 4)
         try:
             settings = settings_from_wire(message[3])
@@ -112,13 +112,13 @@
             return EndpointsUpdated(kind)
         servers = self._server_lists.get(read_integer(message[3]))
         if servers is None:
-            raise WireError(f"TARGETS names list {message[3]}, which was not given")
+            raise WireError(f"TARGETS: unknown list {message[3]}")
         return EndpointsUpdated(kind, servers, read_integer(message[4]))
 
     def _handle(self, instance: str, balancer: Balancer, event: Event) -> None:
         try:
             actions = balancer.handle(self._now, event)
-        except Exception as error:  # the wire has a message for a defect of the decisions
+        except Exception as error:  # the protocol has a message for an internal error
             text = f"{type(error).__name__}: {error}"[:_ERROR_CHARACTERS_MAX]
             self._reply.append(json.dumps(["INTERNAL_ERROR", instance, text]))
             return
@@ -129,20 +129,20 @@
     try:
         message = json.loads(text)
     except (ValueError, RecursionError):
-        raise WireError("this is not JSON") from None
+        raise WireError("expected JSON") from None
     if not isinstance(message, list) or not message:
-        raise WireError("a message must be an array that starts with its name")
+        raise WireError("expected an array that starts with the message name")
     return message
 
 
 def run(lines: Iterable[str], out: TextIO, err: TextIO) -> int:
-    """Play all lines; return the exit code."""
+    """Process all lines; return the exit code."""
     adapter = Adapter()
-    for number, text in enumerate(lines, 1):
+    for line_number, text in enumerate(lines, 1):
         try:
             reply = adapter.line(text)
         except WireError as error:
-            err.write(f"line {number}: {error}\n")
+            err.write(f"line {line_number}: {error}\n")
             return EXIT_BAD_INPUT
         if reply is not None:
             out.write("\n".join(reply) + "\n")
@@ -151,7 +151,7 @@
 
 
 def main() -> int:
-    """Play standard input; return the exit code."""
+    """Process standard input; return the exit code."""
     sys.stdin.reconfigure(encoding="utf-8", errors="replace")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     return run(sys.stdin, sys.stdout, sys.stderr)
--- a/topazbank/simulator_codec.py
+++ b/topazbank/simulator_codec.py
@@ -1,6 +1,7 @@
-"""Translates the simulator's messages into events, and actions into its messages.
+"""Decodes the simulator's messages into events, and encodes actions as its messages.
 
-The simulator's own words stand here alone.  A message is a JSON array that begins with its name.
+Only this module uses the simulator's names of states, outcomes and update kinds.
+A message is a JSON array that begins with its name.
 """
 
 from __future__ import annotations
@@ -58,53 +59,53 @@
     "revoked": Outcome.CANCELLED,
     "unused": Outcome.UNSENT,
 }
-_HAS_COST, _CLIENT_RETRY = 1, 2  # bits of a request's flags
+_HAS_COST, _CLIENT_RETRY = 1, 2  # bits in a request's flags field
 _EVERY_PEER = -1
 _ENTRY_FIELDS_MIN = 6
 
 
 class WireError(Exception):
-    """A line that the simulator's wire does not allow."""
+    """A line that violates the simulator's protocol."""
 
 
 # ---------------------------------------------------------------------------------------------------
-# Values of a message; each raises `WireError` for a value of another type
+# Decoding of message values; each function raises `WireError` for a value of another type
 
 
 def read_integer(value: object) -> int:
-    """A whole number."""
+    """Decode an integer."""
     if type(value) is not int:
-        raise WireError(f"a whole number is needed, not {value!r:.60}")
+        raise WireError(f"expected an integer, not {value!r:.60}")
     return value
 
 
 def read_text(value: object) -> str:
-    """A string."""
+    """Decode a string."""
     if type(value) is not str:
-        raise WireError(f"a text is needed, not {value!r:.60}")
+        raise WireError(f"expected a string, not {value!r:.60}")
     return value
 
 
 def read_update_kind(value: object) -> UpdateKind:
-    """How an update of the endpoint list is to be read."""
-    kind: UpdateKind = _read_word(value, _UPDATE_KINDS)
+    """Decode the kind of an endpoint list update."""
+    kind: UpdateKind = _read_name(value, _UPDATE_KINDS)
     return kind
 
 
 def read_server(entry: object) -> ServerDescription:
-    """An entry of the endpoint list."""
+    """Decode an entry of the endpoint list."""
     if not isinstance(entry, list) or len(entry) < _ENTRY_FIELDS_MIN:
-        raise WireError("an entry of a server list has at least 6 values")
+        raise WireError("server list entry: expected at least 6 values")
     capacity = entry[5]
     if isinstance(capacity, bool) or not isinstance(capacity, (int, float)):
-        raise WireError("a nominal figure must be a number")
+        raise WireError("nominal capacity: expected a number")
     started_at = _read_optional_integer(entry[6]) if len(entry) > _ENTRY_FIELDS_MIN else None
     return ServerDescription(
         name=read_text(entry[0]),
         zone=read_text(entry[1]),
         kind=read_text(entry[2]),
         cell=read_integer(entry[3]),
-        state=_read_word(entry[4], _STATES),
+        state=_read_name(entry[4], _STATES),
         nominal_capacity=float(capacity),
         started_at=started_at or None,
     )
@@ -112,7 +113,7 @@
 
 def _read_flag(value: object) -> bool:
     if type(value) is not bool:
-        raise WireError(f"true or false is needed, not {value!r:.60}")
+        raise WireError(f"expected true or false, not {value!r:.60}")
     return value
 
 
@@ -120,21 +121,21 @@
     return None if value is None else read_integer(value)
 
 
-def _read_word(value: object, words: Mapping[str, Any]) -> Any:
+def _read_name(value: object, values_by_name: Mapping[str, Any]) -> Any:
     try:
-        return words[value]  # type: ignore[index]
+        return values_by_name[value]  # type: ignore[index]
     except (KeyError, TypeError):
-        raise WireError(f"unknown word {value!r:.60}") from None
+        raise WireError(f"unknown name {value!r:.60}") from None
 
 
 def _read_report(value: object) -> Mapping[str, float] | None:
     if value is None:
         return None
     if not isinstance(value, dict):
-        raise WireError("a load report must be an object")
-    for figure in value.values():
-        if isinstance(figure, bool) or not isinstance(figure, (int, float)):
-            raise WireError(f"a load report holds numbers, not {figure!r:.60}")
+        raise WireError("load report: expected an object")
+    for number in value.values():
+        if isinstance(number, bool) or not isinstance(number, (int, float)):
+            raise WireError(f"load report: expected a number, not {number!r:.60}")
     return value
 
 
@@ -142,7 +143,7 @@
     try:
         return bytes.fromhex(read_text(value))
     except ValueError:
-        raise WireError("hex digits are needed") from None
+        raise WireError("expected a string of hex digits") from None
 
 
 # ---------------------------------------------------------------------------------------------------
@@ -176,7 +177,7 @@
         request=read_integer(message[2]),
         attempt=read_integer(message[3]),
         server=read_text(message[4]),
-        outcome=_read_word(message[5], _OUTCOMES),
+        outcome=_read_name(message[5], _OUTCOMES),
         elapsed_us=read_integer(message[6]),
         answered=_read_flag(message[7]),
         report=_read_report(message[8]) if len(message) > 8 else None,
@@ -186,13 +187,13 @@
 def _health_check_ended(message: list[Any]) -> Event:
     return HealthCheckEnded(
         server=read_text(message[4]),
-        outcome=_read_word(message[3], _OUTCOMES),
+        outcome=_read_name(message[3], _OUTCOMES),
         elapsed_us=read_integer(message[2]),
         report=_read_report(message[5]) if len(message) > 5 else None,
     )
 
 
-# Name of a message -> the least number of its values (the name included), and how it is read.
+# Message name -> minimum number of values (including the name), and decoder.
 _EVENTS: dict[str, tuple[int, Callable[[list[Any]], Event]]] = {
     "WORK_ITEM": (9, _request_arrived),
     "FIRST": (6, _response_started),
@@ -206,13 +207,13 @@
 
 
 def check_length(message: list[Any], values_min: int) -> None:
-    """Raise `WireError` where a message has fewer values than this, its name included."""
+    """Raise `WireError` if a message has fewer than `values_min` values, including its name."""
     if len(message) < values_min:
-        raise WireError(f"{message[0]} needs {values_min - 1} values, {len(message) - 1} came")
+        raise WireError(f"{message[0]}: expected at least {values_min - 1} values, not {len(message) - 1}")
 
 
 def read_event(message: list[Any]) -> Event:
-    """The event of a message whose name is one of EVENT_NAMES."""
+    """Decode a message whose name is one of EVENT_NAMES."""
     values_min, read = _EVENTS[message[0]]
     check_length(message, values_min)
     return read(message)
@@ -221,7 +222,7 @@
 # ---------------------------------------------------------------------------------------------------
 # Actions
 
-# Type of an action -> its message's name, and its values after the instance's name.
+# Action type -> message name, and encoder of the values that follow the instance name.
 _ACTIONS: dict[type[Any], tuple[str, Callable[[Any], list[Any]]]] = {
     SendAttempt: ("ASSIGN", lambda action: [action.request, action.server, action.give_up_at]),
     Reject: ("NOT_NOW", lambda action: [action.request, action.retry_after_us]),
@@ -237,7 +238,7 @@
 
 
 def write_action(instance: str, action: Action) -> str:
-    """The message of an action of an instance, as a line of JSON."""
+    """Encode an action of a balancer instance as a JSON line."""
     name, values = _ACTIONS[type(action)]
     return json.dumps([name, instance, *values(action)], separators=(",", ":"))
 
--- a/topazbank/wiring.py
+++ b/topazbank/wiring.py
@@ -1,4 +1,4 @@
-"""Builds the components of a sidecar from the operator file; the modules of what is switched off are not imported."""
+"""Builds the components of a sidecar from the operator file; modules of disabled features are not imported."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def build_components(operator: OperatorConfig) -> Components:
-    """Build what the operator file switches on; raise ImportError where its library is not installed."""
+    """Build the components that the operator file enables; raise ImportError if a required library is missing."""
     trace_lines = operator.trace_lines_per_second
     return Components(
         HttpConnection,
@@ -62,7 +62,7 @@
 
 def _upstream_clients(config: MsgpackRpcConfig) -> UpstreamClients:
     if config.calls_servers:
-        import topazbank.msgpackrpc.client  # noqa: F401  # a missing library ends the start, not a request
+        import topazbank.msgpackrpc.client  # noqa: F401  # a missing library fails startup, not a request
 
     def build(settings: Settings, connection_limit: ConnectionLimit) -> Mapping[str, UpstreamClient]:
         limits, columns = settings.limits, settings.report_columns
@@ -137,9 +137,9 @@
     seed: int | None = None,
     fleet_size: FleetSize | None = None,
 ) -> EndpointSource:
-    """Build the source of the endpoint list; several are combined by their precedence.
+    """Build the source of the endpoint list; several sources are combined by precedence.
 
-    `on_list` is called with each list, or with None after a failed poll; `version` is that of the cached list.
+    `on_list` is called with each list, or with None after a failed poll; `version` is the cached list's version.
     """
     factories: dict[str, Callable[[ListCallback], EndpointSource]] = {
         REGISTRY: partial(_registry_source, registry, version, fleet_size, seed),
