--- a/topazbank/cluster/connectivity.py
+++ b/topazbank/cluster/connectivity.py
@@ -32,11 +32,14 @@
         self._heard_at = self._answered_at = now
 
     def hears_nobody(self, now: int) -> bool:
-        """Whether no message has arrived for longer than chance would explain."""
+        """Whether the time since the last message is longer than chance would explain."""
         silence_us = max(3 * self._settings.probe_period_us, self._settings.tolerated_pause_us // 2)
         return self._table.live_count > 0 and now - self._heard_at > silence_us
 
     def is_unanswered(self, now: int) -> bool:
-        """Whether no probe was answered for longer than message loss would explain, even if messages arrive."""
+        """Whether the time since the last answered probe is longer than message loss would explain.
+
+        Other messages may still arrive.
+        """
         timeout_us = self._health.scale_timeout(self._settings.suspicion_min_us(self._table.cluster_size))
         return self._table.live_count > 0 and now - self._answered_at > timeout_us
--- a/topazbank/cluster/probing.py
+++ b/topazbank/cluster/probing.py
@@ -89,13 +89,13 @@
     # -- Probes by the local member --------------------------------------------------------------------
 
     def ping(self, now: int, address: Address, target: int = 0) -> int:
-        """Send a ping that may go unanswered; return its probe id."""
+        """Send a ping without starting a probe, so it may go unanswered; return its probe id."""
         self._last_probe_id = (self._last_probe_id + 1) & 0xFFFFFFFF
         self._outbox.send(now, address, MessageKind.PING, self._last_probe_id, target)
         return self._last_probe_id
 
     def ping_member(self, now: int, record: MemberRecord) -> None:
-        """Ping a member without expecting an answer."""
+        """Ping a member, if its address is known, without starting a probe: it may go unanswered."""
         address = self._addresses.of_record(record)
         if address is not None:
             self.ping(now, address, record.ident)
--- a/topazbank/cluster/stall_monitor.py
+++ b/topazbank/cluster/stall_monitor.py
@@ -14,7 +14,10 @@
 
 
 class StallMonitor:
-    """Counts stalls of this process, and tracks how long its findings are distrusted; times in microseconds."""
+    """Counts stalls of this process, and records until when its findings about other members are distrusted.
+
+    Times are in microseconds.
+    """
 
     __slots__ = ("_distrust_until", "_health", "_settings", "count")
 
@@ -34,13 +37,13 @@
         return False
 
     def record(self, now: int, distrust_us: int) -> None:
-        """Count a stall, and distrust local findings for `distrust_us`."""
+        """Count a stall, and distrust this process's findings about other members for `distrust_us`."""
         self.count += 1
         self._health.degrade(LOCAL_HEALTH_MAX)
         self._distrust_until = now + distrust_us
 
     def is_distrusting(self, now: int) -> bool:
-        """Whether this process stalled recently, so that its findings may be outdated."""
+        """Whether this process stalled recently, so that its findings about other members may be outdated."""
         return now < self._distrust_until
 
     def is_trusted_again(self, now: int) -> bool:
--- a/topazbank/http/connection.py
+++ b/topazbank/http/connection.py
@@ -283,7 +283,7 @@
     # -- Streaming a response -------------------------------------------------------------------------
 
     def _stream_or_fail(self, length: int | None) -> bool:
-        """Stream a response over the size limit, or fail it; return whether to continue reading.
+        """Stream the response if possible, else fail it as over the size limit; return whether to continue reading.
 
         `length`: the declared length in bytes; None: unknown.
         """
--- a/topazbank/http/response_reading.py
+++ b/topazbank/http/response_reading.py
@@ -20,8 +20,8 @@
 def new_response_reader() -> h11.Connection:
     """Create a parser for one response.
 
-    A placeholder request is sufficient: only responses to HEAD and CONNECT are framed differently (RFC 9112, 6.3), and
-    this client sends neither.
+    h11 parses a response only after it has sent a request.  The same placeholder serves for every request: only
+    responses to HEAD and CONNECT are framed differently (RFC 9112, 6.3), and this client sends neither.
     """
     reader = h11.Connection(h11.CLIENT)
     for event in _PLACEHOLDER_REQUEST:
--- a/topazbank/http/server.py
+++ b/topazbank/http/server.py
@@ -104,7 +104,7 @@
         self.abort(client_disconnected=True)
 
     def _is_between_requests(self) -> bool:
-        """Whether no request is in progress or received in part."""
+        """Whether no request is in progress or partially received."""
         if (
             self._call is not None
             or self._stream is not None
--- a/topazbank/msgpackrpc/attempt.py
+++ b/topazbank/msgpackrpc/attempt.py
@@ -37,7 +37,7 @@
         self.msgid = -1
         self.written = False  # whether the kernel has accepted its last byte
         self.connection: RpcUpstreamConnection | None = None
-        self._is_final = deadlines.is_final  # whether no retry of its request can follow
+        self._is_final = deadlines.is_final  # whether its request ends with it, so that no retry follows
 
     def release(self, outcome: Outcome) -> None:
         """Leave the connection if the attempt ended without it, as by a timeout or a cancellation."""
--- a/topazbank/msgpackrpc/server.py
+++ b/topazbank/msgpackrpc/server.py
@@ -55,7 +55,7 @@
         self._unhandled: Iterator[RpcMessage] | None = None
         self._next_turn: asyncio.Handle | None = None  # handles the next of them
         self._has_accepted_call = False  # whether a call was accepted
-        self._failed = False  # whether nothing more is read
+        self._failed = False  # whether reading has ended
         self._error_sent = False  # whether the error of the failure was sent to the client
         self._discarded_bytes = 0  # bytes received after the failure
 
--- a/topazbank/quota/lease.py
+++ b/topazbank/quota/lease.py
@@ -20,7 +20,7 @@
 
 
 class ClientId(NamedTuple):
-    """One generation of a lease client.  Both processes of an upgrade have the same `ident`."""
+    """Identifies a lease client; both processes of an upgrade have the same `ident`, but different generations."""
 
     ident: int
     generation: int
--- a/topazbank/quota/rules.py
+++ b/topazbank/quota/rules.py
@@ -100,7 +100,7 @@
             )
         if self.kind == QuotaKind.CONCURRENCY and not self.unit_lifetime_max_us:
             raise InvalidQuota(
-                "unit_lifetime_max_us: expected a positive limit on the lifetime of a concurrency quota's units, not 0"
+                "unit_lifetime_max_us: expected a positive lifetime limit for a concurrency quota, not 0"
             )
         if self.floor * self.members > self.amount:
             raise InvalidQuota(f"floor: expected at most whole / members ({self.limit} / {self.members})")
