--- a/testbed/fleet/synthetic_worker.py
+++ b/testbed/fleet/synthetic_worker.py
@@ -23,6 +23,7 @@
 from testbed.fleet.child_process import REPLY_BYTES_MAX
 from testbed.fleet.invariants import EFFECT_CLASSES
 from testbed.fleet.load_generator import CLASS_WEIGHTS, REQUEST_CLASSES
+from testbed.ports import private_loopback_host
 from testbed.wire import Address
 from topazbank.balancing.actions import Action, CheckHealth, Fail, Reject, SendAttempt, SendGossip
 from topazbank.balancing.balancer import Balancer
@@ -203,9 +204,14 @@
         return CountingBackendServer(backend, pod=number % 8 + 1)
 
     async def start(self) -> list[dict[str, Any]]:
-        """Start all backends and return their entries in the registry."""
+        """Start all backends and return their entries in the registry.
+
+        They listen at an address that no other process binds.  At 127.0.0.1 the kernel may give the port of a killed
+        backend to another process, which would then receive the requests of sidecars that do not know of the kill.
+        """
+        host = private_loopback_host()
         for server in self.servers:
-            await server.start()
+            await server.start(host)
         return [server.registry_entry() for server in self.servers]
 
     def kill(self, names: Sequence[str]) -> None:
